--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -19,7 +19,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from tests.trials.site import Site
+from tests.fault_injection.site import Site
 
 
 def sync_ms(folder: Path, times: int) -> list[float]:
--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -23,7 +23,7 @@
 from pebblepass.daemon.daemon import CLIENT_SHARE, OWN_DESCRIPTORS
 from pebblepass.daemon.upstream import Answer, Exchange, Pool
 from pebblepass.decisions import Outcome
-from pebblepass.rehearsal.clock import VirtualLoop
+from pebblepass.simulation.clock import VirtualLoop
 from pebblepass.wire.address import Address
 from pebblepass.wire.resp import command
 
--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -17,11 +17,11 @@
 import stand
 from stand import Case, Load, Process, Site, settings
 
+from pebblepass.accounting.service import AUDIT_S, FiguresService
 from pebblepass.daemon.loop import DaemonLoop
 from pebblepass.decisions.settings import read_settings
-from pebblepass.figures.service import AUDIT_S, FiguresService
-from pebblepass.operator import FiguresSection
-from pebblepass.standins.ports import take_port
+from pebblepass.emulators.ports import take_port
+from pebblepass.operator_config import FiguresSection
 
 WARM = 2000
 CASE = Case("hits", namespaces=tuple(f"ns{number}" for number in range(50)))
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -20,9 +20,9 @@
 from figures import WARM, batch
 from stand import ROOT, Case, Process, Site, settings
 
-from pebblepass.agreement.commands import NoAnswerError, ask
+from pebblepass.consensus.commands import NoAnswerError, ask
 from pebblepass.daemon.loop import DaemonLoop
-from pebblepass.standins.ports import take_port
+from pebblepass.emulators.ports import take_port
 
 CASE = Case("hits")
 NAME = "r0"  # as stand.py's routers are called
--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -23,12 +23,12 @@
 
 import msgspec
 
-from pebblepass.rehearsal.plan import make_plan
-from pebblepass.rehearsal.runner import rehearse
-from pebblepass.rehearsal.scenario import load_scenario
+from pebblepass.simulation.plan import make_plan
+from pebblepass.simulation.runner import rehearse
+from pebblepass.simulation.scenario import load_scenario
 
 ROOT = Path(__file__).resolve().parent.parent
-ROOMS = ("decisions", "daemon", "membership", "wire", "standins", "rehearsal")
+ROOMS = ("decisions", "daemon", "discovery", "wire", "emulators", "simulation")
 
 
 def play(name: str, seed: int, routers: int, nodes: int, rate: float, length: float) -> dict[str, Any]:
--- a/benchmarks/request_path.py
+++ b/benchmarks/request_path.py
@@ -34,7 +34,7 @@
 from pebblepass.decisions import ListKind, Outcome, RequestArrived, Router, Send, Server, ServersChanged
 from pebblepass.decisions.interface import AttemptEnded
 from pebblepass.decisions.settings import read_settings
-from pebblepass.standins.ports import take_port
+from pebblepass.emulators.ports import take_port
 from pebblepass.wire.resp import command
 
 WARM = 1500
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -4,7 +4,7 @@
         [--split NAME] [--dead 0] [--window S]
     .venv/bin/python benchmarks/shares.py --cost
 
-The Suppressor is the program's, and so are the rules of shares (`pebblepass/agreement/shares.py`): three
+The Suppressor is the program's, and so are the rules of shares (`pebblepass/consensus/shares.py`): three
 voters, leases of 6 s, each router asks each voter every third of that. The traffic is Poisson, its routers'
 means are drawn from a log-normal, and after 60 s drawn anew: the shift. The origin is healthy. Splits:
 
@@ -30,9 +30,9 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from pebblepass.agreement import messages as m
-from pebblepass.agreement.leases import Terms
-from pebblepass.agreement.shares import Allocator, Demand, Pool, ShareHolder, allocate
+from pebblepass.consensus import messages as m
+from pebblepass.consensus.leases import Terms
+from pebblepass.consensus.shares import Allocator, Demand, Pool, ShareHolder, allocate
 from pebblepass.decisions.interface import NS_PER_S, PolicyHeld, Tenant
 from pebblepass.decisions.suppressor import Suppressor
 
--- a/benchmarks/stand.py
+++ b/benchmarks/stand.py
@@ -25,9 +25,9 @@
 import httptools
 import uvloop
 
-from pebblepass.standins.ports import take_port
-from pebblepass.standins.registry import RegistryAgent
-from pebblepass.standins.witness import Nobody
+from pebblepass.emulators.ports import take_port
+from pebblepass.emulators.registry import RegistryAgent
+from pebblepass.emulators.witness import Nobody
 from pebblepass.wire.resp import command
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/pebblepass/figures/__init__.py
+++ b/pebblepass/accounting/__init__.py
@@ -3,6 +3,6 @@
 Off unless the operator's file has a section `[figures]`.
 """
 
-from pebblepass.figures.ledger import OTHER, Breach, BreachKind, Ledger
+from pebblepass.accounting.ledger import OTHER, Breach, BreachKind, Ledger
 
 __all__ = ["OTHER", "Breach", "BreachKind", "Ledger"]
--- a/pebblepass/figures/commands.py
+++ b/pebblepass/accounting/commands.py
@@ -15,7 +15,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from pebblepass.figures import fleet
+from pebblepass.accounting import fleet
 from pebblepass.wire.address import parse_address
 
 TIMEOUT_S = 5.0
--- a/pebblepass/figures/fleet.py
+++ b/pebblepass/accounting/fleet.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from pebblepass.figures.snapshot import Row
+from pebblepass.accounting.snapshot import Row
 
 FLOWS = ("taken", "served_in_aim", "served_late", "refused", "failed", "gone")
 
--- a/pebblepass/figures/metrics.py
+++ b/pebblepass/accounting/metrics.py
@@ -15,7 +15,7 @@
 )
 from prometheus_client.openmetrics.exposition import CONTENT_TYPE_LATEST, generate_latest
 
-from pebblepass.figures.ledger import Cut
+from pebblepass.accounting.ledger import Cut
 
 BOUNDS_US = (1_000, 2_500, 5_000, 10_000, 25_000, 50_000, 100_000, 250_000, 500_000, 1_000_000, 2_500_000)
 CONTENT_TYPE = CONTENT_TYPE_LATEST
--- a/pebblepass/figures/service.py
+++ b/pebblepass/accounting/service.py
@@ -12,12 +12,12 @@
 
 import msgspec
 
+from pebblepass.accounting import snapshot
+from pebblepass.accounting.ledger import Breach, Ledger
+from pebblepass.accounting.listener import FiguresListener, Pages
+from pebblepass.accounting.webhook import Webhook
 from pebblepass.decisions.interface import Settings
-from pebblepass.figures import snapshot
-from pebblepass.figures.ledger import Breach, Ledger
-from pebblepass.figures.listener import FiguresListener, Pages
-from pebblepass.figures.webhook import Webhook
-from pebblepass.operator import FiguresSection
+from pebblepass.operator_config import FiguresSection
 from pebblepass.wire.address import Address, parse_address
 
 AUDIT_S = 0.08  # breaches are told within 0.1 s
@@ -137,7 +137,7 @@
         return await self._apart(encode)
 
     async def _metrics(self) -> tuple[str, bytes]:
-        from pebblepass.figures.metrics import CONTENT_TYPE, exposition  # only who scrapes pays for it
+        from pebblepass.accounting.metrics import CONTENT_TYPE, exposition  # only who scrapes pays for it
 
         cut = self.ledger.cut()
         return CONTENT_TYPE, await self._apart(lambda: exposition(cut))
--- a/pebblepass/figures/snapshot.py
+++ b/pebblepass/accounting/snapshot.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from pebblepass.durable.disk import Folder, replace_whole
+from pebblepass.storage.disk import Folder, replace_whole
 
 FORMAT, VERSION = "pebblepass-figures", 1
 
--- a/pebblepass/cli.py
+++ b/pebblepass/cli.py
@@ -27,11 +27,11 @@
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
         if cmd_name == "figures":
-            from pebblepass.figures.commands import figures
+            from pebblepass.accounting.commands import figures
 
             return figures
         if cmd_name == "policy":
-            from pebblepass.agreement.commands import policy
+            from pebblepass.consensus.commands import policy
 
             return policy
         if cmd_name == "scale":
@@ -39,7 +39,7 @@
 
             return scale
         if cmd_name == "trial":
-            from pebblepass.trials.commands import trial
+            from pebblepass.fault_injection.commands import trial
 
             return trial
         return super().get_command(ctx, cmd_name)
@@ -67,7 +67,7 @@
 @click.argument("file", type=click.Path(path_type=Path))
 def check(file: Path) -> None:
     """Check an operator's FILE, and print what would be in force."""
-    from pebblepass.operator import FileError, describe, load_operator
+    from pebblepass.operator_config import FileError, describe, load_operator
 
     try:
         operator = load_operator(file)
@@ -111,12 +111,12 @@
 
     Exit code 0: every rule held and all adds up; 1: not so; 2: wrong usage.
     """
-    from pebblepass.operator import FileError
-    from pebblepass.rehearsal.plan import make_plan
-    from pebblepass.rehearsal.report import as_json, verdict
-    from pebblepass.rehearsal.runner import RehearsalError
-    from pebblepass.rehearsal.scenario import load_scenario
-    from pebblepass.rehearsal.terminal import play, print_report
+    from pebblepass.operator_config import FileError
+    from pebblepass.simulation.plan import make_plan
+    from pebblepass.simulation.report import as_json, verdict
+    from pebblepass.simulation.runner import RehearsalError
+    from pebblepass.simulation.scenario import load_scenario
+    from pebblepass.simulation.terminal import play, print_report
 
     try:
         drawn = load_scenario(scenario).scaled(routers, nodes, rate)
@@ -141,7 +141,7 @@
     if report is not None:
         report.write_bytes(as_json(told))
     if html is not None:
-        from pebblepass.rehearsal.page import as_page
+        from pebblepass.simulation.page import as_page
 
         html.write_text(as_page(told))
     if told["interrupted"]:
--- a/pebblepass/agreement/changes.py
+++ b/pebblepass/consensus/changes.py
@@ -21,8 +21,8 @@
 
 from enum import Enum
 
-from pebblepass.agreement.messages import Ballot, Promise, Value
-from pebblepass.agreement.voting import quorum
+from pebblepass.consensus.messages import Ballot, Promise, Value
+from pebblepass.consensus.voting import quorum
 
 
 class Phase(Enum):
--- a/pebblepass/agreement/commands.py
+++ b/pebblepass/consensus/commands.py
@@ -12,7 +12,7 @@
 import click
 import msgspec
 
-from pebblepass.agreement.policy import PolicyError, read_policy
+from pebblepass.consensus.policy import PolicyError, read_policy
 from pebblepass.wire.address import parse_address
 
 EXIT_REFUSED, EXIT_USAGE, EXIT_OPEN = 1, 2, 3
--- a/pebblepass/agreement/member.py
+++ b/pebblepass/consensus/member.py
@@ -12,12 +12,12 @@
 
 from msgspec import Struct
 
-from pebblepass.agreement import messages as m
-from pebblepass.agreement.changes import Change, Phase
-from pebblepass.agreement.leases import Granter, Holder, Terms
-from pebblepass.agreement.policy import Check, Policy, difference
-from pebblepass.agreement.shares import Allocator, Demand, Pool, Rows, ShareHolder
-from pebblepass.agreement.voting import Acceptor, Reply, quorum
+from pebblepass.consensus import messages as m
+from pebblepass.consensus.changes import Change, Phase
+from pebblepass.consensus.leases import Granter, Holder, Terms
+from pebblepass.consensus.policy import Check, Policy, difference
+from pebblepass.consensus.shares import Allocator, Demand, Pool, Rows, ShareHolder
+from pebblepass.consensus.voting import Acceptor, Reply, quorum
 from pebblepass.peers.view import Liveness, View
 
 KEPT_VERSIONS = 32  # in the history
--- a/pebblepass/agreement/messages.py
+++ b/pebblepass/consensus/messages.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from pebblepass.agreement.policy import Policy
+from pebblepass.consensus.policy import Policy
 
 Ballot = tuple[int, str]
 """A round's number and who began it; the higher one goes before."""
--- a/pebblepass/agreement/policy.py
+++ b/pebblepass/consensus/policy.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from pebblepass.agreement.shares import Pool
+from pebblepass.consensus.shares import Pool
 from pebblepass.decisions.interface import NamespaceHeld, PolicyHeld, Settings
 
 ROUNDING = 1e-9  # sums of portions
--- a/pebblepass/agreement/service.py
+++ b/pebblepass/consensus/service.py
@@ -10,12 +10,12 @@
 
 from msgspec import Struct
 
-from pebblepass.agreement import messages as m
-from pebblepass.agreement.member import Action, Conclude, InForce, Member, Note, Send, Setup, Write
-from pebblepass.durable.disk import Disk
-from pebblepass.durable.frames import DurableError, Head
-from pebblepass.durable.log import Log
+from pebblepass.consensus import messages as m
+from pebblepass.consensus.member import Action, Conclude, InForce, Member, Note, Send, Setup, Write
 from pebblepass.peers.links import Links
+from pebblepass.storage.disk import Disk
+from pebblepass.storage.frames import DurableError, Head
+from pebblepass.storage.log import Log
 from pebblepass.wire.address import Address
 
 FORMAT, VERSION = "pebblepass-agreement", 1
--- a/pebblepass/agreement/shares.py
+++ b/pebblepass/consensus/shares.py
@@ -39,7 +39,7 @@
 
 from msgspec import Struct
 
-from pebblepass.agreement.leases import Terms
+from pebblepass.consensus.leases import Terms
 
 Who = TypeVar("Who", bound=Hashable)
 Rows = tuple[tuple[str, float], ...]
--- a/pebblepass/agreement/voting.py
+++ b/pebblepass/consensus/voting.py
@@ -14,7 +14,7 @@
 
 from __future__ import annotations
 
-from pebblepass.agreement.messages import (
+from pebblepass.consensus.messages import (
     Accept,
     Accepted,
     Ballot,
--- a/pebblepass/daemon/__main__.py
+++ b/pebblepass/daemon/__main__.py
@@ -15,15 +15,15 @@
 
 from msgspec.structs import replace
 
-from pebblepass.admission import descriptors
+from pebblepass.connection_limits import descriptors
 from pebblepass.daemon.config import Config, ConfigError, load_config
 from pebblepass.daemon.daemon import Daemon
 from pebblepass.daemon.log import Limit, make_logger
 from pebblepass.daemon.loop import DaemonLoop
 
 if TYPE_CHECKING:
-    from pebblepass.figures.service import FiguresService
-    from pebblepass.operator import FiguresSection, FleetSection, ManyKeysSection
+    from pebblepass.accounting.service import FiguresService
+    from pebblepass.operator_config import FiguresSection, FleetSection, ManyKeysSection
 
 daemon_class = Daemon  # a trial of a broken program puts another here
 OPERATOR_VARIABLE = "PEBBLEPASS_OPERATOR"
@@ -49,7 +49,7 @@
         if not self._path:
             return
         # Loaded only where there is such a file: the schema's library costs memory.
-        from pebblepass.operator import FileError, load_operator
+        from pebblepass.operator_config import FileError, load_operator
 
         try:
             operator = load_operator(self._path)
@@ -81,7 +81,7 @@
     """Descriptors that the operator's sections take."""
     taken, ledger, section = 0, operator.figures, operator.fleet
     if ledger is not None:
-        from pebblepass.figures.listener import MOST_CONNECTIONS
+        from pebblepass.accounting.listener import MOST_CONNECTIONS
 
         listens = MOST_CONNECTIONS if ledger.listen else 0
         taken += descriptors.figures(listens, bool(ledger.directory), bool(ledger.webhook))
@@ -95,7 +95,7 @@
 
 def open_figures(loop: asyncio.AbstractEventLoop, config: Config, section: FiguresSection) -> FiguresService:
     """Open the ledger; raises ValueError in one plain line where it can't be opened."""
-    from pebblepass.figures.service import FiguresService
+    from pebblepass.accounting.service import FiguresService
 
     epoch = os.urandom(8).hex()
     return FiguresService(loop, section, config.name, config.settings, time.time_ns, epoch)
--- a/pebblepass/daemon/attempts.py
+++ b/pebblepass/daemon/attempts.py
@@ -17,7 +17,7 @@
 from pebblepass.wire.resp import Command
 
 if TYPE_CHECKING:
-    from pebblepass.figures.ledger import Ledger
+    from pebblepass.accounting.ledger import Ledger
 
 STALL_S = 2.0  # a server pauses a value for 0.1 s at most; one silent for so long has vanished
 KEY_SAFE = "/:@!$&'()*+,;=-._~"  # what a path may hold as it is
--- a/pebblepass/daemon/clients.py
+++ b/pebblepass/daemon/clients.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, Protocol, cast
 
-from pebblepass.admission.descriptors import REFUSERS
-from pebblepass.admission.places import Standing, makes_room
+from pebblepass.connection_limits.descriptors import REFUSERS
+from pebblepass.connection_limits.places import Standing, makes_room
 from pebblepass.daemon.unread import READ_EVENTS, accept_pending, peer_has_closed, socket_poller
 from pebblepass.daemon.unread_age import BacklogAge, UnreadAge
 from pebblepass.daemon.upstream import ValueSource
--- a/pebblepass/daemon/config.py
+++ b/pebblepass/daemon/config.py
@@ -10,7 +10,7 @@
 
 from pebblepass.decisions import Settings
 from pebblepass.decisions.settings import WireError, read_settings, typed
-from pebblepass.membership.registry import Clock, read_listing
+from pebblepass.discovery.registry import Clock, read_listing
 from pebblepass.wire.address import Address, parse_address
 
 DEFAULT_MAX_OPEN = 20_000
--- a/pebblepass/daemon/daemon.py
+++ b/pebblepass/daemon/daemon.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING
 
-from pebblepass.admission.descriptors import callers, own, split
+from pebblepass.connection_limits.descriptors import callers, own, split
 from pebblepass.control.operations import CALLERS, ControlAddress, Told
 from pebblepass.daemon.clients import ClientServer
 from pebblepass.daemon.config import Config, ConfigError, reload_discovery
@@ -20,13 +20,13 @@
 from pebblepass.daemon.upstream import Pool
 from pebblepass.decisions import ListKind
 from pebblepass.decisions.interface import NS_PER_S
-from pebblepass.membership.registry import Clock, Discovery, Listing, read_listing
+from pebblepass.discovery.registry import Clock, Discovery, Listing, read_listing
 from pebblepass.wire.address import Address
 
 if TYPE_CHECKING:
     from pebblepass.daemon.fleet import FleetPart
     from pebblepass.daemon.succession import Succession
-    from pebblepass.operator import FleetSection, ManyKeysSection
+    from pebblepass.operator_config import FleetSection, ManyKeysSection
 
 READY_S = 1.0  # the wait for discovery's first list, after which the known one must do
 START_SHARE = 0.4  # of the cores that it has, that the start may have taken when clients come
@@ -107,7 +107,7 @@
     def read_many(self, section: ManyKeysSection) -> None:
         """Take reads of many keys; before the start."""
         # Loaded only where the operator wants it.
-        from pebblepass.daemon.many_keys.reads import ManyReads
+        from pebblepass.daemon.multi_get.reads import ManyReads
 
         many = ManyReads(self._loop, self.host, self._pool, section, self._config.memory)
         self.host.many = self.clients.many = many
--- a/pebblepass/daemon/fleet.py
+++ b/pebblepass/daemon/fleet.py
@@ -11,17 +11,17 @@
 
 import msgspec
 
-from pebblepass.agreement import messages as m
-from pebblepass.agreement.leases import Terms
-from pebblepass.agreement.member import InForce, Note, Setup, genesis
-from pebblepass.agreement.policy import Ground, PolicyError, held, read_policy
-from pebblepass.agreement.service import AgreementService, Told, open_log
+from pebblepass.consensus import messages as m
+from pebblepass.consensus.leases import Terms
+from pebblepass.consensus.member import InForce, Note, Setup, genesis
+from pebblepass.consensus.policy import Ground, PolicyError, held, read_policy
+from pebblepass.consensus.service import AgreementService, Told, open_log
 from pebblepass.control.shell import Page
 from pebblepass.daemon.config import ConfigError
 from pebblepass.decisions import PolicyChanged, Settings
-from pebblepass.durable.disk import Folder
-from pebblepass.durable.frames import DurableError
-from pebblepass.operator import FleetSection
+from pebblepass.operator_config import FleetSection
+from pebblepass.storage.disk import Folder
+from pebblepass.storage.frames import DurableError
 from pebblepass.wire.address import parse_address
 
 CALLS = "/control/policy/"
@@ -184,7 +184,7 @@
         return Page(404, b"no such call\n")
 
     def _metrics(self) -> Page:
-        from pebblepass.agreement.metrics import CONTENT_TYPE, Counted, exposition
+        from pebblepass.consensus.metrics import CONTENT_TYPE, Counted, exposition
 
         member, now = self.service.member, self._host.now()
         others = [name for name in member.decided.fleet.members if name != self.name]
--- a/pebblepass/daemon/many_keys/__init__.py
+++ b/pebblepass/daemon/multi_get/__init__.py
@@ -1,4 +1,4 @@
-"""Reads of many keys on sockets: the thin shell around `pebblepass.manykeys`.
+"""Reads of many keys on sockets: the thin shell around `pebblepass.multi_get`.
 
 Each key is a request of its own to the decision module, under the command's id and its number; its answer's
 bytes, as a single read would have them, are its entry in the command's answer.
--- a/pebblepass/daemon/many_keys/batches.py
+++ b/pebblepass/daemon/multi_get/batches.py
@@ -6,17 +6,17 @@
 
 from pebblepass.daemon import deadline_propagation
 from pebblepass.daemon.lag import after_news
-from pebblepass.daemon.many_keys.reading import ManyRead
+from pebblepass.daemon.multi_get.reading import ManyRead
 from pebblepass.daemon.upstream import Answer, Exchange, ValueSource
 from pebblepass.decisions import AttemptSlow, KeysServed, Outcome
-from pebblepass.manykeys import Part
+from pebblepass.multi_get import Part
 from pebblepass.wire.address import Address
 from pebblepass.wire.answers import AnswerError
 from pebblepass.wire.resp import MANY, bulk_length, command, read_command
 
 if TYPE_CHECKING:
-    from pebblepass.daemon.many_keys.entries import KeyAttempt
-    from pebblepass.daemon.many_keys.reads import ManyReads
+    from pebblepass.daemon.multi_get.entries import KeyAttempt
+    from pebblepass.daemon.multi_get.reads import ManyReads
 
 NEVER = 1 << 63
 SLOW_RECHECK_NS = 5_000_000  # between checks of a slow batch while other keys are outstanding
--- a/pebblepass/daemon/many_keys/entries.py
+++ b/pebblepass/daemon/multi_get/entries.py
@@ -5,12 +5,12 @@
 from typing import TYPE_CHECKING
 
 from pebblepass.daemon.upstream import ValueSource
-from pebblepass.manykeys import State
+from pebblepass.multi_get import State
 
 if TYPE_CHECKING:
     from pebblepass.daemon.attempts import Attempt
-    from pebblepass.daemon.many_keys.batches import PartExchange
-    from pebblepass.daemon.many_keys.reading import ManyRead
+    from pebblepass.daemon.multi_get.batches import PartExchange
+    from pebblepass.daemon.multi_get.reading import ManyRead
 
 
 class KeyReply:
--- a/pebblepass/daemon/many_keys/reading.py
+++ b/pebblepass/daemon/multi_get/reading.py
@@ -7,14 +7,14 @@
 from pebblepass.daemon import deadline_propagation
 from pebblepass.daemon.clients import Reply
 from pebblepass.daemon.lag import after_news
-from pebblepass.manykeys import Gathering, ManyKeys, State
+from pebblepass.multi_get import Gathering, ManyKeys, State
 from pebblepass.wire.resp import with_timeout
 
 if TYPE_CHECKING:
     from pebblepass.daemon.deadlines import Deadline
-    from pebblepass.daemon.many_keys.batches import PartExchange
-    from pebblepass.daemon.many_keys.entries import KeyAttempt, KeyReply
-    from pebblepass.daemon.many_keys.reads import ManyReads
+    from pebblepass.daemon.multi_get.batches import PartExchange
+    from pebblepass.daemon.multi_get.entries import KeyAttempt, KeyReply
+    from pebblepass.daemon.multi_get.reads import ManyReads
 
 NS_PER_MS = 1_000_000
 
--- a/pebblepass/daemon/many_keys/reads.py
+++ b/pebblepass/daemon/multi_get/reads.py
@@ -8,12 +8,12 @@
 
 from pebblepass.daemon.attempts import OpenRequest
 from pebblepass.daemon.clients import Reply
-from pebblepass.daemon.many_keys.batches import PartExchange
-from pebblepass.daemon.many_keys.entries import KeyAttempt, KeyReply
-from pebblepass.daemon.many_keys.reading import NS_PER_MS, ManyRead
+from pebblepass.daemon.multi_get.batches import PartExchange
+from pebblepass.daemon.multi_get.entries import KeyAttempt, KeyReply
+from pebblepass.daemon.multi_get.reading import NS_PER_MS, ManyRead
 from pebblepass.daemon.upstream import Pool
 from pebblepass.decisions import Effect, KeysArrived, Outcome, SendKeys
-from pebblepass.manykeys import (
+from pebblepass.multi_get import (
     Gathering,
     HedgeBudget,
     PartBounds,
@@ -28,7 +28,7 @@
 if TYPE_CHECKING:
     from pebblepass.daemon.attempts import Attempt
     from pebblepass.daemon.router import RouterHost
-    from pebblepass.operator import ManyKeysSection
+    from pebblepass.operator_config import ManyKeysSection
 
 PATH = "RESP2 client, many keys"
 STARVED_RETRY_S = 0.01
--- a/pebblepass/daemon/router.py
+++ b/pebblepass/daemon/router.py
@@ -42,13 +42,13 @@
     Subscribe,
     TimerFired,
 )
-from pebblepass.membership.registry import Listing
+from pebblepass.discovery.registry import Listing
 from pebblepass.wire import http, resp
 from pebblepass.wire.address import Address
 from pebblepass.wire.resp import Command
 
 if TYPE_CHECKING:
-    from pebblepass.figures.ledger import Ledger
+    from pebblepass.accounting.ledger import Ledger
 
 NS_PER_MS = 1_000_000
 MOST_LOADS = 256
--- a/pebblepass/daemon/succession.py
+++ b/pebblepass/daemon/succession.py
@@ -12,6 +12,7 @@
 from pebblepass.daemon.router import RouterHost
 from pebblepass.daemon.upstream import Pool
 from pebblepass.decisions import KnowledgeGained, ListKind
+from pebblepass.discovery.registry import Clock, Discovery, read_listing, write_listing
 from pebblepass.handover.knowledge import aged
 from pebblepass.handover.messages import (
     MOST_HANDED,
@@ -23,7 +24,6 @@
 )
 from pebblepass.handover.parts import Handover
 from pebblepass.handover.states import Shares
-from pebblepass.membership.registry import Clock, Discovery, read_listing, write_listing
 
 KEPT_FOR_SERVERS = 2  # connections that the old process may still open, for what it has taken
 
--- a/pebblepass/membership/registry.py
+++ b/pebblepass/discovery/registry.py
@@ -12,7 +12,7 @@
 from msgspec import Struct
 
 from pebblepass.decisions import ListKind, Server, ServersChanged, ServerState
-from pebblepass.membership.pace import ASKED, PUSHED, Pace
+from pebblepass.discovery.pace import ASKED, PUSHED, Pace
 from pebblepass.wire.address import Address, parse_address
 from pebblepass.wire.http import HttpError, HttpReader, request
 
--- a/pebblepass/standins/node.py
+++ b/pebblepass/emulators/node.py
@@ -10,12 +10,12 @@
 
 import hiredis
 
-from pebblepass.standins.advertised import AdvertisedTimeout, read_advertised_timeout
-from pebblepass.standins.core import ColdBudget, CoreFacts
-from pebblepass.standins.effects import Effects
-from pebblepass.standins.listening import Line, Place, Silence, Station, no_silence
-from pebblepass.standins.serving import Serving
-from pebblepass.standins.witness import Witness
+from pebblepass.emulators.advertised import AdvertisedTimeout, read_advertised_timeout
+from pebblepass.emulators.core import ColdBudget, CoreFacts
+from pebblepass.emulators.effects import Effects
+from pebblepass.emulators.listening import Line, Place, Silence, Station, no_silence
+from pebblepass.emulators.serving import Serving
+from pebblepass.emulators.witness import Witness
 from pebblepass.wire.resp import MANY, bulk
 
 GARBLED = (b"*3\r\n$9\r\nnot nine\r\n", b"\x00\xfe\x17\r\n", b"*2\r\n*1\r\n$1\r\nx\r\n", b"$-7\r\n")
--- a/pebblepass/standins/registry.py
+++ b/pebblepass/emulators/registry.py
@@ -10,8 +10,8 @@
 import httptools
 import msgspec
 
-from pebblepass.standins.listening import LOOPBACK, Line, Place, Station
-from pebblepass.standins.witness import Witness
+from pebblepass.emulators.listening import LOOPBACK, Line, Place, Station
+from pebblepass.emulators.witness import Witness
 from pebblepass.wire.address import Address
 
 LATEST_S = 6.0  # what the agent has counts as told so much later at the latest
--- a/pebblepass/standins/serving.py
+++ b/pebblepass/emulators/serving.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Generic
 
-from pebblepass.standins.core import Core, CoreFacts, Job
+from pebblepass.emulators.core import Core, CoreFacts, Job
 
 
 class Serving(Generic[Job]):
--- a/pebblepass/standins/store.py
+++ b/pebblepass/emulators/store.py
@@ -10,13 +10,13 @@
 
 import httptools
 
-from pebblepass.standins.advertised import AdvertisedTimeout, read_advertised_timeout
-from pebblepass.standins.core import CoreFacts
-from pebblepass.standins.effects import Effects
-from pebblepass.standins.listening import Line, Place, Silence, Station, no_silence
-from pebblepass.standins.node import make_value
-from pebblepass.standins.serving import Serving
-from pebblepass.standins.witness import Witness
+from pebblepass.emulators.advertised import AdvertisedTimeout, read_advertised_timeout
+from pebblepass.emulators.core import CoreFacts
+from pebblepass.emulators.effects import Effects
+from pebblepass.emulators.listening import Line, Place, Silence, Station, no_silence
+from pebblepass.emulators.node import make_value
+from pebblepass.emulators.serving import Serving
+from pebblepass.emulators.witness import Witness
 
 
 @dataclass(frozen=True, slots=True)
--- a/pebblepass/standins/witness.py
+++ b/pebblepass/emulators/witness.py
@@ -4,8 +4,8 @@
 
 from typing import Protocol
 
-from pebblepass.standins.advertised import AdvertisedTimeout
-from pebblepass.standins.effects import Doubled
+from pebblepass.emulators.advertised import AdvertisedTimeout
+from pebblepass.emulators.effects import Doubled
 
 
 class Witness(Protocol):
--- a/pebblepass/trials/broken.py
+++ b/pebblepass/fault_injection/broken.py
@@ -5,11 +5,11 @@
 from collections.abc import Iterable
 from typing import Any
 
-from pebblepass.agreement import messages as m
-from pebblepass.agreement.member import InForce, Member
-from pebblepass.agreement.shares import Allocator, Pool, Rows, ShareHolder
-from pebblepass.durable.log import Log
-from pebblepass.trials.disk import PowerDisk
+from pebblepass.consensus import messages as m
+from pebblepass.consensus.member import InForce, Member
+from pebblepass.consensus.shares import Allocator, Pool, Rows, ShareHolder
+from pebblepass.fault_injection.disk import PowerDisk
+from pebblepass.storage.log import Log
 
 
 class Variant:
@@ -178,7 +178,7 @@
 class _BelievingLog(Log):
     def open(self) -> list[bytes] | None:
         """Read whatever has a size, whole or not."""
-        from pebblepass.durable.log import _records
+        from pebblepass.storage.log import _records
 
         data = self._disk.read(self._name)
         if data is None:
--- a/pebblepass/trials/checkers.py
+++ b/pebblepass/fault_injection/checkers.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from pebblepass.trials.history import Event
+from pebblepass.fault_injection.history import Event
 
 
 class Broken(Struct, frozen=True):
--- a/pebblepass/trials/commands.py
+++ b/pebblepass/fault_injection/commands.py
@@ -11,11 +11,11 @@
 import click
 import msgspec
 
-from pebblepass.trials.broken import SOUND, VARIANTS
-from pebblepass.trials.checkers import check_all
-from pebblepass.trials.history import write_history
-from pebblepass.trials.scenarios import SCENARIOS
-from pebblepass.trials.schedule import Plan, play
+from pebblepass.fault_injection.broken import SOUND, VARIANTS
+from pebblepass.fault_injection.checkers import check_all
+from pebblepass.fault_injection.history import write_history
+from pebblepass.fault_injection.scenarios import SCENARIOS
+from pebblepass.fault_injection.schedule import Plan, play
 
 EXIT_BROKEN, EXIT_USAGE = 1, 2
 FAULTS = ("changes", "kills", "pauses", "cuts", "empty_disks", "old_disks", "blackouts", "deaf")
@@ -128,8 +128,8 @@
     routers: int, changes: int, crashes: int, losses: int, repeats: int, times: int, states: int, broken: str
 ) -> None:
     """Take every order of what can happen to a small fleet. Exit codes as with `simulate`."""
-    from pebblepass.trials.explore import Bounds
-    from pebblepass.trials.explore import explore as search
+    from pebblepass.fault_injection.explore import Bounds
+    from pebblepass.fault_injection.explore import explore as search
 
     if broken and broken not in VARIANTS:
         _stop(f"no variant {broken!r}; there are {', '.join(VARIANTS)}")
--- a/pebblepass/trials/disk.py
+++ b/pebblepass/fault_injection/disk.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from pebblepass.durable.frames import SECTOR
+from pebblepass.storage.frames import SECTOR
 
 
 @dataclass(slots=True, eq=False)
--- a/pebblepass/trials/explore.py
+++ b/pebblepass/fault_injection/explore.py
@@ -20,11 +20,11 @@
 
 import msgspec
 
-from pebblepass.agreement import messages as m
-from pebblepass.agreement.leases import Terms
-from pebblepass.agreement.member import Action, InForce, Member, Send, Setup, Write, genesis
-from pebblepass.agreement.policy import Policy, StorePolicy
-from pebblepass.trials.broken import Variant
+from pebblepass.consensus import messages as m
+from pebblepass.consensus.leases import Terms
+from pebblepass.consensus.member import Action, InForce, Member, Send, Setup, Write, genesis
+from pebblepass.consensus.policy import Policy, StorePolicy
+from pebblepass.fault_injection.broken import Variant
 
 LEASE = 1_000_000_000
 STEP = LEASE // 3 + 1
--- a/pebblepass/trials/router.py
+++ b/pebblepass/fault_injection/router.py
@@ -1,7 +1,7 @@
 """The daemon as a trial runs it: what it admits and promises is written down, and a part may be broken.
 
     PEBBLEPASS_HISTORY=FILE [PEBBLEPASS_BREAK=NAME] [PEBBLEPASS_KILL=STEP:N] \\
-        python -m pebblepass.trials.router
+        python -m pebblepass.fault_injection.router
 
 With a step (check, prepare, accept, learn, or promised, took, decided: a write) the process is killed as it
 takes it for the Nth time. The name `clients-timeout-advertised` is known here only: every attempt advertises
@@ -22,9 +22,9 @@
 from crc32c import crc32c
 from msgspec.structs import replace
 
-from pebblepass.agreement import messages as m
-from pebblepass.agreement.member import Action, InForce, Member, Send, Write
-from pebblepass.agreement.service import AgreementService
+from pebblepass.consensus import messages as m
+from pebblepass.consensus.member import Action, InForce, Member, Send, Write
+from pebblepass.consensus.service import AgreementService
 from pebblepass.daemon import __main__ as daemon_main
 from pebblepass.daemon import deadline_propagation, fleet
 from pebblepass.daemon.attempts import Attempt
@@ -33,9 +33,9 @@
 from pebblepass.daemon.router import RouterHost
 from pebblepass.decisions import PolicyChanged
 from pebblepass.decisions import Send as SendRequest
-from pebblepass.standins.advertised import read_advertised_timeout
-from pebblepass.trials.broken import SOUND, VARIANTS
-from pebblepass.trials.history import Event
+from pebblepass.emulators.advertised import read_advertised_timeout
+from pebblepass.fault_injection.broken import SOUND, VARIANTS
+from pebblepass.fault_injection.history import Event
 from pebblepass.wire.address import Address
 
 VARIANT = VARIANTS.get(os.environ.get("PEBBLEPASS_BREAK", ""), SOUND)
--- a/pebblepass/trials/scenarios.py
+++ b/pebblepass/fault_injection/scenarios.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pebblepass.trials.schedule import Plan
+from pebblepass.fault_injection.schedule import Plan
 
 SCENARIOS: dict[str, tuple[str, Plan]] = {
     "policy": ("seven routers; kills, pauses and cuts while the policy changes", Plan()),
--- a/pebblepass/trials/schedule.py
+++ b/pebblepass/fault_injection/schedule.py
@@ -16,9 +16,9 @@
 import msgspec
 from crc32c import crc32c
 
-from pebblepass.agreement import messages as m
-from pebblepass.agreement.leases import Terms
-from pebblepass.agreement.member import (
+from pebblepass.consensus import messages as m
+from pebblepass.consensus.leases import Terms
+from pebblepass.consensus.member import (
     Action,
     Conclude,
     InForce,
@@ -29,13 +29,13 @@
     Write,
     genesis,
 )
-from pebblepass.agreement.policy import Policy, StorePolicy
-from pebblepass.agreement.shares import Pool
-from pebblepass.durable.frames import DurableError, Head
-from pebblepass.durable.log import Log
-from pebblepass.trials.broken import Variant
-from pebblepass.trials.disk import PowerDisk
-from pebblepass.trials.history import Event
+from pebblepass.consensus.policy import Policy, StorePolicy
+from pebblepass.consensus.shares import Pool
+from pebblepass.fault_injection.broken import Variant
+from pebblepass.fault_injection.disk import PowerDisk
+from pebblepass.fault_injection.history import Event
+from pebblepass.storage.frames import DurableError, Head
+from pebblepass.storage.log import Log
 
 MS = 1_000_000
 QUOTA, FLOOR_SHARE = 100.0, 0.25  # of the one namespace, a second
--- a/pebblepass/manykeys/__init__.py
+++ b/pebblepass/multi_get/__init__.py
@@ -5,11 +5,11 @@
 worth its price (`hedging`), and what goes into the answer (`gathering`).
 """
 
-from pebblepass.manykeys.command import ManyKeys, parse_many
-from pebblepass.manykeys.gathering import Gathering, State
-from pebblepass.manykeys.hedging import HedgeBudget
-from pebblepass.manykeys.parts import Part, PartBounds, Parts, Queued
-from pebblepass.manykeys.shares import ShareBounds, Shares
+from pebblepass.multi_get.command import ManyKeys, parse_many
+from pebblepass.multi_get.gathering import Gathering, State
+from pebblepass.multi_get.hedging import HedgeBudget
+from pebblepass.multi_get.parts import Part, PartBounds, Parts, Queued
+from pebblepass.multi_get.shares import ShareBounds, Shares
 
 __all__ = [
     "Gathering",
--- a/pebblepass/operator/__init__.py
+++ b/pebblepass/operator_config/__init__.py
@@ -3,8 +3,8 @@
 `run` loads this only where `PEBBLEPASS_OPERATOR` names a file; without one every subsystem is off.
 """
 
-from pebblepass.operator.checked import FileError, decode_toml, describe, read_toml
-from pebblepass.operator.schema import (
+from pebblepass.operator_config.checked import FileError, decode_toml, describe, read_toml
+from pebblepass.operator_config.schema import (
     FiguresSection,
     FleetSection,
     LogSection,
--- a/pebblepass/operator/schema.py
+++ b/pebblepass/operator_config/schema.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from pebblepass.operator.checked import FileError, read_toml
+from pebblepass.operator_config.checked import FileError, read_toml
 
 
 class LogSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/pebblepass/scale/decisions.py
+++ b/pebblepass/scale/decisions.py
@@ -51,8 +51,8 @@
     TimerFired,
 )
 from pebblepass.decisions.slot_table import DEPTH, SLOTS
-from pebblepass.membership.pace import ASKED, PUSHED
-from pebblepass.membership.registry import Clock, read_listing, write_listing
+from pebblepass.discovery.pace import ASKED, PUSHED
+from pebblepass.discovery.registry import Clock, read_listing, write_listing
 
 S = 1_000_000_000
 MS = 1_000_000
--- a/pebblepass/scale/hollow.py
+++ b/pebblepass/scale/hollow.py
@@ -23,17 +23,17 @@
 import msgspec
 from msgspec import Struct
 
-from pebblepass.agreement import messages as m
-from pebblepass.agreement.member import Action, Send
-from pebblepass.agreement.policy import Policy, StorePolicy
-from pebblepass.agreement.service import AgreementService
+from pebblepass.consensus import messages as m
+from pebblepass.consensus.member import Action, Send
+from pebblepass.consensus.policy import Policy, StorePolicy
+from pebblepass.consensus.service import AgreementService
 from pebblepass.daemon.__main__ import GC_THRESHOLD
 from pebblepass.daemon.fleet import FleetPart
 from pebblepass.daemon.loop import DaemonLoop
 from pebblepass.decisions import PolicyChanged, Settings
 from pebblepass.decisions.settings import read_settings
-from pebblepass.membership.registry import Clock, Discovery, Listing
-from pebblepass.operator import FleetSection
+from pebblepass.discovery.registry import Clock, Discovery, Listing
+from pebblepass.operator_config import FleetSection
 from pebblepass.wire.address import Address, parse_address
 
 FRAME = 4  # bytes before each message on a link
--- a/pebblepass/scale/run.py
+++ b/pebblepass/scale/run.py
@@ -17,14 +17,14 @@
 
 import msgspec
 
+from pebblepass.emulators.listening import Line
+from pebblepass.emulators.ports import take_port
+from pebblepass.emulators.registry import RegistryAgent
+from pebblepass.emulators.witness import Nobody
+from pebblepass.fault_injection.relay import LOOPBACK, Relays
 from pebblepass.scale.figures import Look, by_role, of_changes
 from pebblepass.scale.hollow import Order, Place, Report, Specification
 from pebblepass.scale.plan import OUTAGE_S, SETTINGS, Plan, PlanError
-from pebblepass.standins.listening import Line
-from pebblepass.standins.ports import take_port
-from pebblepass.standins.registry import RegistryAgent
-from pebblepass.standins.witness import Nobody
-from pebblepass.trials.relay import LOOPBACK, Relays
 
 FLEET = "scale"
 WATCH_S = 0.5
--- a/pebblepass/rehearsal/bound.py
+++ b/pebblepass/simulation/bound.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from pebblepass.rehearsal.plan import Ask, Plan, Streams
+from pebblepass.simulation.plan import Ask, Plan, Streams
 
 NEVER = float("inf")
 
--- a/pebblepass/rehearsal/count.py
+++ b/pebblepass/simulation/count.py
@@ -7,7 +7,7 @@
 from math import fsum
 from typing import Any
 
-from pebblepass.rehearsal.plan import Ask, Plan
+from pebblepass.simulation.plan import Ask, Plan
 
 WORST_S = 10
 WHOLE, WORST_WINDOW, WORST_CLASS, WORST_NAMESPACE = 0.55, 0.15, 0.05, 0.25
--- a/pebblepass/rehearsal/deadlines.py
+++ b/pebblepass/simulation/deadlines.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from pebblepass.standins.advertised import AdvertisedTimeout
+from pebblepass.emulators.advertised import AdvertisedTimeout
 
 US_PER_S, US_PER_MS = 1_000_000, 1000
 
--- a/pebblepass/rehearsal/front.py
+++ b/pebblepass/simulation/front.py
@@ -4,11 +4,11 @@
 
 import asyncio
 
-from pebblepass.rehearsal.count import Count
-from pebblepass.rehearsal.plan import Ask, Plan
-from pebblepass.rehearsal.recovery import Recorder
-from pebblepass.rehearsal.referee import ANSWER_GRACE_S, TIME_SLACK_S, Referee
-from pebblepass.standins.clients import Answer, ClientPool, Request
+from pebblepass.emulators.clients import Answer, ClientPool, Request
+from pebblepass.simulation.count import Count
+from pebblepass.simulation.plan import Ask, Plan
+from pebblepass.simulation.recovery import Recorder
+from pebblepass.simulation.referee import ANSWER_GRACE_S, TIME_SLACK_S, Referee
 from pebblepass.wire.address import Address
 
 LISTEN_S = TIME_SLACK_S + ANSWER_GRACE_S + 0.01  # beyond its time a client listens, to see the rule kept
--- a/pebblepass/rehearsal/plan.py
+++ b/pebblepass/simulation/plan.py
@@ -13,7 +13,7 @@
 from itertools import accumulate
 from math import exp, fsum, pi, sin
 
-from pebblepass.rehearsal.scenario import Fault, Range, RequestClass, Scenario, Trouble
+from pebblepass.simulation.scenario import Fault, Range, RequestClass, Scenario, Trouble
 
 BURST_KEY = "pkg/released-today/1.0.0"
 STORE_ID = "store"
--- a/pebblepass/rehearsal/reconcile.py
+++ b/pebblepass/simulation/reconcile.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from pebblepass.rehearsal.count import Count
+from pebblepass.simulation.count import Count
 
 KEYS = ("taken", "served", "refused", "failed", "gone", "open")
 
--- a/pebblepass/rehearsal/recovery.py
+++ b/pebblepass/simulation/recovery.py
@@ -14,10 +14,10 @@
 
 import msgspec
 
-from pebblepass.rehearsal.bound import Clairvoyant
-from pebblepass.rehearsal.count import Count
-from pebblepass.rehearsal.plan import Ask, Plan
-from pebblepass.rehearsal.scenario import Scenario
+from pebblepass.simulation.bound import Clairvoyant
+from pebblepass.simulation.count import Count
+from pebblepass.simulation.plan import Ask, Plan
+from pebblepass.simulation.scenario import Scenario
 
 SMOOTH_S = 5  # service of one second is mostly chance
 SHARE = 0.95  # of the calm twin's service, from which on it counts as back
--- a/pebblepass/rehearsal/referee.py
+++ b/pebblepass/simulation/referee.py
@@ -10,9 +10,9 @@
 from enum import Enum
 from hashlib import sha256
 
-from pebblepass.rehearsal.deadlines import US_PER_MS, US_PER_S, DeadlineCount, excess_us
-from pebblepass.standins.advertised import AdvertisedTimeout
-from pebblepass.standins.effects import Doubled
+from pebblepass.emulators.advertised import AdvertisedTimeout
+from pebblepass.emulators.effects import Doubled
+from pebblepass.simulation.deadlines import US_PER_MS, US_PER_S, DeadlineCount, excess_us
 
 DRAIN_GRACE_S = 0.5
 TIME_SLACK_S = 0.05  # each time limit is 50 ms longer on sockets
--- a/pebblepass/rehearsal/report.py
+++ b/pebblepass/simulation/report.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from pebblepass.rehearsal.count import OUTCOMES, Count
-from pebblepass.rehearsal.plan import Plan
-from pebblepass.rehearsal.reconcile import differences
-from pebblepass.rehearsal.referee import Referee, Rule
-from pebblepass.rehearsal.world import World
+from pebblepass.simulation.count import OUTCOMES, Count
+from pebblepass.simulation.plan import Plan
+from pebblepass.simulation.reconcile import differences
+from pebblepass.simulation.referee import Referee, Rule
+from pebblepass.simulation.world import World
 
 DIGITS = 6
 MOST_BREACHES = 20  # that are told with their words; all are counted
--- a/pebblepass/rehearsal/routers.py
+++ b/pebblepass/simulation/routers.py
@@ -17,13 +17,13 @@
 
 import msgspec
 
+from pebblepass.accounting import snapshot
+from pebblepass.accounting.service import FiguresService
 from pebblepass.daemon.config import read_config
 from pebblepass.daemon.daemon import Daemon
-from pebblepass.figures import snapshot
-from pebblepass.figures.service import FiguresService
-from pebblepass.operator import FiguresSection, ManyKeysSection
-from pebblepass.rehearsal.clock import VirtualLoop
-from pebblepass.rehearsal.recovery import RouterState
+from pebblepass.operator_config import FiguresSection, ManyKeysSection
+from pebblepass.simulation.clock import VirtualLoop
+from pebblepass.simulation.recovery import RouterState
 from pebblepass.wire.address import Address
 
 WATCH_S = 0.25
--- a/pebblepass/rehearsal/runner.py
+++ b/pebblepass/simulation/runner.py
@@ -13,17 +13,17 @@
 
 from pebblepass.daemon.daemon import Daemon
 from pebblepass.daemon.loop import DaemonLoop
-from pebblepass.rehearsal.clock import VirtualLoop
-from pebblepass.rehearsal.count import Count
-from pebblepass.rehearsal.front import Front
-from pebblepass.rehearsal.plan import Happening, Plan, Streams
-from pebblepass.rehearsal.recovery import Recorder
-from pebblepass.rehearsal.referee import Referee
-from pebblepass.rehearsal.report import Series, build_report
-from pebblepass.rehearsal.routers import InProcessRouter, ProcessRouter, RouterPort
-from pebblepass.rehearsal.world import World, settings_facts
-from pebblepass.standins.listening import LOOPBACK, Silence, no_silence
-from pebblepass.standins.ports import take_port
+from pebblepass.emulators.listening import LOOPBACK, Silence, no_silence
+from pebblepass.emulators.ports import take_port
+from pebblepass.simulation.clock import VirtualLoop
+from pebblepass.simulation.count import Count
+from pebblepass.simulation.front import Front
+from pebblepass.simulation.plan import Happening, Plan, Streams
+from pebblepass.simulation.recovery import Recorder
+from pebblepass.simulation.referee import Referee
+from pebblepass.simulation.report import Series, build_report
+from pebblepass.simulation.routers import InProcessRouter, ProcessRouter, RouterPort
+from pebblepass.simulation.world import World, settings_facts
 from pebblepass.wire.address import Address
 
 READY_S = 10.0
--- a/pebblepass/rehearsal/scenario.py
+++ b/pebblepass/simulation/scenario.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Meta
 
-from pebblepass.operator import FileError, decode_toml, read_toml
+from pebblepass.operator_config import FileError, decode_toml, read_toml
 
 NodeFaultKind = Literal[
     "node-kill",
@@ -302,7 +302,7 @@
 
 def shipped() -> list[str]:
     """The names of the scenarios that come with the kit."""
-    folder = files("pebblepass.rehearsal").joinpath("scenarios")
+    folder = files("pebblepass.simulation").joinpath("scenarios")
     return sorted(
         entry.name.removesuffix(".toml") for entry in folder.iterdir() if entry.name.endswith(".toml")
     )
@@ -311,7 +311,7 @@
 def load_scenario(name: str) -> Scenario:
     """Load a shipped scenario by its name, or a file by its path; raises FileError in one plain line."""
     if name in shipped():
-        shipped_file = files("pebblepass.rehearsal").joinpath("scenarios").joinpath(f"{name}.toml")
+        shipped_file = files("pebblepass.simulation").joinpath("scenarios").joinpath(f"{name}.toml")
         return decode_toml(name, shipped_file.read_bytes(), Scenario)
     if "/" not in name and not name.endswith(".toml"):
         raise FileError(f"{name}: no such scenario; there are {', '.join(shipped())}, or name a file")
--- a/pebblepass/rehearsal/terminal.py
+++ b/pebblepass/simulation/terminal.py
@@ -11,13 +11,13 @@
 from rich.live import Live
 from rich.table import Table
 
-from pebblepass.rehearsal.bound import clairvoyant
-from pebblepass.rehearsal.count import OUTCOMES
-from pebblepass.rehearsal.page import deadline_line, recovery_rows
-from pebblepass.rehearsal.plan import Plan, make_plan
-from pebblepass.rehearsal.recovery import against, calm
-from pebblepass.rehearsal.report import Series, compare, verdict
-from pebblepass.rehearsal.runner import rehearse, rehearse_in_real_time
+from pebblepass.simulation.bound import clairvoyant
+from pebblepass.simulation.count import OUTCOMES
+from pebblepass.simulation.page import deadline_line, recovery_rows
+from pebblepass.simulation.plan import Plan, make_plan
+from pebblepass.simulation.recovery import against, calm
+from pebblepass.simulation.report import Series, compare, verdict
+from pebblepass.simulation.runner import rehearse, rehearse_in_real_time
 
 REFRESH_S = 0.1
 WIDTH = 120  # where the output goes to a file
--- a/pebblepass/rehearsal/world.py
+++ b/pebblepass/simulation/world.py
@@ -11,15 +11,15 @@
 from pebblepass.decisions.interface import Server as ListedServer
 from pebblepass.decisions.settings import read_settings
 from pebblepass.decisions.slot_table import SLOTS, SlotTable
-from pebblepass.rehearsal.plan import STORE_ID, Happening, NodeFacts, Plan, RouterFacts, Streams
-from pebblepass.rehearsal.recovery import Recorder
-from pebblepass.rehearsal.referee import Referee
-from pebblepass.standins.core import CoreFacts
-from pebblepass.standins.effects import Effects
-from pebblepass.standins.listening import Silence
-from pebblepass.standins.node import DRAIN_S, MirrorNode, NodeSetup, Works
-from pebblepass.standins.registry import RegistryAgent
-from pebblepass.standins.store import PackageStore, StoreSetup
+from pebblepass.emulators.core import CoreFacts
+from pebblepass.emulators.effects import Effects
+from pebblepass.emulators.listening import Silence
+from pebblepass.emulators.node import DRAIN_S, MirrorNode, NodeSetup, Works
+from pebblepass.emulators.registry import RegistryAgent
+from pebblepass.emulators.store import PackageStore, StoreSetup
+from pebblepass.simulation.plan import STORE_ID, Happening, NodeFacts, Plan, RouterFacts, Streams
+from pebblepass.simulation.recovery import Recorder
+from pebblepass.simulation.referee import Referee
 
 KIND, STORE_KIND = "std-1c", "origin"
 FALL_MULTIPLE, FALL_S = 4.0, 2.0
--- a/pebblepass/durable/log.py
+++ b/pebblepass/storage/log.py
@@ -5,8 +5,8 @@
 import errno
 import struct
 
-from pebblepass.durable.disk import Disk, replace_whole
-from pebblepass.durable.frames import DurableError, Head, frame, head_frame, read_head, scan
+from pebblepass.storage.disk import Disk, replace_whole
+from pebblepass.storage.frames import DurableError, Head, frame, head_frame, read_head, scan
 
 COMPACT_BYTES = 64 << 10  # of records since the last summary: about a hundred changes
 
--- a/tests/figures/test_bounds.py
+++ b/tests/accounting/test_bounds.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from pebblepass.figures import commands
+from pebblepass.accounting import commands
 
 ROUTERS = 9 * commands.AT_ONCE
 
--- a/tests/figures/test_fleet.py
+++ b/tests/accounting/test_fleet.py
@@ -15,9 +15,9 @@
 import pytest
 from click.testing import CliRunner, Result
 
+from pebblepass.accounting.fleet import Cut, Line, add_up, as_html, over_time, read_cuts
 from pebblepass.cli import main
-from pebblepass.figures.fleet import Cut, Line, add_up, as_html, over_time, read_cuts
-from tests.figures.test_service import ROW
+from tests.accounting.test_service import ROW
 
 S = 1_000_000_000
 
--- a/tests/figures/test_ledger.py
+++ b/tests/accounting/test_ledger.py
@@ -9,7 +9,7 @@
 from hypothesis import settings, strategies
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from pebblepass.figures.ledger import (
+from pebblepass.accounting.ledger import (
     MOST_BREACHES,
     OTHER,
     REMEMBERED,
--- a/tests/figures/test_rehearsed.py
+++ b/tests/accounting/test_rehearsed.py
@@ -7,15 +7,15 @@
 import msgspec
 import pytest
 
+from pebblepass.accounting import service
+from pebblepass.accounting.ledger import Breach, BreachKind, Ledger
 from pebblepass.daemon.attempts import OpenRequest
 from pebblepass.daemon.daemon import Daemon
 from pebblepass.daemon.router import RouterHost
-from pebblepass.figures import service
-from pebblepass.figures.ledger import Breach, BreachKind, Ledger
-from pebblepass.rehearsal.plan import make_plan
-from pebblepass.rehearsal.report import verdict
-from pebblepass.rehearsal.runner import rehearse
-from pebblepass.rehearsal.scenario import Fault, Fleet, Range, Scenario, Traffic, Trouble
+from pebblepass.simulation.plan import make_plan
+from pebblepass.simulation.report import verdict
+from pebblepass.simulation.runner import rehearse
+from pebblepass.simulation.scenario import Fault, Fleet, Range, Scenario, Traffic, Trouble
 
 LEAVING = Scenario(
     title="clients killed at random",
--- a/tests/figures/test_router_figures.py
+++ b/tests/accounting/test_router_figures.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from pebblepass.standins.ports import take_port
+from pebblepass.emulators.ports import take_port
 from tests.sockets import MISS, Peer, Routed, eventually, get, hit, http_answer, reset, routed
 
 LONG = 200_000
--- a/tests/figures/test_service.py
+++ b/tests/accounting/test_service.py
@@ -14,14 +14,14 @@
 import pytest
 from prometheus_client.openmetrics.parser import text_string_to_metric_families
 
-from pebblepass.figures.ledger import OTHER
-from pebblepass.figures.listener import MOST_CONNECTIONS, MOST_HEAD
-from pebblepass.figures.service import AUDIT_S, SLACK_NS, FiguresService
-from pebblepass.figures.snapshot import SnapshotError, decode, encode
-from pebblepass.figures.webhook import MOST_WAITING
-from pebblepass.operator import FiguresSection
-from pebblepass.rehearsal.clock import VirtualLoop
-from pebblepass.standins.ports import take_port
+from pebblepass.accounting.ledger import OTHER
+from pebblepass.accounting.listener import MOST_CONNECTIONS, MOST_HEAD
+from pebblepass.accounting.service import AUDIT_S, SLACK_NS, FiguresService
+from pebblepass.accounting.snapshot import SnapshotError, decode, encode
+from pebblepass.accounting.webhook import MOST_WAITING
+from pebblepass.emulators.ports import take_port
+from pebblepass.operator_config import FiguresSection
+from pebblepass.simulation.clock import VirtualLoop
 from tests.decisions.cases import MS, settings
 from tests.virtual import played
 
@@ -431,7 +431,7 @@
         under_way.set()
         assert go_on.wait(60)
 
-    monkeypatch.setattr("pebblepass.figures.snapshot.write", hang)
+    monkeypatch.setattr("pebblepass.accounting.snapshot.write", hang)
 
     async def work() -> None:
         loop = asyncio.get_running_loop()
--- a/tests/admission/test_descriptors.py
+++ b/tests/connection_limits/test_descriptors.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from pebblepass.admission.descriptors import (
+from pebblepass.accounting.listener import MOST_CONNECTIONS
+from pebblepass.connection_limits.descriptors import (
     BARE,
     CONTROL,
     REFUSERS,
@@ -19,7 +20,6 @@
     split,
 )
 from pebblepass.control.operations import CALLERS
-from pebblepass.figures.listener import MOST_CONNECTIONS
 from pebblepass.handover.states import Shares
 from pebblepass.peers.links import STRANGERS
 
--- a/tests/admission/test_places.py
+++ b/tests/connection_limits/test_places.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import given, strategies
 
-from pebblepass.admission.places import KEPT_S, MIDWAY_S, NEW_S, Standing, makes_room
+from pebblepass.connection_limits.places import KEPT_S, MIDWAY_S, NEW_S, Standing, makes_room
 
 BETWEEN, MIDWAY, NEW, BUSY = Standing.BETWEEN, Standing.MIDWAY, Standing.NEW, Standing.BUSY
 
--- a/tests/agreement/test_member.py
+++ b/tests/consensus/test_member.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from pebblepass.agreement import messages as m
-from pebblepass.agreement.leases import Granter, Holder, Terms
-from pebblepass.agreement.member import Action, Conclude, InForce, Member, Send, Setup, Write, genesis
-from pebblepass.agreement.policy import Policy, StorePolicy
-from pebblepass.durable.frames import Head
-from pebblepass.durable.log import COMPACT_BYTES, Log
-from pebblepass.trials.disk import PowerDisk
+from pebblepass.consensus import messages as m
+from pebblepass.consensus.leases import Granter, Holder, Terms
+from pebblepass.consensus.member import Action, Conclude, InForce, Member, Send, Setup, Write, genesis
+from pebblepass.consensus.policy import Policy, StorePolicy
+from pebblepass.fault_injection.disk import PowerDisk
+from pebblepass.storage.frames import Head
+from pebblepass.storage.log import COMPACT_BYTES, Log
 
 SECOND = 1_000_000_000
 TERMS = Terms(SECOND, 0.1)
--- a/tests/agreement/test_policy.py
+++ b/tests/consensus/test_policy.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pebblepass.agreement.policy import Ground, Policy, PolicyError, difference, held, read_policy
+from pebblepass.consensus.policy import Ground, Policy, PolicyError, difference, held, read_policy
 from pebblepass.decisions import RequestClass, Settings, Tenant
 
 SETTINGS = Settings(
--- a/tests/agreement/test_shares.py
+++ b/tests/consensus/test_shares.py
@@ -10,10 +10,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from pebblepass.agreement import messages as m
-from pebblepass.agreement.leases import Terms
-from pebblepass.agreement.policy import Ground, NamespacePolicy, Policy, StorePolicy, read_policy
-from pebblepass.agreement.shares import Allocator, Demand, Pool, ShareHolder, allocate
+from pebblepass.consensus import messages as m
+from pebblepass.consensus.leases import Terms
+from pebblepass.consensus.policy import Ground, NamespacePolicy, Policy, StorePolicy, read_policy
+from pebblepass.consensus.shares import Allocator, Demand, Pool, ShareHolder, allocate
 from pebblepass.decisions.interface import RequestClass, Settings, Tenant
 
 SECOND = 1_000_000_000
--- a/tests/control/test_bounds.py
+++ b/tests/control/test_bounds.py
@@ -4,11 +4,11 @@
 
 import asyncio
 
-from pebblepass.agreement.policy import read_policy
+from pebblepass.consensus.policy import read_policy
 from pebblepass.control.operations import BOUNDS, MOST_POLICY, ControlAddress, Told
 from pebblepass.control.shell import Page
-from pebblepass.rehearsal.clock import VirtualLoop
-from pebblepass.standins.ports import take_port
+from pebblepass.emulators.ports import take_port
+from pebblepass.simulation.clock import VirtualLoop
 from tests.virtual import played
 
 ROUTERS = 1100
--- a/tests/control/test_operations.py
+++ b/tests/control/test_operations.py
@@ -9,8 +9,8 @@
 
 from pebblepass.control.counters import Counters
 from pebblepass.control.operations import BOUNDS, ControlAddress, Told
-from pebblepass.rehearsal.clock import VirtualLoop
-from pebblepass.standins.ports import take_port
+from pebblepass.emulators.ports import take_port
+from pebblepass.simulation.clock import VirtualLoop
 from tests.virtual import played
 
 Address = tuple[str, int]
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -14,8 +14,8 @@
 from pebblepass.daemon.config import read_config
 from pebblepass.daemon.daemon import Daemon
 from pebblepass.decisions import ListKind, Server, ServersChanged, ServerState
-from pebblepass.membership.registry import Listing
-from pebblepass.rehearsal.clock import VirtualLoop
+from pebblepass.discovery.registry import Listing
+from pebblepass.simulation.clock import VirtualLoop
 from pebblepass.wire.address import Address
 from tests.sockets import FACTS, MISS, bulk, hit, http_answer
 
--- a/tests/daemon/test_deadline_propagation.py
+++ b/tests/daemon/test_deadline_propagation.py
@@ -13,7 +13,7 @@
 from pebblepass.daemon.deadline_propagation import NS_PER_MS, SHORTEST_TIMEOUT_MS, remaining_ms
 from pebblepass.wire.resp import with_timeout
 from tests.crossings import Advertised, Bed, ClientLine, PeerLine, crossing
-from tests.manykeys.site import Site, on_site
+from tests.multi_get.site import Site, on_site
 from tests.sockets import FACTS, MISS, bulk, http_answer
 
 CLIENT_TIMEOUT_MS = 2000
--- a/tests/daemon/test_deadlines.py
+++ b/tests/daemon/test_deadlines.py
@@ -11,7 +11,7 @@
 
 from pebblepass.daemon.deadlines import ROUNDED_S, STEP_NS, Deadlines
 from pebblepass.daemon.loop import DaemonLoop
-from pebblepass.rehearsal.clock import VirtualLoop
+from pebblepass.simulation.clock import VirtualLoop
 from tests.virtual import played
 
 MS = 1_000_000
--- a/tests/daemon/test_descriptors.py
+++ b/tests/daemon/test_descriptors.py
@@ -19,10 +19,10 @@
 
 import pytest
 
-from pebblepass.admission.descriptors import NEWCOMERS
+from pebblepass.connection_limits.descriptors import NEWCOMERS
 from pebblepass.daemon.clients import ClientServer, Reply
 from pebblepass.daemon.loop import DaemonLoop
-from pebblepass.standins.ports import take_port
+from pebblepass.emulators.ports import take_port
 from pebblepass.wire.resp import Command
 from tests.daemon.test_clients import NeverPolled, until
 from tests.daemon.test_operations import figures
--- a/tests/daemon/test_ends.py
+++ b/tests/daemon/test_ends.py
@@ -13,7 +13,7 @@
 from pebblepass.daemon import attempts, clients
 from pebblepass.daemon.clients import IDLE_TIMEOUT_S, MAX_PIPELINE, SWEEP_INTERVAL_S
 from pebblepass.daemon.daemon import ACCEPT_S, ANSWER_SLACK_S, KILL_SLACK_S, MIDWAY_S
-from pebblepass.rehearsal.clock import CountedSocket
+from pebblepass.simulation.clock import CountedSocket
 from tests.crossings import ADDRESS, LONG_DIALS, Bed, ClientLine, PeerLine, asked, crossing
 from tests.sockets import http_answer
 
--- a/tests/daemon/test_gone.py
+++ b/tests/daemon/test_gone.py
@@ -16,11 +16,11 @@
 import pytest
 
 from pebblepass.daemon.clients import MAX_PIPELINE, ClientConnection
-from pebblepass.daemon.many_keys.batches import PartExchange
+from pebblepass.daemon.multi_get.batches import PartExchange
 from pebblepass.daemon.upstream import REST_S
 from pebblepass.decisions import Send
 from tests.crossings import ADDRESS, LONG_DIALS, Bed, ClientLine, PeerLine, asked, crossing
-from tests.manykeys.site import Site, on_site
+from tests.multi_get.site import Site, on_site
 from tests.sockets import bulk, http_answer
 
 GONE_S = 0.1  # after which nothing begins for a client that has gone
--- a/tests/daemon/test_lag.py
+++ b/tests/daemon/test_lag.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from pebblepass.daemon.lag import HEARTBEAT_NS, PEAK_WINDOW_NS, LoopLag, after_news
-from pebblepass.rehearsal.clock import VirtualLoop
+from pebblepass.simulation.clock import VirtualLoop
 from tests.virtual import played
 
 HOST = "127.0.0.1"
--- a/tests/daemon/test_large_fleet.py
+++ b/tests/daemon/test_large_fleet.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from pebblepass.standins.ports import take_port
+from pebblepass.emulators.ports import take_port
 from tests.daemon.test_operations import figures
 from tests.daemon.test_upgrade import site
 from tests.sockets import (
--- a/tests/daemon/test_operations.py
+++ b/tests/daemon/test_operations.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from pebblepass.standins.ports import take_port
+from pebblepass.emulators.ports import take_port
 from tests.sockets import (
     FACTS,
     MISS,
--- a/tests/daemon/test_ready.py
+++ b/tests/daemon/test_ready.py
@@ -6,14 +6,15 @@
 import json
 import subprocess
 import sys
+from importlib.util import find_spec
 from typing import Any, cast
 
 import pytest
 
 from pebblepass.daemon.config import read_config
 from pebblepass.daemon.daemon import MOST_SETTLING_S, READY_S, Daemon
-from pebblepass.rehearsal.clock import VirtualLoop
-from pebblepass.standins.ports import take_port
+from pebblepass.emulators.ports import take_port
+from pebblepass.simulation.clock import VirtualLoop
 from tests.sockets import FACTS, ROOT
 from tests.virtual import played
 
@@ -98,16 +99,17 @@
 def test_a_start_loads_nothing_that_only_the_operators_file_asks_for() -> None:
     """Imports are most of a start's CPU, and on a part of a core that is the time until it is ready."""
     beside = (
-        "agreement",
-        "figures",
+        "consensus",
+        "accounting",
         "handover",
-        "manykeys",
-        "daemon.many_keys",
-        "operator",
+        "multi_get",
+        "daemon.multi_get",
+        "operator_config",
         "peers",
-        "standins",
-        "rehearsal",
+        "emulators",
+        "simulation",
     )
+    assert [name for name in beside if find_spec(f"pebblepass.{name}") is None] == []  # no stale name
     libraries = ("click", "rich", "numpy", "matplotlib", "sqlite3", "hypothesis")
     listed = "import sys, pebblepass.daemon.__main__; print(*sys.modules)"
     told = subprocess.run(
--- a/tests/daemon/test_rolling_restart.py
+++ b/tests/daemon/test_rolling_restart.py
@@ -22,7 +22,7 @@
 from pebblepass.daemon.clients import ClientConnection
 from pebblepass.daemon.config import read_config
 from pebblepass.daemon.daemon import Daemon
-from pebblepass.rehearsal.clock import CountedSocket
+from pebblepass.simulation.clock import CountedSocket
 from tests.crossings import ADDRESS, Bed, ClientLine, GatedLoop, Peer, PeerLine, asked
 from tests.sockets import FACTS
 
--- a/tests/daemon/test_settling.py
+++ b/tests/daemon/test_settling.py
@@ -9,7 +9,7 @@
 
 from pebblepass.daemon.config import read_config
 from pebblepass.daemon.daemon import MOST_SETTLING_S, Daemon, settling
-from pebblepass.rehearsal.clock import VirtualLoop
+from pebblepass.simulation.clock import VirtualLoop
 from tests.sockets import FACTS
 from tests.virtual import played
 
--- a/tests/daemon/test_standing_terms.py
+++ b/tests/daemon/test_standing_terms.py
@@ -17,13 +17,13 @@
 from pebblepass.daemon.daemon import Daemon
 from pebblepass.daemon.router import RouterHost
 from pebblepass.decisions.interface import NS_PER_S
-from pebblepass.rehearsal import runner
-from pebblepass.rehearsal.count import Count
-from pebblepass.rehearsal.plan import Ask, make_plan
-from pebblepass.rehearsal.referee import TIME_SLACK_S, Referee
-from pebblepass.rehearsal.report import verdict
-from pebblepass.rehearsal.scenario import Fault, Fleet, Range, RequestClass, Scenario, Traffic, Trouble
-from pebblepass.standins.ports import take_port
+from pebblepass.emulators.ports import take_port
+from pebblepass.simulation import runner
+from pebblepass.simulation.count import Count
+from pebblepass.simulation.plan import Ask, make_plan
+from pebblepass.simulation.referee import TIME_SLACK_S, Referee
+from pebblepass.simulation.report import verdict
+from pebblepass.simulation.scenario import Fault, Fleet, Range, RequestClass, Scenario, Traffic, Trouble
 from pebblepass.wire.resp import Command
 from tests.sockets import FACTS, PATIENCE_S, DiscoveryPeer, eventually, is_ready, start_router
 
--- a/tests/daemon/test_unread_age.py
+++ b/tests/daemon/test_unread_age.py
@@ -18,7 +18,7 @@
 from pebblepass.wire.resp import Command
 from tests.crossings import ADDRESS, Advertised, Bed, asked, crossing
 from tests.daemon.test_deadline_propagation import advertised_to, advertised_too_much
-from tests.manykeys.site import Site, on_site
+from tests.multi_get.site import Site, on_site
 from tests.sockets import bulk
 
 HOLD_UP_S = 0.3
--- a/tests/daemon/test_upgrade.py
+++ b/tests/daemon/test_upgrade.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from pebblepass.standins.ports import take_port
+from pebblepass.emulators.ports import take_port
 from tests.daemon.test_operations import control, figures
 from tests.sockets import (
     FACTS,
--- a/tests/daemon/test_upstream.py
+++ b/tests/daemon/test_upstream.py
@@ -12,8 +12,8 @@
 from pebblepass.daemon.origin import OriginConnection
 from pebblepass.daemon.upstream import PER_SERVER, Answer, Exchange, Pool, ValueSource
 from pebblepass.decisions import Outcome
-from pebblepass.rehearsal.clock import VirtualLoop
-from pebblepass.standins.ports import take_port
+from pebblepass.emulators.ports import take_port
+from pebblepass.simulation.clock import VirtualLoop
 from pebblepass.wire import http, resp
 from pebblepass.wire.address import Address
 from tests.sockets import MISS, PATIENCE_S, hit, http_answer
--- a/tests/membership/test_bounds.py
+++ b/tests/discovery/test_bounds.py
@@ -4,7 +4,7 @@
 
 import json
 
-from pebblepass.membership.registry import MAX_BODY, Clock, read_listing
+from pebblepass.discovery.registry import MAX_BODY, Clock, read_listing
 
 SERVERS = 1100
 
--- a/tests/membership/test_discovery_faults.py
+++ b/tests/discovery/test_discovery_faults.py
@@ -21,8 +21,8 @@
     Subscribe,
     TimerFired,
 )
-from pebblepass.membership.registry import Clock, Discovery, Listing
-from pebblepass.rehearsal.clock import VirtualLoop
+from pebblepass.discovery.registry import Clock, Discovery, Listing
+from pebblepass.simulation.clock import VirtualLoop
 from tests.decisions.cases import S, settings
 from tests.virtual import played
 
--- a/tests/membership/test_late_silence.py
+++ b/tests/discovery/test_late_silence.py
@@ -31,13 +31,13 @@
     TimerFired,
 )
 from pebblepass.decisions.slot_table import SlotTable
-from pebblepass.membership.pace import Call, Pace
-from pebblepass.membership.registry import Clock, Discovery, Listing
-from pebblepass.rehearsal.clock import VirtualLoop
+from pebblepass.discovery.pace import Call, Pace
+from pebblepass.discovery.registry import Clock, Discovery, Listing
+from pebblepass.simulation.clock import VirtualLoop
 from tests.crossings import GatedLoop
 from tests.decisions.cases import S, ended, request, settings
-from tests.membership.test_discovery_faults import entry
-from tests.membership.test_watches import AFTER_WAIT_S, GRACE_S, SILENCE_S, Agent
+from tests.discovery.test_discovery_faults import entry
+from tests.discovery.test_watches import AFTER_WAIT_S, GRACE_S, SILENCE_S, Agent
 
 ROUTERS, SERVERS = 6, 16
 SILENT_AT_S = 13.0
@@ -209,7 +209,7 @@
 def test_a_router_that_takes_a_silence_for_quiet_is_caught(
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("pebblepass.membership.registry.Pace", SlowToGiveUp)
+    monkeypatch.setattr("pebblepass.discovery.registry.Pace", SlowToGiveUp)
     assert any(each.late for each in days(kind, 11.0))
 
 
--- a/tests/membership/test_pace.py
+++ b/tests/discovery/test_pace.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from pebblepass.membership.pace import ASKED, PUSHED, SOON_S, Call, Pace, Times
+from pebblepass.discovery.pace import ASKED, PUSHED, SOON_S, Call, Pace, Times
 
 
 def pace(times: Times, seed: int = 1) -> Pace:
--- a/tests/membership/test_told.py
+++ b/tests/discovery/test_told.py
@@ -16,12 +16,12 @@
 
 import pytest
 
-from pebblepass.membership.pace import Pace
-from pebblepass.membership.registry import Listing
+from pebblepass.discovery.pace import Pace
+from pebblepass.discovery.registry import Listing
 from pebblepass.wire.address import Address
 from tests.crossings import GatedLoop
-from tests.membership.test_discovery_faults import Follower
-from tests.membership.test_watches import (
+from tests.discovery.test_discovery_faults import Follower
+from tests.discovery.test_watches import (
     AFTER_WAIT_S,
     GRACE_S,
     RELOADED_S,
@@ -405,7 +405,7 @@
 def test_a_pace_that_is_broken_is_caught(
     broken: type[Pace], course: Course, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("pebblepass.membership.registry.Pace", broken)
+    monkeypatch.setattr("pebblepass.discovery.registry.Pace", broken)
     at, told = latest("asked", course)
     assert at > told + GRACE_S
 
--- a/tests/membership/test_watches.py
+++ b/tests/discovery/test_watches.py
@@ -11,11 +11,11 @@
 import pytest
 
 from pebblepass.decisions import ListKind, ServerState
-from pebblepass.membership.pace import ASKED, PUSHED
-from pebblepass.membership.registry import Clock, Discovery, Listing
-from pebblepass.rehearsal.clock import VirtualLoop
+from pebblepass.discovery.pace import ASKED, PUSHED
+from pebblepass.discovery.registry import Clock, Discovery, Listing
+from pebblepass.simulation.clock import VirtualLoop
 from tests.crossings import Bed, GatedLoop, crossing
-from tests.membership.test_discovery_faults import Follower, entry
+from tests.discovery.test_discovery_faults import Follower, entry
 
 SILENCE_S = 6.0  # after which what a silent watch misses counts as told
 AFTER_WAIT_S = 2.0  # or so long after its call's wait is over, if that is later
--- a/tests/standins/test_advertised.py
+++ b/tests/emulators/test_advertised.py
@@ -9,13 +9,13 @@
 
 import pytest
 
-from pebblepass.rehearsal.clock import START_S, VirtualLoop
-from pebblepass.standins.advertised import AdvertisedTimeout, read_advertised_timeout
-from pebblepass.standins.core import CoreFacts
-from pebblepass.standins.effects import Effects
-from pebblepass.standins.node import MirrorNode, NodeSetup, Works
-from pebblepass.standins.store import PackageStore, StoreSetup
-from pebblepass.standins.witness import Nobody
+from pebblepass.emulators.advertised import AdvertisedTimeout, read_advertised_timeout
+from pebblepass.emulators.core import CoreFacts
+from pebblepass.emulators.effects import Effects
+from pebblepass.emulators.node import MirrorNode, NodeSetup, Works
+from pebblepass.emulators.store import PackageStore, StoreSetup
+from pebblepass.emulators.witness import Nobody
+from pebblepass.simulation.clock import START_S, VirtualLoop
 from pebblepass.wire import http
 from pebblepass.wire.address import Address
 from pebblepass.wire.resp import command
--- a/tests/standins/test_core.py
+++ b/tests/emulators/test_core.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from pebblepass.standins.core import ColdBudget, Core, CoreFacts
+from pebblepass.emulators.core import ColdBudget, Core, CoreFacts
 
 PLAIN = CoreFacts(speed=1.0, slots=2, queue=2)
 
--- a/tests/standins/test_effects.py
+++ b/tests/emulators/test_effects.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pebblepass.standins.effects import Doubled, Effects
+from pebblepass.emulators.effects import Doubled, Effects
 
 
 def register() -> tuple[Effects, list[Doubled]]:
--- a/tests/trials/site.py
+++ b/tests/fault_injection/site.py
@@ -16,11 +16,11 @@
 
 import msgspec
 
-from pebblepass.agreement.commands import NoAnswerError, ask
-from pebblepass.standins.ports import take_port
-from pebblepass.trials.checkers import check_all
-from pebblepass.trials.history import Event, read_history
-from pebblepass.trials.relay import Relays
+from pebblepass.consensus.commands import NoAnswerError, ask
+from pebblepass.emulators.ports import take_port
+from pebblepass.fault_injection.checkers import check_all
+from pebblepass.fault_injection.history import Event, read_history
+from pebblepass.fault_injection.relay import Relays
 from tests.sockets import (
     FACTS,
     MISS,
@@ -101,7 +101,7 @@
             self.elders.append(self.processes[name])
         with self.logs[name].open("ab") as log:
             self.processes[name] = subprocess.Popen(
-                [sys.executable, "-m", "pebblepass.trials.router"],
+                [sys.executable, "-m", "pebblepass.fault_injection.router"],
                 cwd=ROOT,
                 env={
                     **os.environ,
--- a/tests/trials/test_commands.py
+++ b/tests/fault_injection/test_commands.py
@@ -8,7 +8,7 @@
 from click.testing import CliRunner
 
 from pebblepass.cli import main
-from pebblepass.trials.history import read_history
+from pebblepass.fault_injection.history import read_history
 
 
 def test_a_sound_program_holds_and_a_broken_one_is_shrunk_and_shown(tmp_path: Path) -> None:
--- a/tests/trials/test_explore.py
+++ b/tests/fault_injection/test_explore.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from pebblepass.trials.broken import SOUND, VARIANTS
-from pebblepass.trials.explore import Bounds, explore
+from pebblepass.fault_injection.broken import SOUND, VARIANTS
+from pebblepass.fault_injection.explore import Bounds, explore
 
 
 def test_one_change_among_three_and_a_loss_hold_as_far_as_they_are_looked_at() -> None:
--- a/tests/trials/test_processes.py
+++ b/tests/fault_injection/test_processes.py
@@ -15,9 +15,9 @@
 
 from prometheus_client.openmetrics.parser import text_string_to_metric_families
 
-from pebblepass.standins.ports import take_port
-from pebblepass.trials.checkers import check_all
-from tests.trials.site import LEASE_MS, Site, fleet
+from pebblepass.emulators.ports import take_port
+from pebblepass.fault_injection.checkers import check_all
+from tests.fault_injection.site import LEASE_MS, Site, fleet
 
 
 def rate(number: int) -> str:
--- a/tests/trials/test_relay.py
+++ b/tests/fault_injection/test_relay.py
@@ -5,7 +5,7 @@
 import socket
 import time
 
-from pebblepass.trials.relay import LOOPBACK, Relays
+from pebblepass.fault_injection.relay import LOOPBACK, Relays
 
 DELAY_S = 0.2
 
--- a/tests/trials/test_schedules.py
+++ b/tests/fault_injection/test_schedules.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from pebblepass.agreement.member import Member
-from pebblepass.agreement.shares import Allocator, Rows
-from pebblepass.trials.broken import SOUND, VARIANTS, Variant
-from pebblepass.trials.checkers import (
+from pebblepass.consensus.member import Member
+from pebblepass.consensus.shares import Allocator, Rows
+from pebblepass.fault_injection.broken import SOUND, VARIANTS, Variant
+from pebblepass.fault_injection.checkers import (
     check_all,
     everywhere_or_nowhere,
     in_order,
@@ -18,9 +18,9 @@
     promises_kept,
     within_the_quota,
 )
-from pebblepass.trials.history import Event, read_history, write_history
-from pebblepass.trials.scenarios import SCENARIOS
-from pebblepass.trials.schedule import play
+from pebblepass.fault_injection.history import Event, read_history, write_history
+from pebblepass.fault_injection.scenarios import SCENARIOS
+from pebblepass.fault_injection.schedule import play
 
 SEEDS = 12  # of each schedule, in CI; ten thousand by `pebblepass trial simulate`
 CATCHES = {
--- a/tests/trials/test_trial_deadlines.py
+++ b/tests/fault_injection/test_trial_deadlines.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from pebblepass.trials.checkers import check_all
-from pebblepass.trials.history import Event
-from tests.trials.site import fleet
+from pebblepass.fault_injection.checkers import check_all
+from pebblepass.fault_injection.history import Event
+from tests.fault_injection.site import fleet
 
 LIMIT_S = 20
 LEFT_NS = 500_000_000
--- a/tests/handover/test_bounds.py
+++ b/tests/handover/test_bounds.py
@@ -7,6 +7,7 @@
 import socket
 
 from pebblepass.decisions import Knowledge, NodeKnown, Server, ServerState, StoreKnown
+from pebblepass.discovery.registry import Clock, read_listing, write_listing
 from pebblepass.handover.channel import Channel
 from pebblepass.handover.messages import (
     MOST_TOLD,
@@ -17,7 +18,6 @@
     read_account,
     write_account,
 )
-from pebblepass.membership.registry import Clock, read_listing, write_listing
 
 SERVERS = 1100
 S = 10**9
--- a/tests/manykeys/site.py
+++ b/tests/multi_get/site.py
@@ -11,16 +11,16 @@
 import hiredis
 import httptools
 
+from pebblepass.accounting.ledger import Breach, Ledger
 from pebblepass.daemon.config import read_config
 from pebblepass.daemon.daemon import Daemon
-from pebblepass.daemon.many_keys.reads import ManyReads
-from pebblepass.figures.ledger import Breach, Ledger
-from pebblepass.operator import ManyKeysSection
-from pebblepass.rehearsal.clock import VirtualLoop
-from pebblepass.standins.listening import LOOPBACK, Line, Place, Station
-from pebblepass.standins.ports import take_port
-from pebblepass.standins.registry import RegistryAgent
-from pebblepass.standins.witness import Nobody
+from pebblepass.daemon.multi_get.reads import ManyReads
+from pebblepass.emulators.listening import LOOPBACK, Line, Place, Station
+from pebblepass.emulators.ports import take_port
+from pebblepass.emulators.registry import RegistryAgent
+from pebblepass.emulators.witness import Nobody
+from pebblepass.operator_config import ManyKeysSection
+from pebblepass.simulation.clock import VirtualLoop
 from pebblepass.wire.resp import bulk, command
 from tests.crossings import Advertised, advertised_ms
 from tests.sockets import FACTS, http_answer
--- a/tests/manykeys/test_gathering.py
+++ b/tests/multi_get/test_gathering.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given, strategies
 
-from pebblepass.manykeys import Gathering, State
+from pebblepass.multi_get import Gathering, State
 
 VALUE = 1000
 
--- a/tests/manykeys/test_mixtures.py
+++ b/tests/multi_get/test_mixtures.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.manykeys.site import Fate, Site, marks, on_site
+from tests.multi_get.site import Fate, Site, marks, on_site
 
 SEEDS = 200
 NODES = ("ok", "ok", "ok", "ok", "slow0.05", "slow0.12", "miss", "once-error")
--- a/tests/manykeys/test_parts.py
+++ b/tests/multi_get/test_parts.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings, strategies
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from pebblepass.manykeys import Part, PartBounds, Parts
+from pebblepass.multi_get import Part, PartBounds, Parts
 
 MS = 1_000_000
 AIM = 300 * MS
--- a/tests/manykeys/test_reads.py
+++ b/tests/multi_get/test_reads.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from pebblepass.daemon.many_keys.reads import ManyReads
-from pebblepass.operator import ManyKeysSection
-from tests.manykeys.site import LONG, WAY_S, Fate, Site, marks, on_site, values, well
+from pebblepass.daemon.multi_get.reads import ManyReads
+from pebblepass.operator_config import ManyKeysSection
+from tests.multi_get.site import LONG, WAY_S, Fate, Site, marks, on_site, values, well
 
 KEYS = [f"pkg/{number}" for number in range(60)]
 
--- a/tests/manykeys/test_shares.py
+++ b/tests/multi_get/test_shares.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import given, strategies
 
-from pebblepass.manykeys import Gathering, HedgeBudget, ShareBounds, Shares
+from pebblepass.multi_get import Gathering, HedgeBudget, ShareBounds, Shares
 
 S = 1_000_000_000
 
--- a/tests/operator/test_operator.py
+++ b/tests/operator_config/test_operator.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from pebblepass.operator import FileError, Operator, decode_toml, describe, load_operator
+from pebblepass.operator_config import FileError, Operator, decode_toml, describe, load_operator
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 
--- a/tests/peers/test_bounds.py
+++ b/tests/peers/test_bounds.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from pebblepass.agreement.leases import Terms
-from pebblepass.agreement.member import Setup, genesis
-from pebblepass.agreement.service import AgreementService, Told
+from pebblepass.consensus.leases import Terms
+from pebblepass.consensus.member import Setup, genesis
+from pebblepass.consensus.service import AgreementService, Told
 from pebblepass.peers.links import STRANGERS, VERSION, Hello, Link, Links, framed
 
 ROUTERS = 1100
--- a/tests/peers/test_links.py
+++ b/tests/peers/test_links.py
@@ -11,7 +11,7 @@
 import pytest
 
 from pebblepass.peers.links import MOST_BYTES, VERSION, Hello, Links, framed
-from pebblepass.rehearsal.clock import VirtualLoop
+from pebblepass.simulation.clock import VirtualLoop
 from tests.virtual import played
 
 
--- a/tests/rehearsal/test_bound.py
+++ b/tests/simulation/test_bound.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from pebblepass.rehearsal.bound import BoundFacts, Clairvoyant, clairvoyant, facts_of
-from pebblepass.rehearsal.plan import Ask, make_plan
-from pebblepass.rehearsal.scenario import Fault, Range, Scenario, Store, Traffic, Trouble
+from pebblepass.simulation.bound import BoundFacts, Clairvoyant, clairvoyant, facts_of
+from pebblepass.simulation.plan import Ask, make_plan
+from pebblepass.simulation.scenario import Fault, Range, Scenario, Store, Traffic, Trouble
 
 FACTS = BoundFacts(memory=2, slots=1, work=1.0, kept=(), voids=(), downs=())
 AIM = 2.5
--- a/tests/rehearsal/test_clock.py
+++ b/tests/simulation/test_clock.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from pebblepass.rehearsal.clock import START_S, WINDOW, StalledError, VirtualLoop
+from pebblepass.simulation.clock import START_S, WINDOW, StalledError, VirtualLoop
 from tests.virtual import played
 
 HOST = "127.0.0.1"
--- a/tests/rehearsal/test_deadlines.py
+++ b/tests/simulation/test_deadlines.py
@@ -9,13 +9,13 @@
 
 from pebblepass.daemon import deadline_propagation
 from pebblepass.daemon.attempts import Attempt
-from pebblepass.daemon.many_keys.reading import ManyRead
-from pebblepass.rehearsal.page import as_page, deadline_line
-from pebblepass.rehearsal.plan import Plan, make_plan
-from pebblepass.rehearsal.referee import Rule
-from pebblepass.rehearsal.report import as_json, verdict
-from pebblepass.rehearsal.runner import rehearse
-from pebblepass.rehearsal.scenario import Fleet, Scenario, Sync, Traffic, Trouble, load_scenario
+from pebblepass.daemon.multi_get.reading import ManyRead
+from pebblepass.simulation.page import as_page, deadline_line
+from pebblepass.simulation.plan import Plan, make_plan
+from pebblepass.simulation.referee import Rule
+from pebblepass.simulation.report import as_json, verdict
+from pebblepass.simulation.runner import rehearse
+from pebblepass.simulation.scenario import Fleet, Scenario, Sync, Traffic, Trouble, load_scenario
 from pebblepass.wire.address import Address
 
 INVALIDATION = Trouble(kind="invalidation", at_s=2)
--- a/tests/rehearsal/test_index_sync.py
+++ b/tests/simulation/test_index_sync.py
@@ -7,11 +7,11 @@
 import msgspec
 import pytest
 
-from pebblepass.operator import FileError, decode_toml
-from pebblepass.rehearsal.plan import make_plan
-from pebblepass.rehearsal.report import verdict
-from pebblepass.rehearsal.runner import rehearse
-from pebblepass.rehearsal.scenario import Fault, Scenario, Sync, load_scenario
+from pebblepass.operator_config import FileError, decode_toml
+from pebblepass.simulation.plan import make_plan
+from pebblepass.simulation.report import verdict
+from pebblepass.simulation.runner import rehearse
+from pebblepass.simulation.scenario import Fault, Scenario, Sync, load_scenario
 
 SMALL = msgspec.structs.replace(
     load_scenario("index-sync"),
--- a/tests/rehearsal/test_plan.py
+++ b/tests/simulation/test_plan.py
@@ -9,9 +9,9 @@
 import msgspec
 import pytest
 
-from pebblepass.rehearsal.count import Count
-from pebblepass.rehearsal.plan import BURST_KEY, Plan, Streams, make_plan
-from pebblepass.rehearsal.scenario import Fault, Range, Scenario, Traffic, Trouble
+from pebblepass.simulation.count import Count
+from pebblepass.simulation.plan import BURST_KEY, Plan, Streams, make_plan
+from pebblepass.simulation.scenario import Fault, Range, Scenario, Traffic, Trouble
 
 CALM = Scenario(title="calm", length_s=30, traffic=Traffic(rate=100, swing=0))
 
--- a/tests/rehearsal/test_recovery.py
+++ b/tests/simulation/test_recovery.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from pebblepass.rehearsal.bound import clairvoyant
-from pebblepass.rehearsal.count import Count
-from pebblepass.rehearsal.page import as_page
-from pebblepass.rehearsal.plan import Plan, make_plan
-from pebblepass.rehearsal.recovery import Recorder, RouterState, against, calm, time_to_recover
-from pebblepass.rehearsal.runner import rehearse
-from pebblepass.rehearsal.scenario import Range, Scenario, Traffic, Trouble, load_scenario
+from pebblepass.simulation.bound import clairvoyant
+from pebblepass.simulation.count import Count
+from pebblepass.simulation.page import as_page
+from pebblepass.simulation.plan import Plan, make_plan
+from pebblepass.simulation.recovery import Recorder, RouterState, against, calm, time_to_recover
+from pebblepass.simulation.runner import rehearse
+from pebblepass.simulation.scenario import Range, Scenario, Traffic, Trouble, load_scenario
 
 SMALL = Scenario(
     title="void",
--- a/tests/rehearsal/test_referee.py
+++ b/tests/simulation/test_referee.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from pebblepass.rehearsal.deadlines import DeadlineCount
-from pebblepass.rehearsal.referee import Referee, Rule
-from pebblepass.standins.advertised import AdvertisedTimeout
-from pebblepass.standins.effects import Doubled
+from pebblepass.emulators.advertised import AdvertisedTimeout
+from pebblepass.emulators.effects import Doubled
+from pebblepass.simulation.deadlines import DeadlineCount
+from pebblepass.simulation.referee import Referee, Rule
 
 
 def referee() -> Referee:
--- a/tests/rehearsal/test_rehearsal.py
+++ b/tests/simulation/test_rehearsal.py
@@ -17,19 +17,20 @@
 import pytest
 from msgspec.structs import replace
 
+from pebblepass.accounting.ledger import Ledger
 from pebblepass.daemon.attempts import OpenRequest
 from pebblepass.daemon.clients import Reply
 from pebblepass.daemon.daemon import Daemon
 from pebblepass.daemon.router import RouterHost
 from pebblepass.decisions.interface import Send, ServerState
-from pebblepass.figures.ledger import Ledger
-from pebblepass.membership.registry import Listing
-from pebblepass.rehearsal import runner
-from pebblepass.rehearsal.count import OUTCOMES
-from pebblepass.rehearsal.plan import make_plan
-from pebblepass.rehearsal.report import as_json, compare, verdict
-from pebblepass.rehearsal.runner import RehearsalError, rehearse
-from pebblepass.rehearsal.scenario import (
+from pebblepass.discovery.registry import Listing
+from pebblepass.emulators.ports import BLOCK, FIRST, PortBlock
+from pebblepass.simulation import runner
+from pebblepass.simulation.count import OUTCOMES
+from pebblepass.simulation.plan import make_plan
+from pebblepass.simulation.report import as_json, compare, verdict
+from pebblepass.simulation.runner import RehearsalError, rehearse
+from pebblepass.simulation.scenario import (
     DEFAULT_CLASSES,
     Fault,
     Fleet,
@@ -42,7 +43,6 @@
     Trouble,
     load_scenario,
 )
-from pebblepass.standins.ports import BLOCK, FIRST, PortBlock
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 LIMIT_S = 120  # of real time, for one command on a busy machine
@@ -345,7 +345,7 @@
 
 def test_ports_of_two_processes_are_never_the_same() -> None:
     """Also while nobody listens at them, as between a router's end and its next start."""
-    words = "from pebblepass.standins import ports; print(ports.take_port(), flush=True); input()"
+    words = "from pebblepass.emulators import ports; print(ports.take_port(), flush=True); input()"
     command = [sys.executable, "-c", words]
     both = [
         subprocess.Popen(command, cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE) for _ in range(2)
--- a/tests/rehearsal/test_scenario.py
+++ b/tests/simulation/test_scenario.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from pebblepass.operator.checked import FileError
-from pebblepass.rehearsal.scenario import MOST_PROCESSES, Scenario, load_scenario
+from pebblepass.operator_config.checked import FileError
+from pebblepass.simulation.scenario import MOST_PROCESSES, Scenario, load_scenario
 
 
 def scenario_of(folder: Path, routers: int, nodes: int) -> Scenario:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from pebblepass.standins.ports import take_port
+from pebblepass.emulators.ports import take_port
 
 ROOT = Path(__file__).resolve().parent.parent
 
--- a/tests/durable/test_log.py
+++ b/tests/storage/test_log.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from pebblepass.durable.disk import Folder, replace_whole
-from pebblepass.durable.frames import SECTOR, DurableError, Head
-from pebblepass.durable.log import Log
-from pebblepass.trials.disk import PowerDisk
+from pebblepass.fault_injection.disk import PowerDisk
+from pebblepass.storage.disk import Folder, replace_whole
+from pebblepass.storage.frames import SECTOR, DurableError, Head
+from pebblepass.storage.log import Log
 
 HEAD = Head("test-log", 1, "fleet/r0")
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -18,9 +18,9 @@
     "click",
     "rich",
     "dataclasses",
-    "pebblepass.operator",
-    "pebblepass.rehearsal",
-    "pebblepass.standins",
+    "pebblepass.operator_config",
+    "pebblepass.simulation",
+    "pebblepass.emulators",
     "pebblepass.handover",
 )
 
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from pebblepass.rehearsal.clock import VirtualLoop
+from pebblepass.simulation.clock import VirtualLoop
 
 
 def played(work: Callable[[VirtualLoop], Awaitable[Any]]) -> Any:
