--- a/pebblepass/decisions/router.py
+++ b/pebblepass/decisions/router.py
@@ -703,6 +703,10 @@
                 for suppressor in self._suppressors.values():  # the origin is shared by all tenants
                     suppressor.decrease_limit(self._now)
         self._dequeue_fetches()
+        self._resume_writes(node)
+
+    def _resume_writes(self, node: Node) -> None:
+        """Send waiting writes, the newest first, while the origin takes more."""
         while self._waiting_writes and node.attempts_in_flight < self._write_limit:
             waiter = self._waiting_writes.pop()
             if waiter.waiting:
