--- /dev/null
+++ b/tests/compatibility/test_configuration_forms.py
@@ -0,0 +1,128 @@
+"""What a router is configured with: the operator's file, the platform's object, and the list of servers."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+
+from tests.compatibility import forms
+from tests.compatibility.checks import (
+    FROZEN,
+    check_names,
+    check_values,
+    frozen_bytes,
+    frozen_lines,
+    paths,
+    with_key_renamed,
+)
+
+OPERATOR = frozen_bytes("operator.toml").decode()
+KEYS = re.findall(r"^(?:\[(.+)\]|(\w+) =)", OPERATOR, re.M)
+SETTINGS, CONFIG = (msgspec.json.decode(frozen_bytes(name)) for name in ("settings.json", "config.json"))
+LISTINGS = ["listing-full", "listing-delta"]
+ENVIRONMENT = {
+    "LB_NAME": "router-3",
+    "LB_LISTEN": "127.0.0.5:7005",
+    "LB_DISCOVERY": "127.0.0.6:7006",
+    "LB_OPS": "127.0.0.7:7007",
+    "LB_INHERITED_FD": "8",
+}
+
+
+# The operator's file
+
+
+def check_operator(file: Path) -> None:
+    """Check that a file is accepted, and that the keys in force are the frozen ones."""
+    try:
+        found = forms.operator_lines(file)
+    except Exception as error:
+        raise AssertionError(f"the file is refused: {error}") from error
+    check_names(found, frozen_lines("operator.txt"))
+
+
+def test_an_operators_file_with_every_key_is_accepted() -> None:
+    check_operator(FROZEN / "operator.toml")
+
+
+@pytest.mark.parametrize("key", dict.fromkeys(section or name for section, name in KEYS))
+def test_a_renamed_key_of_the_operators_file_is_found(tmp_path: Path, key: str) -> None:
+    file = tmp_path / "operator.toml"
+    file.write_text(re.sub(rf"^(\[?{key})\b", r"\1_renamed", OPERATOR, count=1, flags=re.M))
+    with pytest.raises(AssertionError):
+        check_operator(file)
+
+
+# The platform's object
+
+
+def settings_of(data: bytes) -> Any:
+    return forms.settings(msgspec.json.decode(data))
+
+
+def config_reader(folder: Path, environ: dict[str, str]) -> Callable[[bytes], Any]:
+    return lambda data: forms.config(folder, msgspec.json.decode(data), environ)
+
+
+def test_settings_give_the_frozen_values() -> None:
+    check_values(frozen_bytes("settings.json"), settings_of, frozen_bytes("settings.values.json"))
+
+
+@pytest.mark.parametrize("path", list(paths(SETTINGS)))
+def test_a_renamed_key_of_the_settings_is_found(path: str) -> None:
+    changed = msgspec.json.encode(with_key_renamed(SETTINGS, path))
+    with pytest.raises(AssertionError):
+        check_values(changed, settings_of, frozen_bytes("settings.values.json"))
+
+
+@pytest.mark.parametrize(
+    ("environ", "values"),
+    [({}, "config.values.json"), (ENVIRONMENT, "config-environment.values.json")],
+    ids=["file", "environment"],
+)
+def test_a_configuration_gives_the_frozen_values(
+    tmp_path: Path, environ: dict[str, str], values: str
+) -> None:
+    check_values(frozen_bytes("config.json"), config_reader(tmp_path, environ), frozen_bytes(values))
+
+
+@pytest.mark.parametrize("path", list(paths(CONFIG)))
+def test_a_renamed_key_of_the_configuration_is_found(tmp_path: Path, path: str) -> None:
+    changed = msgspec.json.encode(with_key_renamed(CONFIG, path))
+    with pytest.raises(AssertionError):
+        check_values(changed, config_reader(tmp_path, {}), frozen_bytes("config.values.json"))
+
+
+@pytest.mark.parametrize("variable", ENVIRONMENT)
+def test_a_renamed_variable_is_found(tmp_path: Path, variable: str) -> None:
+    environ = with_key_renamed(ENVIRONMENT, variable)
+    expected = frozen_bytes("config-environment.values.json")
+    with pytest.raises(AssertionError):
+        check_values(frozen_bytes("config.json"), config_reader(tmp_path, environ), expected)
+
+
+# Discovery's list
+
+
+@pytest.mark.parametrize("name", LISTINGS)
+def test_a_list_gives_the_frozen_values(name: str) -> None:
+    check_values(frozen_bytes(f"{name}.json"), forms.listing, frozen_bytes(f"{name}.values.json"))
+
+
+@pytest.mark.parametrize("name", LISTINGS)
+def test_a_list_is_written_as_frozen(name: str) -> None:
+    assert forms.rewritten_listing(frozen_bytes(f"{name}.json")) == frozen_bytes(f"{name}.written.json")
+
+
+@pytest.mark.parametrize("name", LISTINGS)
+def test_a_renamed_key_of_a_list_is_found(name: str) -> None:
+    held = msgspec.json.decode(frozen_bytes(f"{name}.json"))
+    for path in paths(held):
+        changed = msgspec.json.encode(with_key_renamed(held, path))
+        with pytest.raises(AssertionError):
+            check_values(changed, forms.listing, frozen_bytes(f"{name}.values.json"))
