--- a/tests/compatibility/forms.py
+++ b/tests/compatibility/forms.py
@@ -10,16 +10,17 @@
 import json
 from collections.abc import Iterator, Mapping
 from pathlib import Path
-from typing import Any, get_args
+from typing import Any, cast, get_args
 
 import click
 import msgspec
 
 from pebblepass import cli
+from pebblepass.accounting import fleet, snapshot
 from pebblepass.accounting import metrics as accounting_metrics
-from pebblepass.accounting import snapshot
 from pebblepass.accounting.ledger import Breach, BreachKind, Ledger
 from pebblepass.accounting.service import FiguresService, make_ledger
+from pebblepass.adapter import Adapter
 from pebblepass.consensus import messages
 from pebblepass.consensus import metrics as consensus_metrics
 from pebblepass.consensus.leases import Terms
@@ -30,16 +31,18 @@
 from pebblepass.control.counters import Counters
 from pebblepass.control.operations import ControlAddress, Told
 from pebblepass.daemon.config import load_config
-from pebblepass.decisions import ServerState
+from pebblepass.decisions import ServerState, interface
 from pebblepass.decisions.settings import read_settings
 from pebblepass.discovery.registry import Clock, read_listing, write_listing
 from pebblepass.emulators.ports import take_port
 from pebblepass.handover import messages as handover
+from pebblepass.handover.channel import DOOR
 from pebblepass.operator_config import FiguresSection, describe, load_operator
 from pebblepass.peers import links
 from pebblepass.scale.figures import Look, by_role, of_changes
 from pebblepass.scale.hollow import CountingService
 from pebblepass.scale.plan import Plan as ScalePlan
+from pebblepass.scale.run import play as play_scale
 from pebblepass.simulation.bound import clairvoyant
 from pebblepass.simulation.plan import make_plan
 from pebblepass.simulation.recovery import against
@@ -110,8 +113,8 @@
 
 async def counted_kinds(frozen: list[bytes]) -> list[str]:
     """The kinds under which the runs of scale count these messages in their figures."""
-    loop, fleet = asyncio.get_running_loop(), genesis({"r1": "127.0.0.1:1"}, ["r1"])
-    setup = Setup("r2", "boot-2", Terms(10**9, 0.1), fleet, lambda *_: "", "")
+    loop, origin = asyncio.get_running_loop(), genesis({"r1": "127.0.0.1:1"}, ["r1"])
+    setup = Setup("r2", "boot-2", Terms(10**9, 0.1), origin, lambda *_: "", "")
     service = CountingService(
         loop, lambda: NOW, setup, "fleet-1", None, ServiceTold(lambda _: None, lambda _: None)
     )
@@ -170,6 +173,8 @@
     lambda account: handover.write_account(account, CLOCK.unix_ms),
 )
 HandoverError = handover.HandoverError
+HANDOVER_SOCKET = DOOR
+"""The name of the socket at which the two processes meet."""
 
 
 def account_parts(account: bytes) -> list[bytes]:
@@ -221,6 +226,11 @@
     return accounting_metrics.exposition(_ledger(rows).cut()).decode()
 
 
+def cuts_table(lines: list[bytes]) -> str:
+    """The table of cuts that were collected, as CSV."""
+    return fleet.as_csv(fleet.add_up(fleet.read_cuts(lines)))
+
+
 def breach() -> dict[str, Any]:
     """A breach as it is told to operators."""
     return Breach(3, BreachKind.NEVER_CLOSED, 5, "request-7", "get", "acme", "resp").as_dict()
@@ -254,6 +264,40 @@
     return head.split(b" ", 2)[1] + b"\n" + body
 
 
+# The simulator's wire
+
+ACTIONS = (
+    interface.Send("q1", "s1", 11, 12),
+    interface.Refuse("q2", 13),
+    interface.Fail("q3"),
+    interface.SetTimer(14, "timer-2"),
+    interface.Subscribe(),
+    interface.Probe("s2"),
+)
+
+
+class AdapterRecorder:
+    """An adapter whose router notes each event that it is given, and answers with every kind of action."""
+
+    def __init__(self) -> None:
+        self.events: list[Any] = []
+        self.orders: list[Any] = []
+        self._adapter = Adapter()
+        self._adapter._routers[3] = cast(Any, self)
+
+    def handle(self, event: Any, now: int) -> tuple[Any, ...]:
+        """In the router's place."""
+        self.events.append(event)
+        return ACTIONS
+
+    def feed(self, lines: bytes) -> AdapterRecorder:
+        """Deliver events, one a line; raises WireError."""
+        for line in lines.splitlines():
+            batch = b'{"nowNs":1,"groups":[{"router":3,"in":[' + line + b"]}]}"
+            self.orders = msgspec.json.decode(self._adapter.answer(batch))["groups"][0]["orders"]
+        return self
+
+
 # The operator's file, and the platform's
 
 FACTS = json.loads((Path(__file__).parent / "frozen" / "settings.json").read_text())
@@ -322,9 +366,9 @@
 
     def __init__(self, proposal: bytes) -> None:
         ground = Ground(settings())
-        fleet = genesis({"r1": "127.0.0.1:1"}, ["r1"])
+        origin = genesis({"r1": "127.0.0.1:1"}, ["r1"])
         terms = Terms(1_000_000_000, 0.1)
-        setup = Setup("r1", "boot-1", terms, fleet, ground.check, "disk-1", 1, ground.pools, dict)
+        setup = Setup("r1", "boot-1", terms, origin, ground.check, "disk-1", 1, ground.pools, dict)
         self.now, self.concluded = NOW, False
         self.steps: dict[str, None] = {}
         self._member = Member(setup, None, self.now)
@@ -407,3 +451,11 @@
     roles = by_role(plan, before, after)
     changes = of_changes(plan, before, after, [[1.0, 2.0, 3.0]], roles)
     return {"plan": msgspec.to_builtins(plan), "roles": roles, "changes": changes}
+
+
+def scale_run(folder: Path) -> dict[str, Any]:
+    """The figures that a run of two routers at a control machine has written."""
+    plan = ScalePlan(2, voters=1, full=1, lease_ms=500, window_s=0.5, changes=1, patience_s=60.0)
+    play_scale(plan, folder, lambda _: None)
+    written: dict[str, Any] = msgspec.json.decode((folder / "figures.json").read_bytes())
+    return written
--- a/tests/compatibility/test_accounting_forms.py
+++ b/tests/compatibility/test_accounting_forms.py
@@ -50,6 +50,11 @@
     check_names([file.name for file in tmp_path.iterdir()], frozen_lines("accounting-files.txt"))
 
 
+def test_collected_cuts_are_read_and_give_the_frozen_table() -> None:
+    lines = frozen_bytes("cuts.jsonl").splitlines()
+    assert forms.cuts_table(lines).encode() == frozen_bytes("cuts.csv")
+
+
 # The checks find a key under another name
 
 
@@ -69,6 +74,15 @@
         check_rewritten(row, forms.snapshot_form(renamed(kind, place)))
 
 
+@pytest.mark.parametrize(
+    "key", ["unix_ns", "routers", "router", "epoch", "figures", "class", "taken", "gone"]
+)
+def test_a_renamed_key_of_a_cut_is_refused(key: str) -> None:
+    changed = frozen_bytes("cuts.jsonl").replace(f'"{key}"'.encode(), f'"{key}_renamed"'.encode())
+    with pytest.raises(ValueError, match="line 1"):
+        forms.cuts_table(changed.splitlines())
+
+
 @pytest.mark.parametrize("name", ["accounting-export.txt", "accounting-pages.txt", "breach-kinds.txt"])
 def test_a_renamed_entry_of_a_list_is_found(name: str) -> None:
     frozen = frozen_lines(name)
--- a/tests/compatibility/test_handover_forms.py
+++ b/tests/compatibility/test_handover_forms.py
@@ -47,6 +47,10 @@
     assert forms.account_parts(account) == [a + b for a, b in zip(letters, cuts, strict=True)]
 
 
+def test_the_processes_meet_at_the_frozen_name() -> None:
+    assert forms.HANDOVER_SOCKET == "pebblepass-handover"
+
+
 # The checks find a form that has changed
 
 
--- a/tests/compatibility/test_names.py
+++ b/tests/compatibility/test_names.py
@@ -3,6 +3,8 @@
 from __future__ import annotations
 
 import asyncio
+import re
+from pathlib import Path
 
 import click
 import pytest
@@ -20,7 +22,10 @@
     "message-kinds.txt",
     "report.txt",
     "scale-figures.txt",
+    "scale-run.txt",
 ]
+VARYING = re.compile(r"\.(received|links_closed)\.")
+"""Counts by kind, of which a short run may lack some; `message-kinds.txt` holds the kinds of messages."""
 
 
 @pytest.fixture(scope="module")
@@ -68,6 +73,11 @@
     check_names(list(paths(forms.scale_figures())), frozen_lines("scale-figures.txt"))
 
 
+def test_keys_of_what_a_run_of_scale_writes(tmp_path: Path) -> None:
+    told = [path for path in paths(forms.scale_run(tmp_path)) if not VARYING.search(path)]
+    check_names(told, frozen_lines("scale-run.txt"))
+
+
 # The checks find a name that has changed
 
 
