--- a/tests/compatibility/forms.py
+++ b/tests/compatibility/forms.py
@@ -268,11 +268,11 @@
 
 ACTIONS = (
     interface.Send("q1", "s1", 11, 12),
-    interface.Refuse("q2", 13),
+    interface.Reject("q2", 13),
     interface.Fail("q3"),
     interface.SetTimer(14, "timer-2"),
     interface.Subscribe(),
-    interface.Probe("s2"),
+    interface.HealthCheck("s2"),
 )
 
 
