--- a/pebblepass/connection_limits/places.py
+++ b/pebblepass/connection_limits/places.py
@@ -32,7 +32,7 @@
 )
 
 
-def makes_room(connections: Iterable[tuple[T, Standing, float]]) -> T | None:
+def choose_eviction(connections: Iterable[tuple[T, Standing, float]]) -> T | None:
     """The connection to close, of some that each come with their standing and the seconds of their silence.
 
     None: all are owed an answer, or have come or written just now.
--- a/pebblepass/daemon/attempts.py
+++ b/pebblepass/daemon/attempts.py
@@ -9,7 +9,7 @@
 from pebblepass.control.counters import Counters
 from pebblepass.daemon import deadline_propagation
 from pebblepass.daemon.deadlines import Deadline
-from pebblepass.daemon.lag import LoopLag, after_news
+from pebblepass.daemon.lag import LoopLag, after_poll
 from pebblepass.daemon.upstream import Answer, Exchange, ValueSource
 from pebblepass.decisions import AttemptEnded, Event, Outcome, StreamStarted
 from pebblepass.wire import http, resp
@@ -32,7 +32,7 @@
     return quote(key, safe=KEY_SAFE)
 
 
-class Place(Protocol):
+class ReplySlot(Protocol):
     """Where one request's answer goes: among those of its connection, or of its command."""
 
     source: ValueSource | None
@@ -56,16 +56,16 @@
     def write(self, data: bytes) -> bool:
         """Write a part; False: it is held back."""
 
-    def cut_off(self) -> None:
+    def abort(self) -> None:
         """End a begun answer so that the client sees that it is not whole."""
 
-    def forgotten(self) -> None:
+    def free_command(self) -> None:
         """The host needs the command no longer."""
 
-    def awaited(self) -> bool:
+    def client_is_alive(self) -> bool:
         """Whether its client is there: it has been heard just now, or is looked at."""
 
-    def abandoned(self) -> None:
+    def detach_request(self) -> None:
         """Its client was found to have gone, and its request is let go already."""
 
 
@@ -89,16 +89,16 @@
     now: Callable[[], int]
     call_at: Callable[[int, Callable[[], None]], Deadline]
 
-    def load(self, report: bytes | None) -> tuple[float, ...] | None:
+    def parse_load_report(self, report: bytes | None) -> tuple[float, ...] | None:
         """Read a load report."""
 
-    def settle(self, request: OpenRequest) -> None:
+    def forget_if_settled(self, request: OpenRequest) -> None:
         """Forget a request that is answered and has nothing out."""
 
-    def let_go(self, request: OpenRequest) -> None:
+    def drop_request(self, request: OpenRequest) -> None:
         """Nothing is owed to this request any more: its client has left."""
 
-    def tell(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """Give the module an event."""
 
 
@@ -114,7 +114,7 @@
         self,
         request_id: str,
         command: Command,
-        reply: Place,
+        reply: ReplySlot,
         deadline: int,
         of_command: bool = False,
     ) -> None:
@@ -179,24 +179,24 @@
         return self._request.id
 
     @property
-    def wanted(self) -> bool:
+    def is_wanted(self) -> bool:
         """Whether its request has no final answer yet, and the time in which it may be sent is not over."""
         return not self._request.closed and self._host.now() < self._latest_start
 
     def may_begin(self) -> bool:
         """Whether it is wanted, and its client is there; one whose client has gone is let go."""
-        if not self.wanted:
+        if not self.is_wanted:
             return False
         request = self._request
-        if request.reply.awaited():
+        if request.reply.client_is_alive():
             return True
         # Danger: its connection goes a turn later, and until then what has failed would be tried again.
-        self._host.let_go(request)
-        request.reply.abandoned()
+        self._host.drop_request(request)
+        request.reply.detach_request()
         self.withdraw()
         return False
 
-    def waits(self) -> None:
+    def mark_unsent(self) -> None:
         """Be taken back with its request, as long as that can be done."""
         if self._request.unsent is None:
             self._request.unsent = []
@@ -204,9 +204,9 @@
 
     def withdraw(self) -> None:
         """Take it back, unless it has left; what has not been sent tells nothing of its server."""
-        if self._part is None and not self.over:
+        if self._part is None and not self.is_over:
             if self.connection is None or self.connection.unsent:
-                self.spare(always=True)
+                self.exclude_from_health(always=True)
             super().withdraw()
 
     @property
@@ -223,18 +223,18 @@
         """Nanoseconds that its server has had."""
         return self._elapsed(self._host.now())
 
-    def took(self, latency: int) -> None:
+    def record_latency(self, latency: int) -> None:
         """Its share of the time that its part took."""
         self._latency = self._latency or latency
 
-    def spare(self, always: bool = False) -> None:
+    def exclude_from_health(self, always: bool = False) -> None:
         """Its end says nothing of its server that another's has not said; but for one after another."""
         self._spared = always or self._number == 0
         self._latency = self._latency or 1
 
     def give_up(self, outcome: Outcome) -> None:
         """End it before its answer has come; what shares its connection ends with it."""
-        if self._part is not None and not self.over:
+        if self._part is not None and not self.is_over:
             self._part.give_up(outcome)
         else:
             super().give_up(outcome)
@@ -245,7 +245,7 @@
 
     def _timed_out(self) -> None:
         # Guards a server that has answered: after a hold-up of this loop its answer stands unread.
-        after_news(self._host.loop, self._no_answer)
+        after_poll(self._host.loop, self._no_answer)
 
     def _no_answer(self) -> None:
         if self._source is None:  # else a long value has begun in the last moment
@@ -281,13 +281,13 @@
         self._came_at = self._host.loop.time()
         self._timer = self._host.loop.call_later(STALL_S, self._check_stall)
         request.reply.start(b"$%d\r\n" % length, self)
-        self._host.tell(StreamStarted(request.id, self._number))
+        self._host.handle_event(StreamStarted(request.id, self._number))
 
     def _elapsed(self, now: int) -> int:
         """The time that the server took: what this router's own loop was held up is not held against it."""
         return max(now - self._sent_at - (self._host.lag.total(now) - self._lag_before), 1)
 
-    def value_came(self, data: bytes) -> None:
+    def value_received(self, data: bytes) -> None:
         """Pass on a part of a long value."""
         if self._source is not None:
             self._came_at = self._host.loop.time()
@@ -338,7 +338,7 @@
                 reply.send(b"\r\n")
             else:
                 host.counters.errored[request.command.fields["c"]] += 1
-                reply.cut_off()
+                reply.abort()
         elif outcome is Outcome.OK and not request.closed and value is not None:
             request.closed = True
             if request.unsent is not None:
@@ -352,8 +352,8 @@
             fields = request.command.fields
             ledger.attempt(fields["c"], fields.get("t"), outcome.value, self._to_origin)
         latency = self._latency or self._elapsed(now)
-        load, stale = host.load(report), self._spared or self.stale
-        told = request.closed, latency, note, load, stale, self.crowded
+        load, stale = host.parse_load_report(report), self._spared or self.connection_failed
+        told = request.closed, latency, note, load, stale, self.connection_rejected
         event = AttemptEnded(request.id, self._number, self._server, outcome, *told)
-        host.settle(request)
-        host.tell(event)
+        host.forget_if_settled(request)
+        host.handle_event(event)
--- a/pebblepass/daemon/caches.py
+++ b/pebblepass/daemon/caches.py
@@ -26,7 +26,7 @@
             if self._left and not self._pass_on():
                 return
             try:
-                if exchange.several and self._several(exchange):
+                if exchange.carries_several and self._several(exchange):
                     continue
                 answer = cutter.next()
             except AnswerError as error:
@@ -48,8 +48,8 @@
         if exchange.array_expected:
             if (count := cutter.array()) is None:
                 return False  # nothing behind it is whole either
-            exchange.array_begins(count)
-        entries = cutter.hits(exchange.plain)
+            exchange.array_started(count)
+        entries = cutter.hits(exchange.expected_hits)
         if entries:
             self.hits(exchange, entries)
         return bool(entries)
@@ -68,7 +68,7 @@
         if not self._left:
             cutter.value_taken()
         if part and self.exchange is not None:
-            self.exchange.value_came(part)
+            self.exchange.value_received(part)
         return not self._left
 
     def _take(self, answer: CutAnswer) -> None:
--- a/pebblepass/daemon/clients.py
+++ b/pebblepass/daemon/clients.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, Any, Protocol, cast
 
 from pebblepass.connection_limits.descriptors import REFUSERS
-from pebblepass.connection_limits.places import Standing, makes_room
+from pebblepass.connection_limits.places import Standing, choose_eviction
 from pebblepass.daemon.unread import READ_EVENTS, accept_pending, peer_has_closed, socket_poller
 from pebblepass.daemon.unread_age import BacklogAge, UnreadAge
 from pebblepass.daemon.upstream import ValueSource
@@ -20,8 +20,8 @@
 from pebblepass.wire.resp import LARGE, MANY, Command, CommandReader, UnknownCommandError, parse_request
 
 if TYPE_CHECKING:
-    from pebblepass.daemon.greetings import Greeted
-    from pebblepass.handover.messages import Handed
+    from pebblepass.daemon.greetings import ClientSession
+    from pebblepass.handover.messages import ConnectionState
 
 BACKLOG = 1024
 MAX_PIPELINE = 256
@@ -57,17 +57,17 @@
     def request_arrived(self, command: Command, reply: Reply) -> None:
         """Handle a request that was received completely."""
 
-    def client_gone(self, reply: Reply) -> None:
+    def client_disconnected(self, reply: Reply) -> None:
         """Drop the request behind this reply: its client has disconnected."""
 
-    def turned_away(self, command: Command, refused: str = "", failed: str = "") -> None:
+    def record_rejection(self, command: Command, refused: str = "", failed: str = "") -> None:
         """Account for a request that was rejected before it was handled."""
 
 
 class MultiKeyHost(Protocol):
     """Handles the clients' commands that read many keys."""
 
-    def arrived(self, words: list[bytes], reply: Reply, refusing: bool) -> None:
+    def command_arrived(self, words: list[bytes], reply: Reply, refusing: bool) -> None:
         """Handle a command that was received completely; `refusing`: reject its keys."""
 
 
@@ -136,7 +136,7 @@
         return True
 
     @property
-    def in_turn(self) -> bool:
+    def is_next(self) -> bool:
         """Whether all replies ahead are written."""
         replies = self._connection.replies
         return bool(replies) and replies[0] is self
@@ -152,24 +152,24 @@
         session = self._connection.session
         return b"$-1\r\n" if session is None or session.protocol == 2 else b"_\r\n"
 
-    def awaited(self) -> bool:
+    def client_is_alive(self) -> bool:
         """Whether the client is still connected, by a recent read or else by a poll."""
         return self._connection.is_alive()
 
-    def abandoned(self) -> None:
+    def detach_request(self) -> None:
         """Detach the request, which the host has dropped: the disconnect will not be reported for it."""
         self.request = None
 
-    def cut_off(self) -> None:
+    def abort(self) -> None:
         """Abort the connection, so that the client sees that a streamed reply is incomplete."""
         self._connection.abort()
 
-    def forgotten(self) -> None:
+    def free_command(self) -> None:
         """Release the memory reserved for the command, which the host needs no longer."""
         self._connection.server.budget.give_back(self.reserved)
         self.reserved = 0
 
-    def its_turn(self) -> None:
+    def write_buffered(self) -> None:
         """Write what is buffered: the replies ahead have been written."""
         for data in self._held:
             self._connection.write(data)
@@ -182,7 +182,7 @@
     """One client's connection: parses commands, orders replies, and detects the client's disconnect."""
 
     def __init__(
-        self, server: ClientServer, handed: Handed | None = None, empty_at: float = float("-inf")
+        self, server: ClientServer, handed: ConnectionState | None = None, empty_at: float = float("-inf")
     ) -> None:
         """`handed`: its state in the process that handed it over; `empty_at`: a time without unread bytes."""
         self.server = server
@@ -192,7 +192,7 @@
         self.blocked = self.closed = False
         self.last_used_at = server.loop.time()
         self._reader = CommandReader(server.many is not None)
-        self.session: Greeted | None = None
+        self.session: ClientSession | None = None
         self._reading = True
         self._reserved = 0  # bytes of the budget, for the command being received
         # The first command is timed from the start of the connection.
@@ -250,7 +250,7 @@
         replies, self.replies = self.replies, deque()
         for reply in replies:
             if not reply.done:
-                self.server.host.client_gone(reply)
+                self.server.host.client_disconnected(reply)
 
     def data_received(self, data: bytes) -> None:
         """Parse and dispatch the commands in the data."""
@@ -317,7 +317,7 @@
     def _dispatch(self, words: list[bytes], reply: Reply) -> None:
         if len(words) == 1 and words[0].upper() == b"PING":
             reply.send(b"+PONG\r\n" if self.server.host.ready else b"-LOADING no list of servers yet\r\n")
-            reply.forgotten()
+            reply.free_command()
             return
         try:
             command = parse_request(words)
@@ -326,13 +326,15 @@
             return
         except ValueError as error:
             reply.send(b"-ERR %b\r\n" % str(error).encode())
-            reply.forgotten()
+            reply.free_command()
             return
         if self.refusing or self.server.shutting_down:
             self._closes_when_idle = True
             reply.send(b"-BUSY\r\n")
-            self.server.host.turned_away(command, refused="connections" if self.refusing else "router ends")
-            reply.forgotten()
+            self.server.host.record_rejection(
+                command, refused="connections" if self.refusing else "router ends"
+            )
+            reply.free_command()
             return
         self.server.host.request_arrived(command, reply)
 
@@ -341,21 +343,21 @@
         server = self.server
         if server.many is not None and words[0].upper() == MANY:
             self._closes_when_idle = self._closes_when_idle or self.refusing
-            server.many.arrived(words, reply, self.refusing)
+            server.many.command_arrived(words, reply, self.refusing)
             return
         # Imported with the first handshake: the platform's clients have none.
-        from pebblepass.daemon.greetings import Greeted, greet
+        from pebblepass.daemon.greetings import ClientSession, answer_session_command
 
         if self.session is None:
             server.session_count += 1
-            self.session = Greeted(server.session_count)
+            self.session = ClientSession(server.session_count)
         try:
-            answer = greet(words, self.session, server.host.ready, server.connected)
+            answer = answer_session_command(words, self.session, server.host.ready, server.connected)
         except UnknownCommandError as error:
             answer = b"-ERR %b\r\n" % str(error).encode()
         self._closes_when_idle = self._closes_when_idle or self.session.leaves
         reply.send(answer)
-        reply.forgotten()
+        reply.free_command()
 
     def write(self, data: bytes) -> None:
         """Write to the client."""
@@ -368,7 +370,7 @@
         while replies and replies[0].done:
             replies.popleft()
             if replies:
-                replies[0].its_turn()
+                replies[0].write_buffered()
         if not replies:
             self.last_used_at = self.server.loop.time()
         if not replies and self._closes_when_idle and self.transport is not None:
@@ -491,9 +493,9 @@
         if self.server.on_handover is None or self.transport is None or not self._may_be_handed_over():
             return
         # Imported with the first handover: most processes never have one.
-        from pebblepass.handover.messages import MOST_HELD
+        from pebblepass.handover.messages import MAX_PARTIAL_COMMAND
 
-        if self._reader.held_bytes > MOST_HELD:
+        if self._reader.held_bytes > MAX_PARTIAL_COMMAND:
             return
         # Danger: replies that the kernel has not accepted are lost with this process.
         if self.transport.get_write_buffer_size():
@@ -518,14 +520,14 @@
         descriptor: int = self.transport.get_extra_info("socket").fileno()
         return descriptor
 
-    def handover_state(self) -> Handed:
+    def handover_state(self) -> ConnectionState:
         """The state that the other process needs to continue this connection."""
-        from pebblepass.handover.messages import Handed
+        from pebblepass.handover.messages import ConnectionState
 
         command_age_ms = max(int((self.server.loop.time() - self._command_started_at) * 1000), 0)
         session = self.session
         handshake = (session.protocol, session.name, session.number) if session is not None else (0, b"", 0)
-        return Handed(self._reader.held, command_age_ms, self._has_sent_command, *handshake)
+        return ConnectionState(self._reader.held, command_age_ms, self._has_sent_command, *handshake)
 
     def cancel_handover(self) -> None:
         """Serve the connection again: the other process could not accept it."""
@@ -539,14 +541,14 @@
         if self.transport is not None:
             self.transport.abort()
 
-    def _restore(self, handed: Handed) -> None:
+    def _restore(self, handed: ConnectionState) -> None:
         """Restore the state that came with a handover."""
         self._has_sent_command = handed.spoken
         if handed.protocol:
-            from pebblepass.daemon.greetings import Greeted
+            from pebblepass.daemon.greetings import ClientSession
 
             self.server.session_count += 1
-            self.session = Greeted(handed.number, handed.protocol, handed.name)
+            self.session = ClientSession(handed.number, handed.protocol, handed.name)
         if handed.held:
             unread_age, self._unread_age = self._unread_age, UnreadAge(self.last_used_at)
             self.data_received(handed.held)
@@ -639,7 +641,7 @@
         """The connection to evict for a new one, if any; never one that has unread bytes."""
         now = self.loop.time()
         for _ in range(MAX_EVICTION_CHECKS):
-            candidate = makes_room(
+            candidate = choose_eviction(
                 (each, each.standing, now - each.last_used_at) for each in self._connections
             )
             if candidate is None or not candidate.has_unread():
@@ -661,7 +663,7 @@
         if paused:
             self.schedule_paused_poll()
 
-    async def adopt(self, sock: socket.socket, handed: Handed) -> None:
+    async def adopt(self, sock: socket.socket, handed: ConnectionState) -> None:
         """Serve a connection that another process has handed over."""
         await self._adopt(sock, functools.partial(ClientConnection, self, handed, self.lag.sockets_polled_at))
 
--- a/pebblepass/daemon/fleet.py
+++ b/pebblepass/daemon/fleet.py
@@ -40,10 +40,10 @@
     def now(self) -> int:
         """The time in nanoseconds."""
 
-    def tell(self, event: PolicyChanged) -> None:
+    def handle_event(self, event: PolicyChanged) -> None:
         """Take the policy that may be admitted under, and until when."""
 
-    def wanted(self) -> dict[str, int]:
+    def demand(self) -> dict[str, int]:
         """The fetches that each namespace has wanted of the store so far, and its writes."""
 
 
@@ -98,7 +98,7 @@
             f"{self.name}.{boot}" if disk is not None else "",
             config.seed,
             ground.pools,
-            host.wanted,
+            host.demand,
         )
         self._setup = setup
         self._ready_at = host.now() + int(section.alone_after_s * 1e9)
@@ -152,7 +152,7 @@
 
     def _in_force(self, action: InForce) -> None:
         policy = held(action.value.version, action.value.policy)
-        self._host.tell(PolicyChanged(policy, action.until, action.shares, action.shares_until))
+        self._host.handle_event(PolicyChanged(policy, action.until, action.shares, action.shares_until))
 
     def _step(self, note: Note) -> None:
         self.steps[note.event] += 1
--- a/pebblepass/daemon/greetings.py
+++ b/pebblepass/daemon/greetings.py
@@ -19,7 +19,7 @@
 REDIS_VERSION = b"7.4.0"  # clients look for what servers of this version can do
 
 
-class Greeted(Struct):
+class ClientSession(Struct):
     """What a client has told about itself."""
 
     number: int
@@ -30,7 +30,7 @@
     """It has asked for the end of its connection."""
 
 
-def greet(words: list[bytes], client: Greeted, ready: bool, connected: int) -> bytes:
+def answer_session_command(words: list[bytes], client: ClientSession, ready: bool, connected: int) -> bytes:
     """The answer to what a client says beside requests; an error changes nothing.
 
     Raises UnknownCommandError. `ready`: the router knows its servers; `connected`: clients' connections.
@@ -64,7 +64,7 @@
     raise UnknownCommandError("unknown command")
 
 
-def _hello(args: list[bytes], client: Greeted) -> bytes:
+def _hello(args: list[bytes], client: ClientSession) -> bytes:
     protocol, given = client.protocol, client.name
     if args:
         if args[0] not in (b"2", b"3"):
@@ -92,7 +92,7 @@
     return head + b"".join(bulk(name) + value for name, value in facts)
 
 
-def _client(what: bytes, args: list[bytes], client: Greeted) -> bytes:
+def _client(what: bytes, args: list[bytes], client: ClientSession) -> bytes:
     match what:
         case b"SETNAME" if len(args) == 1:
             if not _is_name(args[0]):
@@ -108,7 +108,7 @@
     return b"-ERR unknown subcommand or wrong number of arguments for 'client' command\r\n"
 
 
-def _command(args: list[bytes], client: Greeted) -> bytes:
+def _command(args: list[bytes], client: ClientSession) -> bytes:
     what = args[0].upper() if args else b""
     if what == b"COUNT":
         return b":0\r\n"
--- a/pebblepass/daemon/lag.py
+++ b/pebblepass/daemon/lag.py
@@ -49,7 +49,7 @@
         if late > TOLERANCE_NS:
             self._total_lag += late
             self._current_peak = max(self._current_peak, late)
-        after_news(self._loop, functools.partial(self._record_poll, self._loop.time()))
+        after_poll(self._loop, functools.partial(self._record_poll, self._loop.time()))
         if now >= self._window_ends_at:
             self._window_ends_at = now + PEAK_WINDOW_NS
             self._previous_peak, self._current_peak = self._current_peak, 0
@@ -70,7 +70,7 @@
         self._timer.cancel()
 
 
-def after_news(loop: asyncio.AbstractEventLoop, callback: Callable[[], None]) -> None:
+def after_poll(loop: asyncio.AbstractEventLoop, callback: Callable[[], None]) -> None:
     """Call back once the loop has polled its sockets and dispatched what was readable.
 
     After a hold-up a timer may run before input that has arrived long ago is read.
--- a/pebblepass/daemon/multi_get/batches.py
+++ b/pebblepass/daemon/multi_get/batches.py
@@ -5,33 +5,33 @@
 from typing import TYPE_CHECKING
 
 from pebblepass.daemon import deadline_propagation
-from pebblepass.daemon.lag import after_news
-from pebblepass.daemon.multi_get.reading import ManyRead
+from pebblepass.daemon.lag import after_poll
+from pebblepass.daemon.multi_get.reading import MultiGet
 from pebblepass.daemon.upstream import Answer, Exchange, ValueSource
 from pebblepass.decisions import BatchServed, HedgeDue, Outcome
-from pebblepass.multi_get import Part
+from pebblepass.multi_get import Batch
 from pebblepass.wire.address import Address
 from pebblepass.wire.answers import AnswerError
 from pebblepass.wire.resp import MANY, bulk_length, command, read_command
 
 if TYPE_CHECKING:
     from pebblepass.daemon.multi_get.entries import KeyAttempt
-    from pebblepass.daemon.multi_get.reads import ManyReads
+    from pebblepass.daemon.multi_get.reads import MultiGetReads
 
 NEVER = 1 << 63
 SLOW_RECHECK_NS = 5_000_000  # between checks of a slow batch while other keys are outstanding
 
 
-class PartExchange(Exchange):
+class BatchExchange(Exchange):
     """A batch of one command's keys on one connection, sent as one multi-get or as pipelined single reads."""
 
-    several = True
+    carries_several = True
 
-    def __init__(self, reads: ManyReads, batch: Part[KeyAttempt]) -> None:
+    def __init__(self, reads: MultiGetReads, batch: Batch[KeyAttempt]) -> None:
         self._reads, self._batch = reads, batch
         read = batch.owner
-        assert isinstance(read, ManyRead)
-        self._read: ManyRead = read
+        assert isinstance(read, MultiGet)
+        self._read: MultiGet = read
         read.exchanges[self] = None
         host, now = reads.host, reads.host.now()
         self.begun_at, self.lag_before = now, host.lag.total(now)
@@ -52,20 +52,20 @@
         self._timer = self._reads.host.call_at(at, self._timer_fired)
 
     def _timer_fired(self) -> None:
-        after_news(self._reads.loop, self._check_timers)
+        after_poll(self._reads.loop, self._check_timers)
 
     def _check_timers(self) -> None:
-        if self.over:
+        if self.is_over:
             return
         now = self._reads.host.now()
         if now >= self._timeout_at:
             self._timeout_at = NEVER
             self._timed_out()
-        if not self.over and now >= self._stall_check_at:
+        if not self.is_over and now >= self._stall_check_at:
             self._stall_check_at = self._unblock_if_stalled(now)
-        if not self.over and now >= self._hedge_at:
+        if not self.is_over and now >= self._hedge_at:
             self._hedge_at = self._hedge_if_slow(now)
-        if not self.over and min(self._timeout_at, self._hedge_at, self._stall_check_at) < NEVER:
+        if not self.is_over and min(self._timeout_at, self._hedge_at, self._stall_check_at) < NEVER:
             self._arm_timer()
 
     def may_begin(self) -> bool:
@@ -75,9 +75,9 @@
         """
         if self._reads.host.now() >= deadline_propagation.latest_start(self._read.deadline):
             return False
-        if self._read.reply.awaited():
+        if self._read.reply.client_is_alive():
             return True
-        self._reads.client_gone(self._read)
+        self._reads.client_disconnected(self._read)
         return False
 
     def request_bytes(self, address: Address) -> bytes:
@@ -86,7 +86,7 @@
         batch.heard_at = now  # waiting for a connection does not count against the server
         wanted = []
         for key in batch.items:
-            if key.wanted:
+            if key.is_wanted:
                 wanted.append(key)
             else:
                 key.ensure_attempt().end(Outcome.SUPERSEDED)
@@ -101,7 +101,7 @@
         name = wanted[0].request_id.encode()
         return command(MANY, b"%d" % len(wanted), *[keys[key.number] for key in wanted], name, info)
 
-    def array_begins(self, count: int) -> None:
+    def array_started(self, count: int) -> None:
         """Check the array's length against the batch; a negative count is an error line for all keys."""
         self.array_expected = False
         if count != len(self._batch.items) and count >= 0:
@@ -111,13 +111,13 @@
 
     _single_error = False
 
-    def takes_more(self, outcome: Outcome, answer: Answer) -> bool:
+    def record_answer(self, outcome: Outcome, answer: Answer) -> bool:
         """Record the next key's answer; return whether the batch expects another."""
         batch = self._batch
         if self._single_error:
             return False
         attempt = batch.items[batch.answered].ensure_attempt()
-        attempt.took(self._reads.batches.answer(batch, batch.sent_at + attempt.elapsed()))
+        attempt.record_latency(self._reads.batches.answer(batch, batch.sent_at + attempt.elapsed()))
         if batch.answered + 1 == len(batch.items):
             return False
         batch.answered += 1
@@ -125,7 +125,7 @@
         return True
 
     @property
-    def plain(self) -> int:
+    def expected_hits(self) -> int:
         """The number of keys, from the next one on, that have no attempt: their hits need only the value."""
         if self._single_error:
             return 0
@@ -136,7 +136,7 @@
             count += 1
         return count
 
-    def hits_came(self, entries: list[bytes]) -> bool:
+    def record_hits(self, entries: list[bytes]) -> bool:
         """Record hits for the next keys; return whether the batch is complete."""
         reads, read, batch = self._reads, self._read, self._batch
         first, host, now = batch.answered, reads.host, reads.host.now()
@@ -147,7 +147,7 @@
         batch.answered += 1
         for key in taken:
             del read.unopened[key.request_id]
-        reads.light -= len(taken)
+        reads.unopened -= len(taken)
         names = [key.request_id for key in taken]
         self._unreported += names
         if host.ledger is not None:
@@ -163,15 +163,15 @@
     def _report_served(self) -> None:
         served, self._unreported = self._unreported, []
         if served:
-            self._reads.host.tell(BatchServed(served, self._batch.server, self._latency))
+            self._reads.host.handle_event(BatchServed(served, self._batch.server, self._latency))
 
     def value_started(self, length: int, source: ValueSource) -> None:
         """Announce that the next key's value is long and will be streamed."""
         self._batch.items[self._batch.answered].ensure_attempt().value_started(length, source)
 
-    def value_came(self, data: bytes) -> None:
+    def value_received(self, data: bytes) -> None:
         """Pass on a chunk of that value."""
-        self._batch.items[self._batch.answered].ensure_attempt().value_came(data)
+        self._batch.items[self._batch.answered].ensure_attempt().value_received(data)
 
     def _hedge_if_slow(self, now: int) -> int:
         """Hedge each unanswered key, within the budget, if no other key of the command is outstanding.
@@ -183,9 +183,9 @@
         if gathering.waiting or gathering.open > len(left):
             return now + max(batch.slow_after, SLOW_RECHECK_NS)
         for key in left:
-            if key.wanted and reads.hedges.spend():
+            if key.is_wanted and reads.hedges.spend():
                 key.ensure_attempt()
-                reads.host.tell(HedgeDue(key.request_id))
+                reads.host.handle_event(HedgeDue(key.request_id))
         return NEVER
 
     def _unblock_if_stalled(self, now: int) -> int:
@@ -206,7 +206,7 @@
             connection.retired = True  # answers behind that key's no longer belong to a request
         for key in behind:
             attempt = key.ensure_attempt()
-            attempt.spare(head.streaming)
+            attempt.exclude_from_health(head.streaming)
             attempt.end(Outcome.TIMEOUT)
         if batch.as_one and not batch.answered:
             self.give_up(Outcome.TIMEOUT)  # the key that blocks can't be identified
@@ -219,7 +219,7 @@
 
     def _timed_out(self) -> None:
         # A streamed value may continue; the keys behind it have left the batch by then.
-        if not self.over and not (self._batch.left and self._batch.left[0].streaming):
+        if not self.is_over and not (self._batch.left and self._batch.left[0].streaming):
             self.give_up(Outcome.TIMEOUT)
 
     def ended(self, outcome: Outcome, answer: Answer) -> None:
@@ -234,12 +234,15 @@
             if outcome not in (Outcome.OK, Outcome.MISS, Outcome.CONNECT_FAILED):
                 self._quarantine(left if batch.as_one else left[:1])
             head = left[0].ensure_attempt()
-            head.stale, head.crowded = self.stale, self.crowded
+            head.connection_failed, head.connection_rejected = (
+                self.connection_failed,
+                self.connection_rejected,
+            )
             head.end(outcome, answer)
             for key in left[1:]:
                 attempt = key.ensure_attempt()
                 # Count one failure once in the server's health statistics: on the first key.
                 if outcome is not Outcome.CONNECT_FAILED:
-                    attempt.spare()
+                    attempt.exclude_from_health()
                 attempt.end(outcome)
         self._reads.schedule()
--- a/pebblepass/daemon/multi_get/entries.py
+++ b/pebblepass/daemon/multi_get/entries.py
@@ -9,8 +9,8 @@
 
 if TYPE_CHECKING:
     from pebblepass.daemon.attempts import Attempt
-    from pebblepass.daemon.multi_get.batches import PartExchange
-    from pebblepass.daemon.multi_get.reading import ManyRead
+    from pebblepass.daemon.multi_get.batches import BatchExchange
+    from pebblepass.daemon.multi_get.reading import MultiGet
 
 
 class KeyReply:
@@ -18,7 +18,7 @@
 
     __slots__ = ("_held", "_number", "_read", "request", "source")
 
-    def __init__(self, read: ManyRead, number: int) -> None:
+    def __init__(self, read: MultiGet, number: int) -> None:
         self._read, self._number = read, number
         self._held: list[bytes] = []
         self.source: ValueSource | None = None
@@ -57,7 +57,7 @@
         self._read.gathering.hold(len(data))
         return False
 
-    def release(self) -> None:
+    def write_buffered(self) -> None:
         """Write what is buffered: the entries ahead have been written."""
         for data in self._held:
             self._read.gathering.hold(-len(data))
@@ -66,7 +66,7 @@
         if self.source is not None and not self._read.paused:
             self.source.resume()
 
-    def cut_off(self) -> None:
+    def abort(self) -> None:
         """Discard what is buffered: the streamed value ended too early."""
         self.source = None
         for data in self._held:
@@ -74,14 +74,14 @@
         self._held.clear()
         self._read.stream_broke(self._number)
 
-    def forgotten(self) -> None:
+    def free_command(self) -> None:
         """Do nothing: no memory is reserved for a single key's words."""
 
-    def awaited(self) -> bool:
+    def client_is_alive(self) -> bool:
         """Return whether the command's client is still connected."""
-        return self._read.reply.awaited()
+        return self._read.reply.client_is_alive()
 
-    def abandoned(self) -> None:
+    def detach_request(self) -> None:
         """End this key: the client has disconnected. Its connection closes the rest of the command."""
         read = self._read
         read.abandoned.add(self._number)
@@ -103,24 +103,24 @@
 
     __slots__ = ("attempt", "batch", "number", "read", "request_id", "server")
 
-    def __init__(self, read: ManyRead, number: int, request_id: str, attempt: Attempt | None = None) -> None:
+    def __init__(self, read: MultiGet, number: int, request_id: str, attempt: Attempt | None = None) -> None:
         self.read, self.number, self.request_id = read, number, request_id
         self.server = ""
         """The server that the decision module has chosen; empty: not chosen yet, or the request is open."""
-        self.batch: PartExchange | None = None
+        self.batch: BatchExchange | None = None
         self.attempt = attempt
 
     @property
-    def wanted(self) -> bool:
+    def is_wanted(self) -> bool:
         """Whether its request has no final answer yet."""
-        return self.attempt is None or self.attempt.wanted
+        return self.attempt is None or self.attempt.is_wanted
 
     @property
     def streaming(self) -> bool:
         """Whether a long value of it is under way."""
         return self.attempt is not None and self.attempt.streaming
 
-    def begin(self, batch: PartExchange) -> None:
+    def begin(self, batch: BatchExchange) -> None:
         """Mark the key as sent in this batch."""
         self.batch = batch
         if self.attempt is not None:
--- a/pebblepass/daemon/multi_get/reading.py
+++ b/pebblepass/daemon/multi_get/reading.py
@@ -6,23 +6,23 @@
 
 from pebblepass.daemon import deadline_propagation
 from pebblepass.daemon.clients import Reply
-from pebblepass.daemon.lag import after_news
-from pebblepass.multi_get import Gathering, ManyKeys, State
+from pebblepass.daemon.lag import after_poll
+from pebblepass.multi_get import Gathering, MultiGetCommand, State
 from pebblepass.wire.resp import with_timeout
 
 if TYPE_CHECKING:
     from pebblepass.daemon.deadlines import Deadline
-    from pebblepass.daemon.multi_get.batches import PartExchange
+    from pebblepass.daemon.multi_get.batches import BatchExchange
     from pebblepass.daemon.multi_get.entries import KeyAttempt, KeyReply
-    from pebblepass.daemon.multi_get.reads import ManyReads
+    from pebblepass.daemon.multi_get.reads import MultiGetReads
 
 NS_PER_MS = 1_000_000
 
 
-class ManyRead:
+class MultiGet:
     """One command in progress: the source of its reply, paused while the client does not read."""
 
-    def __init__(self, reads: ManyReads, command: ManyKeys, reply: Reply, now: int) -> None:
+    def __init__(self, reads: MultiGetReads, command: MultiGetCommand, reply: Reply, now: int) -> None:
         self.reads, self.command, self.reply = reads, command, reply
         self.name = command.id.decode()
         self.gathering = Gathering(command.keys, reads.shares.bounds.value)
@@ -31,7 +31,7 @@
         self.over = False
         """Whether the client has disconnected, or the answer is written."""
         self.streams: dict[int, KeyReply] = {}
-        self.exchanges: dict[PartExchange, None] = {}
+        self.exchanges: dict[BatchExchange, None] = {}
         self._advertised_ms, self._info = -1, b""
         self.unopened: dict[str, KeyAttempt] = {}
         """Keys that the decision module knows and that have no open request yet, by request id."""
@@ -40,7 +40,7 @@
         self.quarantined: set[int] = set()
         """Numbers of keys that have blocked or failed a batch: they are sent alone from then on."""
         due = max(self.deadline - reads.deadline_margin, now)
-        self.timer: Deadline = reads.host.call_at(due, lambda: after_news(reads.loop, self.time_up))
+        self.timer: Deadline = reads.host.call_at(due, lambda: after_poll(reads.loop, self.time_up))
 
     def info_to_send(self, now: int) -> bytes:
         """Return the list of names and values for a batch that is written at this time, in nanoseconds.
@@ -63,7 +63,7 @@
     def pause(self) -> None:
         """Stop requesting and reading: the client's connection takes no more."""
         self.paused = True
-        if self.reply.in_turn:  # else it waits for the answers ahead, and its keys may be asked meanwhile
+        if self.reply.is_next:  # else it waits for the answers ahead, and its keys may be asked meanwhile
             self.reads.shares.stalls(self.gathering, self.reads.host.now())
         for reply in self.streams.values():
             if reply.source is not None:
@@ -102,7 +102,7 @@
             self.reads.schedule(self)
             return
         self.reads.close(self, "cut off")
-        self.reply.cut_off()
+        self.reply.abort()
 
     def write(self) -> None:
         """Write the entries that are due; finish the answer after the last one."""
@@ -116,7 +116,7 @@
                 break
             stream = self.streams.get(number)
             if stream is not None:
-                stream.release()
+                stream.write_buffered()
         if gathering.written and not self.over:
             self.reads.forget(self)
             reply.send(b"")
--- a/pebblepass/daemon/multi_get/reads.py
+++ b/pebblepass/daemon/multi_get/reads.py
@@ -8,16 +8,16 @@
 
 from pebblepass.daemon.attempts import OpenRequest
 from pebblepass.daemon.clients import Reply
-from pebblepass.daemon.multi_get.batches import PartExchange
+from pebblepass.daemon.multi_get.batches import BatchExchange
 from pebblepass.daemon.multi_get.entries import KeyAttempt, KeyReply
-from pebblepass.daemon.multi_get.reading import NS_PER_MS, ManyRead
+from pebblepass.daemon.multi_get.reading import NS_PER_MS, MultiGet
 from pebblepass.daemon.upstream import Pool
 from pebblepass.decisions import BatchArrived, Effect, Outcome, SendBatch
 from pebblepass.multi_get import (
+    BatchBounds,
+    Batches,
     Gathering,
     HedgeBudget,
-    PartBounds,
-    Parts,
     Queued,
     ShareBounds,
     Shares,
@@ -34,7 +34,7 @@
 STARVED_RETRY_S = 0.01
 TURNS_BEFORE_SHORT_BATCHES = 12  # with keys requested, after which batches that are not full are sent too
 MAX_BATCHES_PER_TURN = 8
-MEMORY_SHARE = 0.25  # of the router's memory at most, for what is gathered
+MAX_MEMORY_FRACTION = 0.25  # of the router's memory at most, for what is gathered
 
 log = logging.getLogger("pebblepass")
 
@@ -44,7 +44,7 @@
     return int(command.id.rpartition(b".")[2])
 
 
-class ManyReads:
+class MultiGetReads:
     """All commands in progress in one router."""
 
     def __init__(
@@ -57,7 +57,7 @@
     ) -> None:
         """`memory`: the router's, in bytes."""
         self.loop, self.host, self._pool = loop, host, pool
-        held = min(section.held_kib << 10, int(memory * MEMORY_SHARE))
+        held = min(section.held_kib << 10, int(memory * MAX_MEMORY_FRACTION))
         self.shares = Shares(
             ShareBounds(
                 keys=section.keys_in_flight,
@@ -70,21 +70,23 @@
             )
         )
         settings = host.settings
-        bounds = PartBounds(
+        bounds = BatchBounds(
             keys=section.part_keys,
             pipelined=min(section.part_keys, settings.requests_per_connection),
             words=section.part_kib << 10,
             side_by_side=section.parts_of_server,
         )
-        self.batches: Parts[KeyAttempt] = Parts(bounds, min(cls.latency_target for cls in settings.classes))
+        self.batches: Batches[KeyAttempt] = Batches(
+            bounds, min(cls.latency_target for cls in settings.classes)
+        )
         self.hedges = HedgeBudget(section.hedge_share)
         self.deadline_margin = section.margin_ms * NS_PER_MS
         self._kinds = frozenset(section.node_kinds)
         self._safe = {cls.name for cls in settings.classes if cls.effect is Effect.IDEMPOTENT}
-        self._reads: dict[str, ManyRead] = {}
-        self._changed: dict[ManyRead, None] = {}
-        self._read_by_gathering: dict[Gathering, ManyRead] = {}
-        self.light = 0
+        self._reads: dict[str, MultiGet] = {}
+        self._changed: dict[MultiGet, None] = {}
+        self._read_by_gathering: dict[Gathering, MultiGet] = {}
+        self.unopened = 0
         """The number of keys that the decision module knows and that have no open request yet."""
         self._scheduled = False
         self._consecutive_deals = 0  # turns in a row in which keys were requested
@@ -92,7 +94,7 @@
 
     # Clients
 
-    def arrived(self, words: list[bytes], reply: Reply, refusing: bool) -> None:
+    def command_arrived(self, words: list[bytes], reply: Reply, refusing: bool) -> None:
         """Accept a command, or answer it with one error line."""
         host = self.host
         try:
@@ -107,7 +109,7 @@
         if cls not in self._safe:
             self._answer(reply, b"-ERR many keys are read in a class that is safe to repeat\r\n")
             return
-        read = ManyRead(self, command, reply, host.now())
+        read = MultiGet(self, command, reply, host.now())
         if refusing:
             self._reject(read, b"-BUSY\r\n", refused="connections")
         elif read.name in self._reads or host.knows_key_of(read.name):
@@ -120,16 +122,16 @@
 
     def _answer(self, reply: Reply, line: bytes) -> None:
         reply.send(line)
-        reply.forgotten()
+        reply.free_command()
 
-    def _reject(self, read: ManyRead, line: bytes, refused: str = "", failed: str = "") -> None:
+    def _reject(self, read: MultiGet, line: bytes, refused: str = "", failed: str = "") -> None:
         read.over = True
         read.timer.cancel()
         self._answer(read.reply, line)
         for number, key in enumerate(read.gathering.keys):
-            self.host.turned_away(read.command.read(number, key), refused, failed)
+            self.host.record_rejection(read.command.read(number, key), refused, failed)
 
-    def _accept(self, read: ManyRead) -> None:
+    def _accept(self, read: MultiGet) -> None:
         host, command, now = self.host, read.command, self.host.now()
         self._reads[read.name] = self._read_by_gathering[read.gathering] = read
         if host.ledger is not None:
@@ -138,7 +140,7 @@
                 size = command.key_size(key)
                 host.ledger.take(read.request_id(number), cls, tenant, now, read.deadline, size, PATH)
         read.reply.request = read
-        read.reply.forgotten()
+        read.reply.free_command()
         read.reply.start(read.gathering.head, read)
         self.schedule(read)
 
@@ -151,11 +153,11 @@
         """Return the request ids of all keys that have not ended."""
         return [name for read in self._reads.values() for name in read.open_ids()]
 
-    def client_gone(self, read: ManyRead) -> None:
+    def client_disconnected(self, read: MultiGet) -> None:
         """Close a command whose client has disconnected."""
         self.close(read, "")
 
-    def close(self, read: ManyRead, failed: str) -> None:
+    def close(self, read: MultiGet, failed: str) -> None:
         """End a command early: its unfinished keys fail for this reason, or are abandoned if it is empty."""
         if read.over:
             return
@@ -165,28 +167,28 @@
         self.drop(read)
         self.forget(read)
 
-    def end_unanswered(self, read: ManyRead, number: int, failed: str) -> None:
+    def end_unanswered(self, read: MultiGet, number: int, failed: str) -> None:
         """End one key without an answer from the decision module."""
         if number in read.abandoned:
             return
         host, request_id = self.host, read.request_id(number)
         request = host.request(request_id)
         if request is not None:
-            host.let_go(request, failed)
+            host.drop_request(request, failed)
         elif host.ledger is not None:  # it was never requested
             if failed:
                 host.ledger.fail(request_id, host.now(), failed)
             else:
                 host.ledger.leave(request_id, host.now())
 
-    def drop(self, read: ManyRead) -> None:
+    def drop(self, read: MultiGet) -> None:
         """Cancel a command's queued keys, and withdraw its batches."""
         for key in self.batches.drop(read):
             key.ensure_attempt().end(Outcome.SUPERSEDED)
         for exchange in list(read.exchanges):
             exchange.withdraw()
 
-    def forget(self, read: ManyRead) -> None:
+    def forget(self, read: MultiGet) -> None:
         """Remove a command that is finished."""
         read.over = True
         read.timer.cancel()
@@ -198,7 +200,7 @@
 
     # Turns
 
-    def schedule(self, read: ManyRead | None = None) -> None:
+    def schedule(self, read: MultiGet | None = None) -> None:
         """Run a turn soon: it writes answers, requests keys and sends batches. `read`: it has changed."""
         if read is not None:
             self._changed[read] = None
@@ -211,7 +213,7 @@
         changed, self._changed = self._changed, {}
         for read in changed:
             read.write()
-        dealt = self.shares.deal(self.host.room)
+        dealt = self.shares.deal(self.host.free_capacity)
         self._consecutive_deals = self._consecutive_deals + 1 if dealt is not None else 0
         if dealt is not None:
             gathering, numbers = dealt
@@ -229,22 +231,22 @@
         stalled = self.shares.to_shed(self.host.now())
         if stalled is not None:
             log.warning("a client takes nothing of its answer, and others wait for the memory")
-            self._read_by_gathering[stalled].reply.cut_off()
+            self._read_by_gathering[stalled].reply.abort()
         self.schedule()
 
-    def _request_keys(self, read: ManyRead, numbers: list[int]) -> None:
+    def _request_keys(self, read: MultiGet, numbers: list[int]) -> None:
         if read.over:
             return
         fields, keys, name = read.command.fields, read.gathering.keys, read.name
         asked = [KeyAttempt(read, number, f"{name}.{number}") for number in numbers]
         names = [key.request_id for key in asked]
         read.unopened.update(zip(names, asked, strict=True))
-        self.light += len(asked)
+        self.unopened += len(asked)
         texts = [keys[number].decode() for number in numbers]
         tenant = fields.get("t")
-        self.host.tell(BatchArrived(names, texts, fields["c"], read.deadline, tenant, name))
+        self.host.handle_event(BatchArrived(names, texts, fields["c"], read.deadline, tenant, name))
 
-    def opened(self, request_id: str) -> OpenRequest | None:
+    def open_request(self, request_id: str) -> OpenRequest | None:
         """Open the request of a key that had none until now; None: there is no such key."""
         read = self._reads.get(request_id.rpartition(".")[0])
         key = read.unopened.get(request_id) if read is not None else None
@@ -254,17 +256,17 @@
         """Open a key's request, and create the attempt for what was already sent."""
         read, number = key.read, key.number
         del read.unopened[key.request_id]
-        self.light -= 1
+        self.unopened -= 1
         command = read.command.read(number, read.gathering.keys[number])
         request = OpenRequest(key.request_id, command, KeyReply(read, number), read.deadline, of_command=True)
-        self.host.enter(request)
+        self.host.add_request(request)
         if key.server:
             key.attempt = self.host.attempt(request, key.server)
             if key.batch is not None:
                 key.attempt.begin(key.batch)
         return request
 
-    def offer_keys(self, action: SendBatch) -> None:
+    def send_batch(self, action: SendBatch) -> None:
         """Queue keys for the server that the decision module has chosen for them."""
         read, server = self._reads[action.command], action.server
         words, unopened, timeout = read.gathering.keys, read.unopened, action.timeout
@@ -276,7 +278,7 @@
         self.batches.offer_all(server, read, offered)
         self.schedule()
 
-    def offer(self, attempt: Attempt, server: str, timeout: int) -> None:
+    def send_single(self, attempt: Attempt, server: str, timeout: int) -> None:
         """Queue one key for its chosen server: a retry, a hedge, or a key that is sent by itself."""
         command = attempt.command
         read = self._reads.get(attempt.request_id.rpartition(".")[0])
@@ -293,14 +295,16 @@
     def _send_batches(self, full_only: bool) -> None:
         for key in self.batches.blocked():
             attempt = key.ensure_attempt()
-            attempt.spare(always=True)  # it was never sent: exclude it from the server's health statistics
+            attempt.exclude_from_health(
+                always=True
+            )  # it was never sent: exclude it from the server's health statistics
             attempt.end(Outcome.SUPERSEDED)
         batches = self.batches.due(self.host.now(), self._supports_batches, full_only, MAX_BATCHES_PER_TURN)
         if len(batches) == MAX_BATCHES_PER_TURN:
             self.schedule()
         for batch in batches:
             self.hedges.attempted(len(batch.items))
-            exchange = PartExchange(self, batch)
+            exchange = BatchExchange(self, batch)
             self._pool.submit(batch.server, exchange)
 
     # The list of servers
@@ -309,12 +313,12 @@
         """Return whether a server accepts many keys in one command."""
         return self.host.kinds.get(server) in self._kinds
 
-    def left(self, server: str) -> None:
+    def server_left(self, server: str) -> None:
         """Fail the keys that are queued for a server that drains or has been removed."""
         for key in self.batches.server_left(server):
             key.ensure_attempt().end(Outcome.CONNECT_FAILED)
 
-    def time_up(self) -> None:
+    def end_all(self) -> None:
         """End every command now, as if its deadline had passed."""
         for read in list(self._reads.values()):
             read.time_up()
--- a/pebblepass/daemon/origin.py
+++ b/pebblepass/daemon/origin.py
@@ -73,7 +73,7 @@
         """Gather a part of the body, or pass it on."""
         if self._streaming:
             if self.exchange is not None:
-                self.exchange.value_came(data)
+                self.exchange.value_received(data)
             return
         before = len(self._body)
         self._body += data
@@ -95,7 +95,7 @@
     def _feed(self) -> None:
         while self._rest and not self._paused and self.exchange is not None:
             part, self._rest = self._rest[:LARGE], self._rest[LARGE:]
-            self.exchange.value_came(bytes(part))
+            self.exchange.value_received(bytes(part))
         if self._rest is not None and not self._rest:
             self._let_go()
             self._end(None)
--- a/pebblepass/daemon/router.py
+++ b/pebblepass/daemon/router.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any, Protocol, cast
 
 from pebblepass.control.counters import Counters
-from pebblepass.daemon.attempts import Attempt, OpenRequest, Place
+from pebblepass.daemon.attempts import Attempt, OpenRequest, ReplySlot
 from pebblepass.daemon.caches import CacheConnection
 from pebblepass.daemon.deadlines import Deadline, Deadlines
 from pebblepass.daemon.lag import LoopLag
@@ -68,7 +68,7 @@
 class Commands(Protocol):
     """Reads of many keys, as their host knows them."""
 
-    light: int
+    unopened: int
     """Keys that the module has been told of and that have no open request."""
 
     def open_ids(self) -> list[str]:
@@ -77,22 +77,22 @@
     def owns(self, request_id: str) -> bool:
         """Whether this is the id of a key of a command under way."""
 
-    def opened(self, request_id: str) -> OpenRequest | None:
+    def open_request(self, request_id: str) -> OpenRequest | None:
         """The open request of a key that had none until now; None: there is no such key."""
 
-    def offer_keys(self, action: SendBatch) -> None:
+    def send_batch(self, action: SendBatch) -> None:
         """The module has chosen a server for keys that it was just told of."""
 
-    def offer(self, attempt: Attempt, server: str, timeout: int) -> None:
+    def send_single(self, attempt: Attempt, server: str, timeout: int) -> None:
         """The module has chosen a server for a key that is asked once more, or by itself."""
 
-    def client_gone(self, read: Any) -> None:
+    def client_disconnected(self, read: Any) -> None:
         """The client of the command has left whose reply this was the request of."""
 
-    def left(self, server: str) -> None:
+    def server_left(self, server: str) -> None:
         """A server drains or is gone: nothing that waits for it is sent there."""
 
-    def time_up(self) -> None:
+    def end_all(self) -> None:
         """Give every command its answer now, with what there is."""
 
     def abandon(self) -> None:
@@ -124,8 +124,8 @@
         """Tell the module."""
         self._timer.cancel()
         latency = self._host.now() - self._sent_at
-        load = self._host.load(answer.report or answer.value)
-        self._host.tell(HealthCheckEnded(self._server, outcome, latency, load))
+        load = self._host.parse_load_report(answer.report or answer.value)
+        self._host.handle_event(HealthCheckEnded(self._server, outcome, latency, load))
 
 
 class RouterHost:
@@ -158,10 +158,10 @@
         self._events: deque[Event] = deque()
         self._handling = self._list_lost = False
         self._loads: dict[bytes, tuple[float, ...] | None] = {}
-        self.lag = LoopLag(loop, self.now, lambda lag: self.tell(EventLoopLagged(lag)))
+        self.lag = LoopLag(loop, self.now, lambda lag: self.handle_event(EventLoopLagged(lag)))
 
     @property
-    def owed(self) -> int:
+    def open_request_count(self) -> int:
         """Requests that have no final answer yet, or one that is still being passed on."""
         return len(self.open_requests())
 
@@ -176,7 +176,7 @@
             found.update(dict.fromkeys(self.many.open_ids()))
         return found
 
-    def load(self, report: bytes | None) -> tuple[float, ...] | None:
+    def parse_load_report(self, report: bytes | None) -> tuple[float, ...] | None:
         """Read a load report; a server sends the same one until its next, so that those read are kept."""
         if not report:
             return None
@@ -191,15 +191,15 @@
         """The fetches a second that each namespace may have now."""
         return self._router.limits()
 
-    def wanted(self) -> dict[str, int]:
+    def demand(self) -> dict[str, int]:
         """The fetches that each namespace has wanted of the store so far, and its writes."""
         return self._router.demand()
 
-    def listed(self) -> list[Server]:
+    def ready_servers(self) -> list[Server]:
         """The ready servers, as they were listed last."""
         return self._router.ready_servers()
 
-    def knowledge(self) -> RouterState:
+    def export_state(self) -> RouterState:
         """What the module has learned."""
         return self._router.export_state(self.now())
 
@@ -207,23 +207,23 @@
         """The platform's figures, a line each."""
         nodes = sum(kind != self.settings.origin_kind for kind in self.kinds.values())
         avoided = len(self._router.avoided(self.now()))
-        return self.counters.lines(self.owed, nodes, avoided)
+        return self.counters.lines(self.open_request_count, nodes, avoided)
 
     # Clients
 
-    def request_arrived(self, command: Command, reply: Place) -> None:
+    def request_arrived(self, command: Command, reply: ReplySlot) -> None:
         """Take a request: from here on it is owed one final answer."""
         request_id = command.id.decode("ascii")
         fields = command.fields
         if fields["c"] not in self.classes:
             reply.send(b"-ERR unknown class\r\n")
-        elif self.knows(request_id):
+        elif self.is_known(request_id):
             # Danger: two requests under one id would share attempts, and one would have the other's answer.
             reply.send(b"-ERR duplicate id\r\n")
-            self.turned_away(command, failed="duplicate id")
-        elif self.room <= 0:
+            self.record_rejection(command, failed="duplicate id")
+        elif self.free_capacity <= 0:
             reply.send(b"-BUSY\r\n")
-            self.turned_away(command, refused="open requests")
+            self.record_rejection(command, refused="open requests")
         else:
             now = self.now()
             deadline = now - reply.unread_ns + command.timeout_ms * NS_PER_MS
@@ -232,7 +232,7 @@
                 self.ledger.take(request_id, fields["c"], tenant, now, deadline, command.size, PATH)
             self.open(OpenRequest(request_id, command, reply, deadline))
             return
-        reply.forgotten()
+        reply.free_command()
 
     def open(self, request: OpenRequest) -> None:
         """Give the module a request; it is accounted for already."""
@@ -242,9 +242,11 @@
         fields = command.fields
         tenant, key, write = fields.get("t"), command.key.decode(), command.value is not None
         retry = fields.get("r") == "1"
-        self.tell(RequestArrived(request_id, fields["c"], request.deadline, tenant, key, write, retry))
+        self.handle_event(
+            RequestArrived(request_id, fields["c"], request.deadline, tenant, key, write, retry)
+        )
 
-    def knows(self, request_id: str) -> bool:
+    def is_known(self, request_id: str) -> bool:
         """Whether a request has this id that is owed an answer, or has attempts out still."""
         return request_id in self._requests or (self.many is not None and self.many.owns(request_id))
 
@@ -256,20 +258,20 @@
     def request(self, request_id: str) -> OpenRequest | None:
         """The request of this id, if the module has it."""
         found = self._requests.get(request_id)
-        return found if found is not None or self.many is None else self.many.opened(request_id)
+        return found if found is not None or self.many is None else self.many.open_request(request_id)
 
-    def enter(self, request: OpenRequest) -> None:
+    def add_request(self, request: OpenRequest) -> None:
         """A key of a read of many, which the module has heard of already, gets a place of its own here."""
         request.reply.request = request
         self._requests[request.id] = request
 
     @property
-    def room(self) -> int:
+    def free_capacity(self) -> int:
         """How many more requests may be open."""
-        light = self.many.light if self.many is not None else 0
+        light = self.many.unopened if self.many is not None else 0
         return self._max_open - len(self._requests) - light
 
-    def turned_away(self, command: Command, refused: str = "", failed: str = "") -> None:
+    def record_rejection(self, command: Command, refused: str = "", failed: str = "") -> None:
         """Account for a request that the module never hears of."""
         cls = command.fields["c"]
         if cls in self.classes:
@@ -278,14 +280,14 @@
             tenant = command.fields.get("t")
             self.ledger.turn_away(cls, tenant, self.now(), command.size, PATH, refused, failed)
 
-    def client_gone(self, reply: Place) -> None:
+    def client_disconnected(self, reply: ReplySlot) -> None:
         """The client that waits for this reply has left."""
         if isinstance(reply.request, OpenRequest):
-            self.let_go(reply.request)
+            self.drop_request(reply.request)
         elif self.many is not None and reply.request is not None:
-            self.many.client_gone(reply.request)
+            self.many.client_disconnected(reply.request)
 
-    def let_go(self, request: OpenRequest, failed: str = "") -> None:
+    def drop_request(self, request: OpenRequest, failed: str = "") -> None:
         """Nothing is owed to this request any more: its client has left, or it has failed for this reason."""
         if failed and not request.closed:
             self.counters.errored[request.command.fields["c"]] += 1
@@ -298,17 +300,17 @@
         if isinstance(request.reply.source, Attempt):
             request.reply.source.client_left()
         request.withdraw()
-        self.settle(request)
-        self.tell(ClientDisconnected(request.id))
+        self.forget_if_settled(request)
+        self.handle_event(ClientDisconnected(request.id))
 
     def end_open(self) -> None:
         """The router's time is up: what is still owed an answer gets its final one now."""
         if self.many is not None:
-            self.many.time_up()
+            self.many.end_all()
         for request in list(self._requests.values()):
             if not request.closed:
                 self._answer(request.id, FAILED, failed="router ended")
-                self.tell(ClientDisconnected(request.id))
+                self.handle_event(ClientDisconnected(request.id))
 
     def abandon(self) -> None:
         """The router ends: what is still owed an answer has failed, whatever becomes of its connection."""
@@ -320,11 +322,11 @@
         for request in self._requests.values():
             request.closed = request.accounted = True
 
-    def settle(self, request: OpenRequest) -> None:
+    def forget_if_settled(self, request: OpenRequest) -> None:
         """Forget a request that is answered and has nothing out."""
         if request.closed and not request.out and request.id in self._requests:
             del self._requests[request.id]
-            request.reply.forgotten()
+            request.reply.free_command()
 
     def _answer(self, request_id: str, data: bytes, refused: str = "", failed: str = "") -> None:
         request = self.request(request_id)
@@ -338,7 +340,7 @@
                     self.ledger.fail(request_id, self.now(), failed)
             request.reply.send(data)
             request.withdraw()
-            self.settle(request)
+            self.forget_if_settled(request)
 
     # The list of servers
 
@@ -374,15 +376,15 @@
             self._pool.unlist_server(server_id)
             self.kinds.pop(server_id, None)
             if self.many is not None:
-                self.many.left(server_id)
+                self.many.server_left(server_id)
 
     def discovery_failed(self) -> None:
         """Tell the module that a call of discovery failed."""
-        self.tell(ServersChanged(ListKind.FAILED))
+        self.handle_event(ServersChanged(ListKind.FAILED))
 
     # Events and actions
 
-    def tell(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """Give the module an event; one made while actions are carried out waits for its turn."""
         self._events.append(event)
         self._handle_events()
@@ -422,7 +424,7 @@
                 self._send(action)
             case SendBatch():
                 assert self.many is not None
-                self.many.offer_keys(action)
+                self.many.send_batch(action)
             case SetTimer():
                 self._set_timer(self.now() + action.delay, action.token)
             case Reject():
@@ -457,7 +459,7 @@
             attempt.end(Outcome.SUPERSEDED)
             return
         if request.of_command and self.many is not None and action.server not in self._origins:
-            self.many.offer(attempt, action.server, action.timeout)
+            self.many.send_single(attempt, action.server, action.timeout)
             return
         due = min(now + action.timeout, request.deadline) if action.timeout else request.deadline
         attempt.wait_until(due)
@@ -465,4 +467,4 @@
 
     def _set_timer(self, due: int, token: str) -> None:
         # Danger: a timer that came early would tell the module nothing, and the request would wait for ever.
-        self.call_at(due, lambda: self.tell(TimerFired(token)))
+        self.call_at(due, lambda: self.handle_event(TimerFired(token)))
--- a/pebblepass/daemon/succession.py
+++ b/pebblepass/daemon/succession.py
@@ -15,9 +15,9 @@
 from pebblepass.discovery.registry import Clock, Discovery, read_listing, write_listing
 from pebblepass.handover.knowledge import aged
 from pebblepass.handover.messages import (
-    MOST_HANDED,
+    MAX_CONNECTIONS_PER_MESSAGE,
     Account,
-    Handed,
+    ConnectionState,
     HandoverError,
     read_account,
     write_account,
@@ -79,9 +79,9 @@
     def account(self) -> bytes:
         """The list, and what the module has learned."""
         routed, host = self._routed, self._routed.host
-        servers = host.listed()
+        servers = host.ready_servers()
         listing = write_listing(routed.discovery.generation, servers, routed.pool.addresses(), routed.clock)
-        account = Account(listing, host.knowledge(), host.now())
+        account = Account(listing, host.export_state(), host.now())
         return write_account(account, routed.clock.unix_ms)
 
     def learn(self, account: bytes) -> None:
@@ -94,7 +94,7 @@
             raise HandoverError(str(error)) from None
         routed.discovery.generation = listing.generation
         routed.host.servers_changed(listing)
-        routed.host.tell(StateImported(aged(told.knowledge, told.told_at, now)))
+        routed.host.handle_event(StateImported(aged(told.knowledge, told.told_at, now)))
         self.told = True
 
     def begin_serving(self) -> None:
@@ -130,7 +130,7 @@
         routed.clients.limit, routed.pool.limit = clients, servers
         routed.clients.budget.resize(routed.budget if alone else routed.budget // 2)
 
-    def take(self, sock: socket.socket, handed: Handed) -> None:
+    def take(self, sock: socket.socket, handed: ConnectionState) -> None:
         """Go on with a client's connection."""
         sock.setblocking(False)
         self._routed.clients.limit += 1  # it brings its place along: the old process has one less
@@ -149,8 +149,10 @@
     def _send(self) -> None:
         """Several in one message: each message holds up this process's answers, and the other's."""
         leaving, self._leaving = self._leaving, []
-        for at in range(0, len(leaving), MOST_HANDED):
-            self._send_some([held for held in leaving[at : at + MOST_HANDED] if not held.closed])
+        for at in range(0, len(leaving), MAX_CONNECTIONS_PER_MESSAGE):
+            self._send_some(
+                [held for held in leaving[at : at + MAX_CONNECTIONS_PER_MESSAGE] if not held.closed]
+            )
 
     def _send_some(self, connections: list[ClientConnection]) -> None:
         fds = [held.descriptor for held in connections]
--- a/pebblepass/daemon/upstream.py
+++ b/pebblepass/daemon/upstream.py
@@ -52,29 +52,29 @@
     """One command or HTTP request to a server and what comes of it; told of its end exactly once."""
 
     connection: Connection | None = None
-    over = False
+    is_over = False
     is_probe = False
     is_write = False
-    several = False
+    carries_several = False
     """It stands for more than one request, each with an answer of its own."""
     array_expected = False
     """The answers come within one array, whose head is still to come."""
-    stale = False
+    connection_failed = False
     """Ended with a connection that had served before and broke without a byte of an answer, or with one that
     had no place beside this router's others, or was the first not to come up since its server was heard."""
-    crowded = False
+    connection_rejected = False
     """Turned away with a new connection, the only one to this server."""
 
     @property
-    def wanted(self) -> bool:
+    def is_wanted(self) -> bool:
         """Whether it is to be sent still, once there is a connection for it."""
         return True
 
     def may_begin(self) -> bool:
         """Whether it is to be sent in this moment; one that is not may end itself in here."""
-        return self.wanted
+        return self.is_wanted
 
-    def waits(self) -> None:
+    def mark_unsent(self) -> None:
         """Take note that it waits for a connection, or for the kernel to take its last byte."""
 
     @abstractmethod
@@ -91,29 +91,29 @@
     def value_started(self, length: int, source: ValueSource) -> None:
         """Take the start of a value over 64 KiB."""
 
-    def value_came(self, data: bytes) -> None:
+    def value_received(self, data: bytes) -> None:
         """Take a part of it."""
 
-    def array_begins(self, count: int) -> None:
+    def array_started(self, count: int) -> None:
         """Take the head of the array of answers; -1: an error line stands in its place."""
 
-    def takes_more(self, outcome: Outcome, answer: Answer) -> bool:
+    def record_answer(self, outcome: Outcome, answer: Answer) -> bool:
         """Take one answer of several; False: it is the last, and `ended` takes it."""
         return False
 
     @property
-    def plain(self) -> int:
+    def expected_hits(self) -> int:
         """How many of the next answers need no more than their value's bytes, where they are hits."""
         return 0
 
-    def hits_came(self, entries: list[bytes]) -> bool:
+    def record_hits(self, entries: list[bytes]) -> bool:
         """Take so many of those answers, each its value as a bulk string; whether that was the last."""
         raise NotImplementedError
 
     def end(self, outcome: Outcome, answer: Answer = NOTHING) -> None:
         """End it, unless it has ended."""
-        if not self.over:
-            self.over, self.connection = True, None
+        if not self.is_over:
+            self.is_over, self.connection = True, None
             self.ended(outcome, answer)
 
     def withdraw(self) -> None:
@@ -189,7 +189,7 @@
         # Guards what may not be repeated: where the kernel takes nothing, nothing can have run.
         self.unsent = self.unsent or self.transport.is_closing()
         if self.unsent:
-            exchange.waits()
+            exchange.mark_unsent()
         else:
             exchange.written()
 
@@ -215,7 +215,7 @@
         """Take an answer; with the last one that the exchange expects it ends, and the connection is free."""
         exchange = self.exchange
         self._kept = True
-        if exchange is not None and exchange.several and exchange.takes_more(outcome, answer):
+        if exchange is not None and exchange.carries_several and exchange.record_answer(outcome, answer):
             return
         self._free()
         if exchange is not None:
@@ -224,7 +224,7 @@
     def hits(self, exchange: Exchange, entries: list[bytes]) -> None:
         """Take answers that need no more than their values; `finish` for many."""
         self._kept = True
-        if exchange.hits_came(entries):
+        if exchange.record_hits(entries):
             self._free()
             exchange.end(Outcome.OK)
 
@@ -242,11 +242,11 @@
         """Take a refusal. A first one that tells nothing of the load is one for want of a place."""
         exchange = self.exchange
         told_of_load = answer.report is not None or not self.server.pool.reports
-        if exchange is not None and not (told_of_load or self._kept or exchange.several):
+        if exchange is not None and not (told_of_load or self._kept or exchange.carries_several):
             # Danger: kept, it would be turned away again and again, and holds a place that it does not have.
             self.retired = True
-            exchange.crowded = not self.server.pool.no_room(self)
-            exchange.stale = not exchange.crowded
+            exchange.connection_rejected = not self.server.pool.no_room(self)
+            exchange.connection_failed = not exchange.connection_rejected
         self.finish(Outcome.OVERLOADED, answer)
 
     def spoil(self, reason: str) -> None:
@@ -284,7 +284,7 @@
         self.server.pool.lost(self)
         if exchange is not None:
             # Guards a sound server's name: kept connections break on their own, above all unused ones.
-            exchange.stale = self._kept and not (self._answering or self.unsent)
+            exchange.connection_failed = self._kept and not (self._answering or self.unsent)
             exchange.end(Outcome.CONNECT_FAILED if self.unsent else Outcome.RESET)
 
 
@@ -407,7 +407,7 @@
             connection.start(exchange)
             return
         server.waiting.append(exchange)
-        exchange.waits()
+        exchange.mark_unsent()
         self._dial_for(server)
 
     def _rested(self, server: Server) -> Connection | None:
@@ -429,7 +429,7 @@
     def _next_waiting(self, server: Server) -> Exchange | None:
         while server.waiting:
             exchange = server.waiting.popleft()
-            if exchange.over:
+            if exchange.is_over:
                 continue
             if exchange.may_begin():
                 return exchange
@@ -509,7 +509,7 @@
                 connection.close()
 
     def _dial_for(self, server: Server) -> None:
-        while server.waiting and server.waiting[0].over:
+        while server.waiting and server.waiting[0].is_over:
             server.waiting.popleft()
         if self._closed or not server.waiting:
             return
@@ -575,10 +575,10 @@
     def _dial_failed(self, server: Server, lone: bool) -> None:
         while server.waiting:
             exchange = server.waiting.popleft()
-            if not exchange.over:
+            if not exchange.is_over:
                 # Guards against a dead server that looks like a slow one: without its end the attempt
                 # lasts until its time is up, and nobody tries another server.
-                exchange.stale = lone
+                exchange.connection_failed = lone
                 exchange.end(Outcome.CONNECT_FAILED)
                 break
         self._dial_for(server)
--- a/pebblepass/fault_injection/router.py
+++ b/pebblepass/fault_injection/router.py
@@ -138,13 +138,13 @@
 
         self._router.handle = handle  # type: ignore[method-assign]
 
-    def tell(self, event: Any) -> None:
+    def handle_event(self, event: Any) -> None:
         """Broken on demand: a router that takes no end of its lease."""
         if self.serves_on and isinstance(event, PolicyChanged):
             if not event.expires_at:
                 return
             event = PolicyChanged(event.policy, 1 << 62)
-        super().tell(event)
+        super().handle_event(event)
         if isinstance(event, PolicyChanged) and (event.policy.uses_leases or self._beyond):
             self._record_share(event)
 
--- a/pebblepass/handover/channel.py
+++ b/pebblepass/handover/channel.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from pebblepass.handover.messages import MOST_HANDED, HandoverError, Message, decode, encode
+from pebblepass.handover.messages import MAX_CONNECTIONS_PER_MESSAGE, HandoverError, Message, decode, encode
 
 DOOR = "pebblepass-handover"
 MOST_MESSAGE = 256 << 10  # more than sixteen connections with what is held of their commands take
@@ -71,7 +71,9 @@
     def _read(self) -> None:
         while not self.closed:
             try:
-                data, fds, flags, _ = socket.recv_fds(self._sock, MOST_MESSAGE, 2 * MOST_HANDED)
+                data, fds, flags, _ = socket.recv_fds(
+                    self._sock, MOST_MESSAGE, 2 * MAX_CONNECTIONS_PER_MESSAGE
+                )
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
--- a/pebblepass/handover/messages.py
+++ b/pebblepass/handover/messages.py
@@ -19,8 +19,8 @@
 MOST_BYTES = 48 << 10  # of one message: far under what a socket's buffer takes
 MOST_TOLD = 4 << 20
 MOST_CROWDED = 8
-MOST_HELD = 4 << 10  # bytes of a command under way that change hands with its connection
-MOST_HANDED = 16  # connections in one message
+MAX_PARTIAL_COMMAND = 4 << 10  # bytes of a command under way that change hands with its connection
+MAX_CONNECTIONS_PER_MESSAGE = 16  # connections in one message
 
 
 class HandoverError(Exception):
@@ -53,7 +53,7 @@
     servers: int
 
 
-class Handed(Struct, frozen=True):
+class ConnectionState(Struct, frozen=True):
     """What goes with one client's connection."""
 
     held: bytes
@@ -71,7 +71,7 @@
 class Connections(Struct, frozen=True):
     """Clients' connections; their descriptors travel beside, in the same order."""
 
-    handed: tuple[Handed, ...]
+    handed: tuple[ConnectionState, ...]
 
 
 Message = Hello | Refused | Told | Ready | Held | Connections
@@ -139,9 +139,11 @@
     return value
 
 
-def _handed(held: str, begun_ms: Any, spoken: Any, protocol: Any, name: str, number: Any) -> Handed:
+def _handed(held: str, begun_ms: Any, spoken: Any, protocol: Any, name: str, number: Any) -> ConnectionState:
     count = _count(begun_ms), _count(protocol), _count(number)
-    return Handed(bytes.fromhex(held), count[0], bool(spoken), count[1], bytes.fromhex(name), count[2])
+    return ConnectionState(
+        bytes.fromhex(held), count[0], bool(spoken), count[1], bytes.fromhex(name), count[2]
+    )
 
 
 def parts(account: bytes) -> list[Told]:
--- a/pebblepass/handover/parts.py
+++ b/pebblepass/handover/parts.py
@@ -12,7 +12,7 @@
 from pebblepass.handover.messages import (
     MOST_TOLD,
     Connections,
-    Handed,
+    ConnectionState,
     HandoverError,
     Held,
     Hello,
@@ -59,7 +59,7 @@
     def room(self, clients: int, servers: int, alone: bool) -> None:
         """Hold so many at most from now on; `alone`: and use all of a router's memory."""
 
-    def take(self, sock: socket.socket, handed: Handed) -> None:
+    def take(self, sock: socket.socket, handed: ConnectionState) -> None:
         """Go on with a client's connection."""
 
 
@@ -97,7 +97,7 @@
         """SIGTERM has come."""
         self._stay(OldEvent.TERMINATE)
 
-    def give(self, fds: list[int], handed: list[Handed], done: Callable[[bool], None]) -> None:
+    def give(self, fds: list[int], handed: list[ConnectionState], done: Callable[[bool], None]) -> None:
         """Hand clients' connections on; `done` is told whether they have left, at once or later."""
         if self._channel is None:
             done(False)
--- a/pebblepass/multi_get/__init__.py
+++ b/pebblepass/multi_get/__init__.py
@@ -5,19 +5,19 @@
 worth its price (`hedging`), and what goes into the answer (`gathering`).
 """
 
-from pebblepass.multi_get.command import ManyKeys, parse_many
+from pebblepass.multi_get.command import MultiGetCommand, parse_many
 from pebblepass.multi_get.gathering import Gathering, State
 from pebblepass.multi_get.hedging import HedgeBudget
-from pebblepass.multi_get.parts import Part, PartBounds, Parts, Queued
+from pebblepass.multi_get.parts import Batch, BatchBounds, Batches, Queued
 from pebblepass.multi_get.shares import ShareBounds, Shares
 
 __all__ = [
+    "Batch",
+    "BatchBounds",
+    "Batches",
     "Gathering",
     "HedgeBudget",
-    "ManyKeys",
-    "Part",
-    "PartBounds",
-    "Parts",
+    "MultiGetCommand",
     "Queued",
     "ShareBounds",
     "Shares",
--- a/pebblepass/multi_get/command.py
+++ b/pebblepass/multi_get/command.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class ManyKeys:
+class MultiGetCommand:
     """A read of many keys as it came."""
 
     keys: list[bytes]
@@ -32,7 +32,7 @@
         return len(key) + len(self.id) + len(self.info)
 
 
-def parse_many(words: list[bytes]) -> ManyKeys:
+def parse_many(words: list[bytes]) -> MultiGetCommand:
     """Take a read of many keys apart; raises ValueError in one plain line."""
     if len(words) < OTHERS:
         raise ValueError(f"wrong number of arguments for {MANY.decode()}")
@@ -51,4 +51,4 @@
         check_key(b"")
     check_key(b"/".join(keys))
     fields, timeout = read_fields(request, info)
-    return ManyKeys(keys, request, info, fields, timeout)
+    return MultiGetCommand(keys, request, info, fields, timeout)
--- a/pebblepass/multi_get/parts.py
+++ b/pebblepass/multi_get/parts.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PartBounds:
+class BatchBounds:
     """The bounds of a part and of what one server has side by side."""
 
     keys: int = 32
@@ -37,7 +37,7 @@
     """Parts that one server has under way."""
 
 
-class Part(Generic[Item]):
+class Batch(Generic[Item]):
     """Keys of one command that go to one server together."""
 
     __slots__ = (  # noqa: RUF023
@@ -101,10 +101,10 @@
         return int(max(self.usual, self.per_key * keys) + self.spread * SPREADS)
 
 
-class Parts(Generic[Item]):
+class Batches(Generic[Item]):
     """Keys on their way to servers. Times are nanoseconds of the caller's clock."""
 
-    def __init__(self, bounds: PartBounds, aim: int) -> None:
+    def __init__(self, bounds: BatchBounds, aim: int) -> None:
         """`aim`: that of the quickest class, in nanoseconds."""
         self._bounds, self._aim = bounds, aim
         self._servers: dict[str, _Server[Item]] = {}
@@ -146,12 +146,12 @@
 
     def due(
         self, now: int, speaks: Callable[[str], bool], full_only: bool = False, most: int = 1 << 30
-    ) -> list[Part[Item]]:
+    ) -> list[Batch[Item]]:
         """Cut the parts that may leave now, `most` of them; `speaks`: a server takes a part as one command.
 
         `full_only`: more keys are about to be offered, so that parts that would be short wait for them.
         """
-        parts: list[Part[Item]] = []
+        parts: list[Batch[Item]] = []
         for server in list(self._ready):
             held = self._servers[server]
             as_one = speaks(server)
@@ -166,7 +166,7 @@
                 del self._ready[server]  # until a part ends, or a key is offered
         return parts
 
-    def _cut(self, server: str, held: _Server[Item], now: int, as_one: bool, most: int) -> Part[Item]:
+    def _cut(self, server: str, held: _Server[Item], now: int, as_one: bool, most: int) -> Batch[Item]:
         """The next command in turn has a part of its keys sent; with more left it waits for its next turn."""
         owner = held.turns.popleft()
         queue = held.queues[owner]
@@ -184,7 +184,7 @@
             chosen = queue
             del held.queues[owner]
         held.running += 1
-        part = Part(server, owner, [queued[2] for queued in chosen], now, as_one)
+        part = Batch(server, owner, [queued[2] for queued in chosen], now, as_one)
         first = chosen[0][4]
         behind = int(held.per_key * PATIENCE * (count - 1))
         part.patience = first + behind if first and all(queued[4] for queued in chosen) else 0
@@ -193,7 +193,7 @@
         part.held_up_after = int(self._aim * HELD_UP_SHARE) + held.enough(count)
         return part
 
-    def held_up(self, part: Part[Item], now: int) -> tuple[int, list[Item]]:
+    def held_up(self, part: Batch[Item], now: int) -> tuple[int, list[Item]]:
         """Whether the first unanswered key holds up those behind it, as it has been silent for too long.
 
         Returns how long to wait until the next look, 0: it does; and those behind it, which are taken out of
@@ -235,7 +235,7 @@
         in_time = FIRST_KEYS if not held.usual else int(self._aim * AIM_SHARE / held.per_key)
         return max(1, min(most, in_time))
 
-    def answer(self, part: Part[Item], now: int) -> int:
+    def answer(self, part: Batch[Item], now: int) -> int:
         """The part's next key is being answered; returns the time to hold against its server for it.
 
         Servers that take a part's keys one after another and those that work on all of them at once look
@@ -248,7 +248,7 @@
             self._servers[part.server].learn(took, count)
         return max(took * 2 // (place + count), 1)
 
-    def end(self, part: Part[Item]) -> None:
+    def end(self, part: Batch[Item]) -> None:
         """The part is over, however it ended."""
         held = self._servers[part.server]
         if part.stuck:
--- a/pebblepass/scale/hollow.py
+++ b/pebblepass/scale/hollow.py
@@ -104,14 +104,14 @@
         """The time in nanoseconds."""
         return self._now()
 
-    def tell(self, event: PolicyChanged) -> None:
+    def handle_event(self, event: PolicyChanged) -> None:
         """Take a lease; one after none is told."""
         now = self._now()
         if self._until <= now < event.expires_at:
             self._tell(Report("held", now, self._name, event.policy.version))
         self._until = event.expires_at
 
-    def wanted(self) -> dict[str, int]:
+    def demand(self) -> dict[str, int]:
         """No fetches: nobody asks a hollow router for anything."""
         return {}
 
--- a/tests/accounting/test_rehearsed.py
+++ b/tests/accounting/test_rehearsed.py
@@ -111,11 +111,11 @@
 
     done = False
 
-    def settle(self, request: OpenRequest) -> None:
+    def forget_if_settled(self, request: OpenRequest) -> None:
         if not self.done and request.closed and self.ledger is not None and not request.accounted:
             self.done = True
             self.ledger.leave(request.id, self.now())
-        super().settle(request)
+        super().forget_if_settled(request)
 
 
 class NeverTakes(RouterHost):
@@ -123,11 +123,11 @@
 
     done = False
 
-    def client_gone(self, reply: Any) -> None:
+    def client_disconnected(self, reply: Any) -> None:
         if not self.done and self.ledger is not None:
             self.done = True
             self.ledger.serve("nothing", self.now(), 1)
-        super().client_gone(reply)
+        super().client_disconnected(reply)
 
 
 @pytest.mark.parametrize(
--- a/tests/connection_limits/test_places.py
+++ b/tests/connection_limits/test_places.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import given, strategies
 
-from pebblepass.connection_limits.places import KEPT_S, MIDWAY_S, NEW_S, Standing, makes_room
+from pebblepass.connection_limits.places import KEPT_S, MIDWAY_S, NEW_S, Standing, choose_eviction
 
 BETWEEN, MIDWAY, NEW, BUSY = Standing.BETWEEN, Standing.MIDWAY, Standing.NEW, Standing.BUSY
 
@@ -25,15 +25,15 @@
     ],
 )
 def test_who_goes(held: list[tuple[str, Standing, float]], goes: str | None) -> None:
-    assert makes_room(held) == goes
-    assert makes_room(reversed(held)) == goes
+    assert choose_eviction(held) == goes
+    assert choose_eviction(reversed(held)) == goes
 
 
 @given(strategies.lists(strategies.tuples(strategies.sampled_from(Standing), strategies.floats(0, 5))))
 def test_nobody_that_is_owed_an_answer_or_is_about_to_ask_ever_goes(
     held: list[tuple[Standing, float]],
 ) -> None:
-    gone = makes_room((number, *each) for number, each in enumerate(held))
+    gone = choose_eviction((number, *each) for number, each in enumerate(held))
     if gone is None:
         assert not any(
             standing is BETWEEN
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -249,11 +249,11 @@
         host, pool = self.host, self.pool
         module = host._router
         assert host._requests == {}
-        assert host.owed == 0
+        assert host.open_request_count == 0
         assert {**module._requests, **module._flights} == {}
-        assert module._line == []
+        assert module._fetch_queue == []
         nodes = [*module._caches.nodes.values(), *module._origins.nodes.values()]
-        assert {node.entry.id: node.load for node in nodes if node.load} == {}
+        assert {node.entry.id: node.attempts_in_flight for node in nodes if node.attempts_in_flight} == {}
         servers = list(pool._servers.values())
         assert all(not server.waiting for server in servers)
         assert pool._held == sum(server.held for server in servers)
--- a/tests/daemon/test_clients.py
+++ b/tests/daemon/test_clients.py
@@ -23,7 +23,7 @@
     ready = True
     lag = NeverPolled()
 
-    def turned_away(self, command: Command, refused: str = "", failed: str = "") -> None:
+    def record_rejection(self, command: Command, refused: str = "", failed: str = "") -> None:
         pass
 
     def __init__(self) -> None:
@@ -36,9 +36,9 @@
             self.held.append(reply)
             return
         reply.send(b"+%b\r\n" % command.id)
-        reply.forgotten()
+        reply.free_command()
 
-    def client_gone(self, reply: Reply) -> None:
+    def client_disconnected(self, reply: Reply) -> None:
         self.gone.append(reply)
 
 
--- a/tests/daemon/test_descriptors.py
+++ b/tests/daemon/test_descriptors.py
@@ -243,12 +243,12 @@
     def request_arrived(self, command: Command, reply: Reply) -> None:
         self.answered += 1
         reply.send(b"$8192\r\n%b\r\n" % bytes(8192))
-        reply.forgotten()
+        reply.free_command()
 
-    def client_gone(self, reply: Reply) -> None:
+    def client_disconnected(self, reply: Reply) -> None:
         raise AssertionError("every request is answered at once")
 
-    def turned_away(self, command: Command, refused: str = "", failed: str = "") -> None:
+    def record_rejection(self, command: Command, refused: str = "", failed: str = "") -> None:
         raise AssertionError("there is room")
 
 
--- a/tests/daemon/test_ends.py
+++ b/tests/daemon/test_ends.py
@@ -407,7 +407,7 @@
         cache, origin = bed.caches["a"], bed.origin
         gates = {peer.address: asyncio.Event() for peer in (cache, bed.caches["b"], origin)}
         bed.loop.gates.update(gates)
-        bed.host._router._window = 2.0
+        bed.host._router._fetch_window = 2.0
         cache.came = bed.caches["b"].came = cache.miss
 
         def busy(line: PeerLine, name: str) -> None:
@@ -463,7 +463,7 @@
         # Each of these is held up a second time: an attempt that begins looks for its client itself.
         stack.enter_context(patch.object(clients.ClientConnection, "is_alive", lambda self: True))
         if broken == "waits":
-            stack.enter_context(patch.object(attempts.Attempt, "wanted", True))
+            stack.enter_context(patch.object(attempts.Attempt, "is_wanted", True))
             stack.enter_context(patch.object(attempts.OpenRequest, "withdraw", lambda self: None))
         else:
             stack.enter_context(
--- a/tests/daemon/test_gone.py
+++ b/tests/daemon/test_gone.py
@@ -16,7 +16,7 @@
 import pytest
 
 from pebblepass.daemon.clients import MAX_PIPELINE, ClientConnection
-from pebblepass.daemon.multi_get.batches import PartExchange
+from pebblepass.daemon.multi_get.batches import BatchExchange
 from pebblepass.daemon.upstream import REST_S
 from pebblepass.decisions import Send
 from tests.crossings import ADDRESS, LONG_DIALS, Bed, ClientLine, PeerLine, asked, crossing
@@ -177,7 +177,7 @@
     bed = kind.bed
     for cache in bed.caches.values():
         cache.came = cache.miss
-    bed.host._router._window = 1.0
+    bed.host._router._fetch_window = 1.0
     other = await bed.client()
     other.ask("other", key="other")
     await bed.settle()
@@ -302,7 +302,7 @@
         sock = client.writer.transport.get_extra_info("socket")._sock
         hold = HoldUp(site.loop, sock, leaves)
         if where == "submit":
-            is_part = lambda server, exchange: isinstance(exchange, PartExchange)  # noqa: E731
+            is_part = lambda server, exchange: isinstance(exchange, BatchExchange)  # noqa: E731
             before_call(site.daemon._pool, "submit", hold, is_part)
         else:
             before_call(site.daemon._pool, "opened", hold)
--- a/tests/daemon/test_greetings.py
+++ b/tests/daemon/test_greetings.py
@@ -11,15 +11,15 @@
 import redis
 import redis.asyncio
 
-from pebblepass.daemon.greetings import Greeted, greet
+from pebblepass.daemon.greetings import ClientSession, answer_session_command
 from pebblepass.wire.resp import UnknownCommandError
 from tests.sockets import MISS, Client, Peer, Routed, bulk, hit, http_answer, routed
 
 INFO = "c=get,t=acme,d=5000"
 
 
-def said(text: str, client: Greeted | None = None, ready: bool = True) -> bytes:
-    return greet(text.encode().split(), client or Greeted(7), ready, connected=3)
+def said(text: str, client: ClientSession | None = None, ready: bool = True) -> bytes:
+    return answer_session_command(text.encode().split(), client or ClientSession(7), ready, connected=3)
 
 
 @pytest.mark.parametrize(
@@ -61,7 +61,7 @@
 
 
 def test_hello_tells_its_facts_in_the_form_of_the_protocol_that_it_sets() -> None:
-    client = Greeted(7)
+    client = ClientSession(7)
     two, three = said("HELLO 2", client), said("HELLO 3 SETNAME me", client)
     assert two.startswith(b"*14\r\n")
     assert b"$5\r\nproto\r\n:2\r\n" in two
@@ -75,7 +75,7 @@
 
 
 def test_a_hello_that_fails_changes_nothing() -> None:
-    client = Greeted(7)
+    client = ClientSession(7)
     for text in ("HELLO 9", "HELLO 3 AUTH a b", "HELLO 3 SETNAME", "HELLO 3 SETNAME é"):
         assert said(text, client).startswith(b"-")
         assert (client.protocol, client.name) == (2, b"")
--- a/tests/daemon/test_lag.py
+++ b/tests/daemon/test_lag.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from pebblepass.daemon.lag import HEARTBEAT_NS, PEAK_WINDOW_NS, LoopLag, after_news
+from pebblepass.daemon.lag import HEARTBEAT_NS, PEAK_WINDOW_NS, LoopLag, after_poll
 from pebblepass.simulation.clock import VirtualLoop
 from tests.virtual import played
 
@@ -46,7 +46,7 @@
         server = await loop.create_server(Reader, HOST, 0)
         _, writer = await asyncio.open_connection(*server.sockets[0].getsockname())
         loop.call_later(0.005, writer.write, b"x")
-        loop.call_later(0.010, after_news, loop, lambda: seen.append("verdict"))
+        loop.call_later(0.010, after_poll, loop, lambda: seen.append("verdict"))
         loop.call_soon(loop.stall, 0.03)
         await asyncio.sleep(0.1)
         assert seen == ["answer", "verdict"]
--- a/tests/daemon/test_orders.py
+++ b/tests/daemon/test_orders.py
@@ -285,7 +285,7 @@
             self.loop.call_later(0.2, self._pool.submit, "origin", attempt)
 
     class Forward(attempts.Attempt):
-        wanted = True
+        is_wanted = True
 
     with patch.object(router.RouterHost, "_answer", answer), patch.object(attempts, "Attempt", Forward):
         yield
@@ -311,7 +311,11 @@
     whole = upstream.Exchange.end
 
     def end(self: Any, outcome: Outcome, answer: Any = upstream.NOTHING) -> None:
-        whole(self, Outcome.CONNECT_FAILED if self.stale and outcome is Outcome.RESET else outcome, answer)
+        whole(
+            self,
+            Outcome.CONNECT_FAILED if self.connection_failed and outcome is Outcome.RESET else outcome,
+            answer,
+        )
 
     with patch.object(upstream.Exchange, "end", end):
         yield
@@ -354,7 +358,7 @@
 @contextmanager
 def repeats_after_the_window() -> Iterator[None]:
     """A repeat that had to wait leaves however late it is."""
-    with patch.object(attempts.Attempt, "wanted", property(lambda self: not self._request.closed)):
+    with patch.object(attempts.Attempt, "is_wanted", property(lambda self: not self._request.closed)):
         yield
 
 
--- a/tests/daemon/test_standing_terms.py
+++ b/tests/daemon/test_standing_terms.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from pebblepass.daemon.attempts import Place
+from pebblepass.daemon.attempts import ReplySlot
 from pebblepass.daemon.daemon import Daemon
 from pebblepass.daemon.router import RouterHost
 from pebblepass.decisions.interface import NS_PER_S
@@ -168,14 +168,14 @@
     class Refuses(RouterHost):
         refuses = False
 
-        def request_arrived(self, command: Command, reply: Place) -> None:
+        def request_arrived(self, command: Command, reply: ReplySlot) -> None:
             after = (self.now() - self.started) / NS_PER_S - begin
             if not (self.refuses and 0 <= after < seconds):
                 super().request_arrived(command, reply)
                 return
             reply.send(b"-BUSY\r\n")
-            self.turned_away(command, refused="open requests")
-            reply.forgotten()
+            self.record_rejection(command, refused="open requests")
+            reply.free_command()
 
         def __init__(self, *given: Any) -> None:
             super().__init__(*given)
--- a/tests/daemon/test_unread_age.py
+++ b/tests/daemon/test_unread_age.py
@@ -14,7 +14,7 @@
 from pebblepass.daemon.lag import LoopLag
 from pebblepass.daemon.loop import DaemonLoop
 from pebblepass.daemon.unread_age import RECENT_S, SHORT_READ, BacklogAge, UnreadAge
-from pebblepass.handover.messages import Handed
+from pebblepass.handover.messages import ConnectionState
 from pebblepass.wire.resp import Command
 from tests.crossings import ADDRESS, Advertised, Bed, asked, crossing
 from tests.daemon.test_deadline_propagation import advertised_to, advertised_too_much
@@ -93,12 +93,12 @@
     def request_arrived(self, command: Command, reply: Reply) -> None:
         self.unread_s.append(reply.unread_ns / 1e9)
         reply.send(b"$1\r\nv\r\n")
-        reply.forgotten()
+        reply.free_command()
 
-    def client_gone(self, reply: Reply) -> None:
+    def client_disconnected(self, reply: Reply) -> None:
         pass
 
-    def turned_away(self, command: Command, refused: str = "", failed: str = "") -> None:
+    def record_rejection(self, command: Command, refused: str = "", failed: str = "") -> None:
         raise AssertionError("there is room")
 
 
@@ -160,7 +160,7 @@
     client.send(command[20:])
     accepted, _ = bed.loop.network.by_fd[listener.sockets[0].fileno()].accept()
     bed.loop.stall(HOLD_UP_S)
-    await bed.daemon.clients.adopt(accepted, Handed(command[:20], 0, True, 0, b"", 0))
+    await bed.daemon.clients.adopt(accepted, ConnectionState(command[:20], 0, True, 0, b"", 0))
     await bed.settle()
     listener.close()
 
--- a/tests/daemon/test_upstream.py
+++ b/tests/daemon/test_upstream.py
@@ -48,14 +48,14 @@
     def value_started(self, length: int, source: ValueSource) -> None:
         self._left, self._source = length, source
 
-    def value_came(self, data: bytes) -> None:
+    def value_received(self, data: bytes) -> None:
         self._left -= len(data)
         if not self._left:
             self._source.pause()
             asyncio.get_running_loop().call_later(0.05, self._client_takes_again)
 
     def _client_takes_again(self) -> None:
-        if not self.over:
+        if not self.is_over:
             self._source.resume()
 
 
@@ -225,7 +225,7 @@
             connection = exchange.connection
             assert connection is not None
             connection.data_received(answer[:cut])
-            assert not exchange.over
+            assert not exchange.is_over
             connection.data_received(answer[cut:])
             assert (await exchange.came())[0] is outcome
 
@@ -238,14 +238,14 @@
         for n in range(2):
             exchange = stand.submit(b"a%d" % n)
             assert await exchange.came() == (Outcome.OVERLOADED, None)
-            assert exchange.crowded
+            assert exchange.connection_rejected
             assert stand.accepted == n + 1  # kept, the first would be turned away again
         stand.answer = hit
         assert (await stand.ask(b"b"))[0] is Outcome.OK
         stand.answer = lambda _: b"-BUSY\r\n"
         exchange = stand.submit(b"c")
         assert (await exchange.came())[0] is Outcome.OVERLOADED
-        assert not exchange.crowded  # it has a place: this is its queue
+        assert not exchange.connection_rejected  # it has a place: this is its queue
 
     with_pool(test)
 
@@ -255,7 +255,7 @@
         stand.answer = lambda _: b"-BUSY queue=9,latency_ms=40\r\n"
         exchange = stand.submit(b"a")
         assert (await exchange.came())[0] is Outcome.OVERLOADED
-        assert not exchange.crowded
+        assert not exchange.connection_rejected
 
     with_pool(test)
 
@@ -266,7 +266,7 @@
         slow = stand.submit(b"slow")
         turned_away = stand.submit(b"a")
         assert (await turned_away.came())[0] is Outcome.OVERLOADED
-        assert (turned_away.crowded, turned_away.stale) == (False, True)
+        assert (turned_away.connection_rejected, turned_away.connection_failed) == (False, True)
         stand.answer = hit
         waiting = stand.submit(b"b")
         await asyncio.sleep(0)
@@ -302,7 +302,7 @@
         for name in (b"a", b"b"):
             exchange = stand.submit(name)
             assert (await exchange.came())[0] is Outcome.OVERLOADED
-            assert (exchange.crowded, exchange.stale) == (False, False)
+            assert (exchange.connection_rejected, exchange.connection_failed) == (False, False)
         assert stand.accepted == 2  # the one that was turned away is kept
         slow.give_up(Outcome.TIMEOUT)
 
--- a/tests/daemon/test_whole_answers.py
+++ b/tests/daemon/test_whole_answers.py
@@ -36,7 +36,7 @@
         pass
 
 
-class Place:
+class ReplySlot:
     """What a connection knows of its server."""
 
     id, pool = "s1", NoPool()
@@ -67,12 +67,12 @@
 
 def judged(answer: bytes, size: int) -> tuple[list[tuple[Any, ...]], bool]:
     """What becomes of the attempt, and whether the connection can go on, with answers in pieces so long."""
-    connection = CacheConnection(cast(Server, Place()))
+    connection = CacheConnection(cast(Server, ReplySlot()))
     connection.transport = NoTransport()
     exchange = Told()
     connection.exchange, exchange.connection = exchange, connection
     for at in range(0, len(answer), size):
-        if exchange.over:
+        if exchange.is_over:
             break
         connection.data_received(answer[at : at + size])
     return exchange.seen, connection.usable
@@ -154,7 +154,7 @@
     def value_started(self, length: int, source: ValueSource) -> None:
         self.length, self.source = length, source
 
-    def value_came(self, data: bytes) -> None:
+    def value_received(self, data: bytes) -> None:
         assert self.source is not None
         self.value += data
         self.source.pause()
--- a/tests/handover/test_messages.py
+++ b/tests/handover/test_messages.py
@@ -13,7 +13,7 @@
     MOST_BYTES,
     Account,
     Connections,
-    Handed,
+    ConnectionState,
     HandoverError,
     Held,
     Hello,
@@ -33,7 +33,7 @@
 UNIX = 500 * S  # what the donor's clock is ahead of Unix time; the reader's is 7 s further
 counts = strategies.integers(0, 10_000)
 handed = strategies.builds(
-    Handed,
+    ConnectionState,
     strategies.binary(max_size=60),
     counts,
     strategies.booleans(),
--- a/tests/multi_get/site.py
+++ b/tests/multi_get/site.py
@@ -14,7 +14,7 @@
 from pebblepass.accounting.ledger import Breach, Ledger
 from pebblepass.daemon.config import read_config
 from pebblepass.daemon.daemon import Daemon
-from pebblepass.daemon.multi_get.reads import ManyReads
+from pebblepass.daemon.multi_get.reads import MultiGetReads
 from pebblepass.emulators.listening import LOOPBACK, Line, Place, Station
 from pebblepass.emulators.ports import take_port
 from pebblepass.emulators.registry import RegistryAgent
@@ -243,13 +243,13 @@
 
     async def settle(self) -> None:
         """Wait until nothing is out, and hold the run against what always has to be so."""
-        await self.until(lambda: not self.host.owed)
+        await self.until(lambda: not self.host.open_request_count)
         await asyncio.sleep(3.0)  # the longest that an attempt goes on after its request is answered
         self.ledger.audit(self.host.now(), 0, self.host.open_requests())
         assert self.breaches == []
-        assert self.host.room == self.ceilings["maxOpen"]
+        assert self.host.free_capacity == self.ceilings["maxOpen"]
         many = self.host.many
-        assert isinstance(many, ManyReads)
+        assert isinstance(many, MultiGetReads)
         assert (len(many.shares), many.shares.held) == (0, 0)
         tries = Counter(request for _, _, _, request in self.attempts)
         assert max(tries.values(), default=0) <= self.ceilings["mostTries"] or self.as_one
--- a/tests/multi_get/test_parts.py
+++ b/tests/multi_get/test_parts.py
@@ -5,19 +5,19 @@
 from hypothesis import given, settings, strategies
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from pebblepass.multi_get import Part, PartBounds, Parts
+from pebblepass.multi_get import Batch, BatchBounds, Batches
 
 MS = 1_000_000
 AIM = 300 * MS
-BOUNDS = PartBounds(keys=6, pipelined=4, words=100, side_by_side=2)
+BOUNDS = BatchBounds(keys=6, pipelined=4, words=100, side_by_side=2)
 
 
 def no_one(_: str) -> bool:
     return False
 
 
-def filled(count: int, owner: str = "c", patience: int = 50 * MS) -> Parts[int]:
-    parts: Parts[int] = Parts(BOUNDS, AIM)
+def filled(count: int, owner: str = "c", patience: int = 50 * MS) -> Batches[int]:
+    parts: Batches[int] = Batches(BOUNDS, AIM)
     for number in reversed(range(count)):
         parts.offer("s", owner, number, number, size=10, patience=patience)
     return parts
@@ -34,7 +34,7 @@
 
 
 def test_words_bound_a_part_and_a_key_over_the_bound_goes_by_itself() -> None:
-    parts: Parts[int] = Parts(BOUNDS, AIM)
+    parts: Batches[int] = Batches(BOUNDS, AIM)
     for number, size in enumerate((200, 60, 30, 30)):
         parts.offer("s", "c", number, number, size)
     assert [part.items for part in parts.due(0, no_one)] == [[0], [1, 2]]
@@ -64,7 +64,7 @@
 def test_a_keys_share_of_its_parts_time_is_right_within_a_factor_of_two(count: int, work: int) -> None:
     """Whether the server works on one key after another, or on all at once."""
     for one_by_one in (True, False):
-        parts: Parts[int] = Parts(PartBounds(pipelined=8), AIM)
+        parts: Batches[int] = Batches(BatchBounds(pipelined=8), AIM)
         for number in range(count):
             parts.offer("s", "c", number, number)
         (part,) = parts.due(0, no_one)
@@ -147,9 +147,9 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.parts: Parts[int] = Parts(BOUNDS, AIM)
+        self.parts: Batches[int] = Batches(BOUNDS, AIM)
         self.waiting: set[int] = set()
-        self.out: list[Part[int]] = []
+        self.out: list[Batch[int]] = []
         self.number = self.now = 0
 
     @rule(
--- a/tests/simulation/test_deadlines.py
+++ b/tests/simulation/test_deadlines.py
@@ -9,7 +9,7 @@
 
 from pebblepass.daemon import deadline_propagation
 from pebblepass.daemon.attempts import Attempt
-from pebblepass.daemon.multi_get.reading import ManyRead
+from pebblepass.daemon.multi_get.reading import MultiGet
 from pebblepass.simulation.page import as_page, deadline_line
 from pebblepass.simulation.plan import Plan, make_plan
 from pebblepass.simulation.referee import Rule
@@ -109,7 +109,7 @@
 def test_a_read_of_many_keys_that_advertises_the_clients_timeout_is_caught(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(ManyRead, "info_to_send", lambda self, now: self.command.info)
+    monkeypatch.setattr(MultiGet, "info_to_send", lambda self, now: self.command.info)
     report = rehearse(plan(LISTS))
     assert broken_rules(report) == [Rule.DEADLINE.value]
     assert first_breaches(report)
--- a/tests/simulation/test_rehearsal.py
+++ b/tests/simulation/test_rehearsal.py
@@ -220,11 +220,11 @@
 class AnswersTwice(RouterHost):
     """Writes a second answer behind the first."""
 
-    def settle(self, request: OpenRequest) -> None:
+    def forget_if_settled(self, request: OpenRequest) -> None:
         if request.closed and not request.out and request.id in self._requests:
             assert isinstance(request.reply, Reply)
             request.reply._connection.write(b"-ERR and again\r\n")
-        super().settle(request)
+        super().forget_if_settled(request)
 
 
 class RepeatsWrites(RouterHost):
@@ -304,7 +304,7 @@
 
 def test_a_fault_in_the_daemons_code_fails_the_rehearsal() -> None:
     class Stumbles(RouterHost):
-        def client_gone(self, reply: Any) -> None:
+        def client_disconnected(self, reply: Any) -> None:
             raise ZeroDivisionError("stumbled")
 
     scenario = small(faults=(Fault(kind="clients-leave", at_s=1, for_s=9, share=0.2),))
