--- a/tests/daemon/test_upgrade.py
+++ b/tests/daemon/test_upgrade.py
@@ -16,6 +16,7 @@
 from tests.sockets import (
     FACTS,
     PATIENCE_S,
+    ROOT,
     Client,
     DiscoveryPeer,
     Peer,
@@ -42,8 +43,8 @@
         self.logs: list[str] = []
         self.numbers = itertools.count()
 
-    def start(self) -> tuple[subprocess.Popen[str], int]:
-        """Start a process, and wait until it says that it is ready; returns it and its control address."""
+    def start(self, checkout: Path = ROOT) -> tuple[subprocess.Popen[str], int]:
+        """Start a checkout's process, and wait until it is ready; returns it and its control address."""
         ops = take_port()
         told = {
             "listen": f"127.0.0.1:{self.port}",
@@ -56,7 +57,7 @@
         folder.mkdir()
         number = self.held.fileno()
         environ = {"LB_INHERITED_FD": str(number), "TMPDIR": str(self.folder)}
-        process = start_router(folder, told, (number,), **environ)
+        process = start_router(folder, told, (number,), checkout, **environ)
         self.processes.append(process)
         eventually(lambda: process.poll() is not None or is_yes(ops), "the word that it is ready")
         assert process.poll() is None, process.communicate()[1]
--- a/tests/fault_injection/site.py
+++ b/tests/fault_injection/site.py
@@ -63,6 +63,8 @@
         """From a client's answer to its next read."""
         self.elders: list[subprocess.Popen[bytes]] = []
         """Processes that another one of their name has been started beside."""
+        self.checkouts: dict[str, Path] = {}
+        """Routers that run the daemon of a checkout as deployed; they write no history."""
         self._stop = threading.Event()
         self._clients: list[threading.Thread] = []
 
@@ -101,8 +103,8 @@
             self.elders.append(self.processes[name])
         with self.logs[name].open("ab") as log:
             self.processes[name] = subprocess.Popen(
-                [sys.executable, "-m", "pebblepass.fault_injection.router"],
-                cwd=ROOT,
+                [sys.executable, "-m", self._module(name)],
+                cwd=self.checkouts.get(name, ROOT),
                 env={
                     **os.environ,
                     "LB_CONFIG": str(home / "config.json"),
@@ -115,6 +117,9 @@
                 pass_fds=self.held,
             )
 
+    def _module(self, name: str) -> str:
+        return "pebblepass.daemon" if name in self.checkouts else "pebblepass.fault_injection.router"
+
     def signal(self, name: str, how: signal.Signals) -> None:
         """Send a signal; SIGKILL is waited out."""
         self.processes[name].send_signal(how)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -257,14 +257,17 @@
 
 
 def start_router(
-    folder: Path, told: Mapping[str, Any], held: tuple[int, ...] = (), **environ: str
+    folder: Path, told: Mapping[str, Any], held: tuple[int, ...] = (), checkout: Path = ROOT, **environ: str
 ) -> subprocess.Popen[str]:
-    """Start a router; `held`: the descriptors that it inherits, `environ`: variables beside its own."""
+    """Start a router of a checkout.
+
+    `held`: the descriptors that it inherits, `environ`: variables beside its own.
+    """
     config = folder / "config.json"
     config.write_text(json.dumps(told))
     return subprocess.Popen(
         [sys.executable, "-m", "pebblepass.daemon"],
-        cwd=ROOT,
+        cwd=checkout,
         env={**os.environ, "LB_CONFIG": str(config), "TMPDIR": str(folder), **environ},
         stderr=subprocess.PIPE,
         text=True,
