--- a/tests/daemon/test_descriptors.py
+++ b/tests/daemon/test_descriptors.py
@@ -26,6 +26,7 @@
 from pebblepass.wire.resp import Command
 from tests.daemon.test_clients import NeverPolled, until
 from tests.daemon.test_operations import figures
+from tests.processes import end_by_sigterm, spawn
 from tests.sockets import (
     FACTS,
     PATIENCE_S,
@@ -125,7 +126,7 @@
             told["limits"] = {"sockets": told_sockets}
         config = folder / "config.json"
         config.write_text(json.dumps(told))
-        self.process = subprocess.Popen(
+        self.process: subprocess.Popen[str] = spawn(
             ["/bin/sh", "-c", f"ulimit -n {LIMIT}; exec {sys.executable} -m pebblepass.daemon"],
             cwd=ROOT,
             env={**os.environ, "LB_CONFIG": str(config), "TMPDIR": str(folder)},
@@ -162,8 +163,7 @@
     def end(self) -> None:
         """End it by SIGTERM."""
         self.let.set()
-        self.process.terminate()
-        _, self.log = self.process.communicate(timeout=PATIENCE_S)
+        self.log = end_by_sigterm(self.process, PATIENCE_S)
         self._counted.set()
         self._counting.join()
         for peer in (*self.caches.values(), self.discovery.peer):
--- a/tests/daemon/test_large_fleet.py
+++ b/tests/daemon/test_large_fleet.py
@@ -12,6 +12,7 @@
 from pebblepass.emulators.ports import take_port
 from tests.daemon.test_operations import figures
 from tests.daemon.test_upgrade import site
+from tests.processes import end_by_sigterm
 from tests.sockets import (
     FACTS,
     PATIENCE_S,
@@ -70,9 +71,7 @@
         assert took < READY_S
         yield Routed(process, port, discovery, folder / "config.json")
     finally:
-        if process.poll() is None:
-            process.terminate()
-        _, log = process.communicate(timeout=PATIENCE_S)
+        log = end_by_sigterm(process, PATIENCE_S)
     assert process.returncode == 0, log
     assert "Traceback" not in log, log
 
--- a/tests/daemon/test_operations.py
+++ b/tests/daemon/test_operations.py
@@ -8,6 +8,7 @@
 import pytest
 
 from pebblepass.emulators.ports import take_port
+from tests.processes import end_by_sigterm, ending
 from tests.sockets import (
     FACTS,
     MISS,
@@ -116,8 +117,7 @@
             assert early.answer() in (b"+PONG", b"-LOADING no list of servers yet")
             assert Client(port).ask(get("q1")) == b"v"
         finally:
-            process.terminate()
-            process.communicate(timeout=PATIENCE_S)
+            end_by_sigterm(process, PATIENCE_S)
         assert process.returncode == 0
         # It lets go of the socket, and the platform has it still.
         assert held.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
@@ -141,7 +141,8 @@
         told = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": FACTS}
         number = str(held.get(given, given))
         process = start_router(tmp_path, told, tuple(held.values()), LB_INHERITED_FD=number)
-        _, said = process.communicate(timeout=PATIENCE_S)
+        with ending(process):
+            _, said = process.communicate(timeout=PATIENCE_S)
     assert process.returncode == 2
     assert complaint in said
     assert said.count("\n") == 1
--- a/tests/daemon/test_signals.py
+++ b/tests/daemon/test_signals.py
@@ -14,6 +14,7 @@
 import pytest
 
 from pebblepass.emulators.ports import take_port
+from tests.processes import end_by_sigterm, ending, spawn
 from tests.sockets import (
     FACTS,
     PATIENCE_S,
@@ -85,7 +86,7 @@
     """The deploy file's own line, with this interpreter for the one that `build` lays down."""
     run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     assert ".venv/bin/python" in run
-    return subprocess.Popen(
+    return spawn(
         ["/bin/sh", "-c", run.replace(".venv/bin/python", sys.executable)],
         cwd=ROOT,
         env={**os.environ, "LB_CONFIG": str(config), "TMPDIR": str(folder), **environ},
@@ -156,8 +157,7 @@
         assert client.ask(get("r1")) == b"k"
         client.close()
     finally:
-        process.terminate()
-        _, log = process.communicate(timeout=PATIENCE_S)
+        log = end_by_sigterm(process, PATIENCE_S)
         discovery.peer.close()
         cache.close()
     assert process.returncode == 0, log
@@ -179,8 +179,7 @@
             pipe.write(told(port, before))
         eventually(lambda: after.peer.seen, "the new address is asked")
     finally:
-        process.terminate()
-        _, log = process.communicate(timeout=PATIENCE_S)
+        log = end_by_sigterm(process, PATIENCE_S)
         for peer in (before.peer, after.peer, cache):
             peer.close()
     assert process.returncode == 0, log
@@ -189,9 +188,10 @@
 def test_sigterm_before_the_router_is_ready_ends_it_in_good_order(tmp_path: Path) -> None:
     """No discovery answers: it listens, and is told to end while it still waits for its first list."""
     process, port = started_alone(tmp_path)
-    eventually(lambda: listens(port), "it listens")
-    process.send_signal(signal.SIGTERM)
-    _, log = process.communicate(timeout=PATIENCE_S)
+    with ending(process):
+        eventually(lambda: listens(port), "it listens")
+        process.send_signal(signal.SIGTERM)
+        _, log = process.communicate(timeout=PATIENCE_S)
     assert process.returncode == 0, log
     assert "Traceback" not in log
 
@@ -220,7 +220,8 @@
 @pytest.mark.parametrize("moment", MOMENTS_OF_THE_START)
 def test_a_sigterm_before_the_router_takes_it_ends_the_process(tmp_path: Path, moment: str) -> None:
     process, _, sent = started_to_signal_itself(tmp_path, moment, signal.SIGTERM)
-    _, log = process.communicate(timeout=PATIENCE_S)
+    with ending(process):
+        _, log = process.communicate(timeout=PATIENCE_S)
     assert sent.exists()
     assert process.returncode == -signal.SIGTERM, log
 
@@ -231,9 +232,10 @@
     tmp_path: Path, moment: str, number: signal.Signals
 ) -> None:
     process, port, sent = started_to_signal_itself(tmp_path, moment, number)
-    eventually(lambda: listens(port), "it listens")
-    process.send_signal(signal.SIGTERM)
-    _, log = process.communicate(timeout=PATIENCE_S)
+    with ending(process):
+        eventually(lambda: listens(port), "it listens")
+        process.send_signal(signal.SIGTERM)
+        _, log = process.communicate(timeout=PATIENCE_S)
     assert sent.exists()
     assert process.returncode == 0, log
     assert "Traceback" not in log
@@ -242,14 +244,15 @@
 def test_sigterm_again_and_again_up_to_the_exit_changes_nothing(tmp_path: Path) -> None:
     """Also once the interpreter has gone, where the process can't signal itself."""
     process, port = started_alone(tmp_path)
-    eventually(lambda: listens(port), "it listens")
 
     def over() -> bool:
         process.send_signal(signal.SIGTERM)
         return process.poll() is not None
 
-    while not over():
-        pass
-    _, log = process.communicate(timeout=PATIENCE_S)
+    with ending(process):
+        eventually(lambda: listens(port), "it listens")
+        while not over():
+            pass
+        _, log = process.communicate(timeout=PATIENCE_S)
     # One that is being delivered in the very moment in which it becomes ignored leaves a line in the log.
     assert process.returncode == 0, log
--- a/tests/daemon/test_standing_terms.py
+++ b/tests/daemon/test_standing_terms.py
@@ -25,6 +25,7 @@
 from pebblepass.simulation.report import verdict
 from pebblepass.simulation.scenario import Fault, Fleet, Range, RequestClass, Scenario, Traffic, Trouble
 from pebblepass.wire.resp import Command
+from tests.processes import end_by_sigterm
 from tests.sockets import FACTS, PATIENCE_S, DiscoveryPeer, eventually, is_ready, start_router
 
 WINDOW_S, MOST_IN_WINDOW = 4.0, 14  # a router that turns away more without an attempt breaks the term
@@ -341,8 +342,7 @@
         return self.took is not None or self.process.poll() is not None
 
     def end(self) -> int:
-        self.process.terminate()
-        self.process.communicate(timeout=PATIENCE_S)
+        end_by_sigterm(self.process, PATIENCE_S)
         return self.process.returncode
 
 
--- a/tests/daemon/test_upgrade.py
+++ b/tests/daemon/test_upgrade.py
@@ -13,6 +13,7 @@
 
 from pebblepass.emulators.ports import take_port
 from tests.daemon.test_operations import control, figures
+from tests.processes import kill_process
 from tests.sockets import (
     FACTS,
     PATIENCE_S,
@@ -41,6 +42,7 @@
         self.processes: list[subprocess.Popen[str]] = []
         self.logs: list[str] = []
         self.numbers = itertools.count()
+        self.cleanup = contextlib.ExitStack()
 
     def start(self) -> tuple[subprocess.Popen[str], int]:
         """Start a process, and wait until it says that it is ready; returns it and its control address."""
@@ -58,6 +60,7 @@
         environ = {"LB_INHERITED_FD": str(number), "TMPDIR": str(self.folder)}
         process = start_router(folder, told, (number,), **environ)
         self.processes.append(process)
+        self.cleanup.callback(kill_process, process)
         eventually(lambda: process.poll() is not None or is_yes(ops), "the word that it is ready")
         assert process.poll() is None, process.communicate()[1]
         return process, ops
@@ -82,15 +85,16 @@
 @contextlib.contextmanager
 def site(folder: Path, caches: dict[str, Peer], sockets: int = 256) -> Iterator[Site]:
     made = Site(folder, caches, sockets)
-    try:
-        yield made
-    finally:
-        for process in made.processes:
-            if process.poll() is None:
-                made.end(process)
-        made.held.close()
-        for peer in (*caches.values(), made.discovery.peer):
-            peer.close()
+    with made.cleanup:
+        try:
+            yield made
+        finally:
+            for process in made.processes:
+                if process.poll() is None:
+                    made.end(process)
+            made.held.close()
+            for peer in (*caches.values(), made.discovery.peer):
+                peer.close()
     assert not any("Traceback" in log for log in made.logs), made.logs
 
 
--- a/tests/fault_injection/site.py
+++ b/tests/fault_injection/site.py
@@ -21,6 +21,7 @@
 from pebblepass.fault_injection.checkers import check_all
 from pebblepass.fault_injection.history import Event, read_history
 from pebblepass.fault_injection.relay import Relays
+from tests.processes import spawn
 from tests.sockets import (
     FACTS,
     MISS,
@@ -100,7 +101,7 @@
         if name in self.processes and self.processes[name].poll() is None:
             self.elders.append(self.processes[name])
         with self.logs[name].open("ab") as log:
-            self.processes[name] = subprocess.Popen(
+            self.processes[name] = spawn(
                 [sys.executable, "-m", "pebblepass.fault_injection.router"],
                 cwd=ROOT,
                 env={
--- /dev/null
+++ b/tests/processes.py
@@ -0,0 +1,81 @@
+"""Child processes of tests: they start with default signal dispositions, and are always ended."""
+
+from __future__ import annotations
+
+import os
+import signal
+import subprocess
+from collections.abc import Iterator, Sequence
+from contextlib import contextmanager, suppress
+from pathlib import Path
+from typing import Any
+
+RESTORED_SIGNALS = (signal.SIGINT, signal.SIGTERM, signal.SIGHUP)
+
+
+def restore_signals() -> None:
+    """Restore the default dispositions.
+
+    A child inherits ignored signals: SIGINT from the background job of a shell, SIGHUP from nohup.
+    """
+    for number in RESTORED_SIGNALS:
+        signal.signal(number, signal.SIG_DFL)
+
+
+def spawn(command: Sequence[str], **options: Any) -> subprocess.Popen[Any]:
+    """Start a process that takes signals as one started from an interactive shell does.
+
+    Args:
+        command: The program and its arguments.
+        options: Options of `subprocess.Popen`.
+    """
+    return subprocess.Popen(command, preexec_fn=restore_signals, **options)
+
+
+def kill_process(process: subprocess.Popen[Any]) -> None:
+    """Kill a process if it still runs, wait for its end, and close its pipes."""
+    process.kill()
+    process.wait()
+    for stream in (process.stdin, process.stdout, process.stderr):
+        if stream is not None:
+            with suppress(OSError):
+                stream.close()
+
+
+@contextmanager
+def ending(process: subprocess.Popen[Any]) -> Iterator[None]:
+    """Kill the process at the end of the block if it still runs, also when the block fails."""
+    try:
+        yield
+    finally:
+        kill_process(process)
+
+
+def end_by_sigterm(process: subprocess.Popen[Any], timeout_s: float) -> Any:
+    """End a process by SIGTERM, and return what it wrote to its error stream.
+
+    Raises:
+        subprocess.TimeoutExpired: it did not end in time; it was killed.
+    """
+    with ending(process):
+        process.terminate()
+        _, log = process.communicate(timeout=timeout_s)
+    return log
+
+
+def processes_with(variable: str, value: str) -> list[int]:
+    """The ids of the processes with this value of an environment variable."""
+    wanted = f"{variable}={value}".encode()
+    found = []
+    for environ in Path("/proc").glob("[0-9]*/environ"):
+        with suppress(OSError):  # it has ended, or belongs to another user
+            if wanted in environ.read_bytes().split(b"\0"):
+                found.append(int(environ.parent.name))
+    return found
+
+
+def kill_processes_with(variable: str, value: str) -> None:
+    """Kill the processes with this value of an environment variable, which only a test's own have."""
+    for process_id in processes_with(variable, value):
+        with suppress(ProcessLookupError):
+            os.kill(process_id, signal.SIGKILL)
--- a/tests/scale/test_run.py
+++ b/tests/scale/test_run.py
@@ -2,11 +2,13 @@
 
 from __future__ import annotations
 
+import contextlib
 import os
 import signal
 import subprocess
 import sys
 import time
+from collections.abc import Iterator
 from pathlib import Path
 from typing import Any
 
@@ -15,29 +17,29 @@
 
 from pebblepass.scale.plan import Plan, PlanError
 from pebblepass.scale.run import play
+from tests.processes import ending, kill_processes_with, processes_with, spawn
 from tests.sockets import PATIENCE_S, eventually
 
 COMMAND = [sys.executable, "-m", "pebblepass.cli", "scale", "run"]
 BRIEF = ["--lease-ms", "2000", "--window", "2", "--patience", "60"]
 
 
-def processes(folder: Path) -> list[str]:
+def processes(folder: Path) -> list[int]:
     """The processes that were started for a run whose files are in this folder."""
-    found = []
-    for path in Path("/proc").glob("[0-9]*/environ"):
-        try:
-            if f"TMPDIR={folder}".encode() in path.read_bytes().split(b"\0"):
-                found.append(path.parent.name)
-        except OSError:
-            continue
-    return found
-
-
-def begin(folder: Path, *words: str) -> subprocess.Popen[str]:
-    """Begin a run whose processes are known by their variable."""
+    return processes_with("TMPDIR", str(folder))
+
+
+@contextlib.contextmanager
+def started_run(folder: Path, *words: str) -> Iterator[subprocess.Popen[str]]:
+    """A run whose processes are known by their variable; none of them outlives the block."""
     environ = {**os.environ, "TMPDIR": str(folder)}
     words = (*COMMAND, "--out", str(folder / "out"), *BRIEF, *words)
-    return subprocess.Popen(words, env=environ, stderr=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
+    run = spawn(words, env=environ, stderr=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
+    try:
+        with ending(run):
+            yield run
+    finally:
+        kill_processes_with("TMPDIR", str(folder))
 
 
 def figures(folder: Path) -> dict[str, Any]:
@@ -48,8 +50,10 @@
 def made(tmp_path_factory: pytest.TempPathFactory) -> Path:
     """Six hollow routers and two full ones, idle and with changes."""
     folder = tmp_path_factory.mktemp("run")
-    run = begin(folder, "--routers", "8", "--full", "2", "--phase", "idle", "--phase", "change")
-    _, said = run.communicate(timeout=120)
+    words = ("--routers", "8", "--full", "2", "--phase", "idle", "--phase", "change")
+    with started_run(folder, *words) as run:
+        _, said = run.communicate(timeout=120)
+        assert processes(folder) == []
     assert run.returncode == 0, said
     return folder
 
@@ -78,27 +82,27 @@
 
 
 def test_an_interrupted_run_leaves_no_process(tmp_path: Path) -> None:
-    run = begin(tmp_path, "--routers", "3", "--window", "600", "--full", "1")
-    assert run.stderr is not None
-    while "idle" not in (line := run.stderr.readline()):
-        assert line, "it never came to be idle"
-    assert len(processes(tmp_path)) == 8  # three voters, hollow, empty, full, lone, and the run itself
-    run.send_signal(signal.SIGINT)
-    _, said = run.communicate(timeout=PATIENCE_S)
-    assert run.returncode == 130
-    assert said == "pebblepass: interrupted\n"
-    assert processes(tmp_path) == []
+    with started_run(tmp_path, "--routers", "3", "--window", "600", "--full", "1") as run:
+        assert run.stderr is not None
+        while "idle" not in (line := run.stderr.readline()):
+            assert line, "it never came to be idle"
+        assert len(processes(tmp_path)) == 8  # three voters, hollow, empty, full, lone, and the run itself
+        run.send_signal(signal.SIGINT)
+        _, said = run.communicate(timeout=PATIENCE_S)
+        assert run.returncode == 130
+        assert said == "pebblepass: interrupted\n"
+        assert processes(tmp_path) == []
     assert "join" in figures(tmp_path)["phases"]  # what was measured stands
 
 
 def test_a_run_that_was_killed_leaves_no_process(tmp_path: Path) -> None:
-    run = begin(tmp_path, "--routers", "3", "--window", "600", "--full", "1")
-    assert run.stderr is not None
-    while "idle" not in (line := run.stderr.readline()):
-        assert line, "it never came to be idle"
-    run.kill()
-    run.wait(PATIENCE_S)
-    eventually(lambda: processes(tmp_path) == [], "the end of all")
+    with started_run(tmp_path, "--routers", "3", "--window", "600", "--full", "1") as run:
+        assert run.stderr is not None
+        while "idle" not in (line := run.stderr.readline()):
+            assert line, "it never came to be idle"
+        run.kill()
+        run.wait(PATIENCE_S)
+        eventually(lambda: processes(tmp_path) == [], "the end of all")
 
 
 def test_a_run_that_takes_more_than_it_may_is_ended(tmp_path: Path) -> None:
@@ -113,8 +117,9 @@
 def test_every_fault_is_played_and_all_come_back(tmp_path: Path) -> None:
     faults = ("discovery", "voter", "cut", "zone", "some", "all")
     words = [word for fault in faults for word in ("--phase", fault)]
-    run = begin(tmp_path, "--routers", "16", "--delay-ms", "5", *words)
-    _, said = run.communicate(timeout=240)
+    with started_run(tmp_path, "--routers", "16", "--delay-ms", "5", *words) as run:
+        _, said = run.communicate(timeout=240)
+        assert processes(tmp_path) == []
     assert run.returncode == 0, said
     told = figures(tmp_path)["phases"]
     assert list(told) == ["join", *faults]
--- a/tests/simulation/test_rehearsal.py
+++ b/tests/simulation/test_rehearsal.py
@@ -43,6 +43,7 @@
     Trouble,
     load_scenario,
 )
+from tests.processes import ending, kill_processes_with, spawn
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 LIMIT_S = 120  # of real time, for one command on a busy machine
@@ -92,14 +93,12 @@
 
 
 def command(*words: str, **environ: str) -> subprocess.Popen[bytes]:
-    # A shell's background job ignores SIGINT, and its children inherit that: here it is taken as usual.
-    return subprocess.Popen(
+    return spawn(
         [sys.executable, "-m", "pebblepass.cli", "rehearse", *words],
         cwd=ROOT,
         env={**os.environ, **environ},
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
-        preexec_fn=lambda: signal.signal(signal.SIGINT, signal.SIG_DFL),
     )
 
 
@@ -439,10 +438,11 @@
 
 def test_ctrl_c_stops_at_once_and_prints_what_it_has() -> None:
     process = command("release-morning", "--nodes", "40", "--rate", "2000")
-    assert process.stderr is not None
-    assert b"playing" in process.stderr.readline()
-    process.send_signal(signal.SIGINT)
-    out, error = process.communicate(timeout=LIMIT_S)
+    with ending(process):
+        assert process.stderr is not None
+        assert b"playing" in process.stderr.readline()
+        process.send_signal(signal.SIGINT)
+        out, error = process.communicate(timeout=LIMIT_S)
     assert process.returncode == 130, error
     assert b"(interrupted)" in out
     assert b"Traceback" not in error
@@ -470,14 +470,18 @@
 
 def test_ctrl_c_in_real_time_leaves_no_process(tmp_path: Path) -> None:
     process = command("quiet", "--real-time", TMPDIR=str(tmp_path))
-    assert process.stderr is not None
-    assert b"playing" in process.stderr.readline()
-    assert len(processes_in(tmp_path)) == 3
-    process.send_signal(signal.SIGINT)
-    out, error = process.communicate(timeout=LIMIT_S)
-    assert process.returncode == 130, error
-    assert b"(interrupted)" in out
-    assert processes_in(tmp_path) == []
+    try:
+        with ending(process):
+            assert process.stderr is not None
+            assert b"playing" in process.stderr.readline()
+            assert len(processes_in(tmp_path)) == 3
+            process.send_signal(signal.SIGINT)
+            out, error = process.communicate(timeout=LIMIT_S)
+        assert process.returncode == 130, error
+        assert b"(interrupted)" in out
+        assert processes_in(tmp_path) == []
+    finally:
+        kill_processes_with("TMPDIR", str(tmp_path))
 
 
 def test_a_router_over_its_memory_is_killed_and_told_of(tmp_path: Path) -> None:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -16,6 +16,7 @@
 from typing import Any
 
 from pebblepass.emulators.ports import take_port
+from tests.processes import end_by_sigterm, spawn
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -262,7 +263,7 @@
     """Start a router; `held`: the descriptors that it inherits, `environ`: variables beside its own."""
     config = folder / "config.json"
     config.write_text(json.dumps(told))
-    return subprocess.Popen(
+    return spawn(
         [sys.executable, "-m", "pebblepass.daemon"],
         cwd=ROOT,
         env={**os.environ, "LB_CONFIG": str(config), "TMPDIR": str(folder), **environ},
@@ -318,9 +319,7 @@
         eventually(lambda: is_ready(port) or process.poll() is not None, "the router is ready")
         yield Routed(process, port, discovery, folder / "config.json")
     finally:
-        if process.poll() is None:
-            process.terminate()
-        _, log = process.communicate(timeout=PATIENCE_S)
+        log = end_by_sigterm(process, PATIENCE_S)
         for peer in [*caches.values(), discovery.peer, *([origin] if origin else [])]:
             peer.close()
     assert process.returncode == 0, log
--- /dev/null
+++ b/tests/test_processes.py
@@ -0,0 +1,90 @@
+"""The helper for child processes restores signal dispositions, and leaves no process."""
+
+from __future__ import annotations
+
+import signal
+import subprocess
+import sys
+from collections.abc import Iterator
+from contextlib import contextmanager
+from pathlib import Path
+
+import pytest
+
+from tests.processes import (
+    RESTORED_SIGNALS,
+    end_by_sigterm,
+    ending,
+    kill_process,
+    kill_processes_with,
+    processes_with,
+    spawn,
+)
+from tests.sockets import PATIENCE_S, eventually
+
+SLEEP = [sys.executable, "-c", "import time; time.sleep(600)"]
+IGNORE_SIGTERM = [
+    *(sys.executable, "-c"),
+    "import signal, time; signal.signal(signal.SIGTERM, signal.SIG_IGN); print(flush=True); time.sleep(600)",
+]
+VARIABLE = "PEBBLEPASS_TEST_MARK"
+
+
+@contextmanager
+def ignored(number: signal.Signals) -> Iterator[None]:
+    """Ignore a signal in this process, as a shell's background job or nohup does."""
+    before = signal.signal(number, signal.SIG_IGN)
+    try:
+        yield
+    finally:
+        signal.signal(number, before)
+
+
+@pytest.mark.parametrize("number", RESTORED_SIGNALS)
+def test_a_signal_that_its_parent_ignores_ends_a_spawned_process(number: signal.Signals) -> None:
+    with ignored(number):
+        process = spawn(["sleep", "600"])
+    with ending(process):
+        process.send_signal(number)
+        assert process.wait(PATIENCE_S) == -number
+
+
+def test_a_process_is_ended_when_its_block_fails() -> None:
+    process = spawn(SLEEP, stdout=subprocess.PIPE)
+    with pytest.raises(AssertionError, match="in the block"), ending(process):
+        raise AssertionError("in the block")
+    assert process.poll() == -signal.SIGKILL
+    assert process.stdout is not None
+    assert process.stdout.closed
+
+
+def test_a_process_that_has_ended_keeps_its_exit_code() -> None:
+    process = spawn([sys.executable, "-c", "raise SystemExit(3)"])
+    with ending(process):
+        process.wait(PATIENCE_S)
+    assert process.returncode == 3
+
+
+def test_a_process_that_ignores_sigterm_is_reported_and_killed() -> None:
+    process = spawn(IGNORE_SIGTERM, stdout=subprocess.PIPE, stderr=subprocess.PIPE)
+    assert process.stdout is not None
+    assert process.stdout.readline() == b"\n"
+    with pytest.raises(subprocess.TimeoutExpired):
+        end_by_sigterm(process, 0.1)
+    assert process.poll() == -signal.SIGKILL
+
+
+def test_only_the_processes_with_the_very_value_are_killed(tmp_path: Path) -> None:
+    value = str(tmp_path)
+    processes = {each: spawn(SLEEP, env={VARIABLE: each}) for each in (value, value + "0")}
+    mine, other = processes.values()
+    try:
+        # The variable is there from the exec on.
+        eventually(lambda: processes_with(VARIABLE, value) == [mine.pid], "its variable")
+        eventually(lambda: processes_with(VARIABLE, value + "0") == [other.pid], "the other's variable")
+        kill_processes_with(VARIABLE, value)
+        assert mine.wait(PATIENCE_S) == -signal.SIGKILL
+        assert other.poll() is None
+    finally:
+        for process in processes.values():
+            kill_process(process)
