--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -14,15 +14,18 @@
 
 
 MAX_DECISION_FILE_LINES, MAX_FUNCTION_LINES = 400, 40
-NOT_POLICY = {"__init__.py", "interface.py", "settings.py"}  # declarations and parsing; they decide nothing
+NOT_POLICY = {"__init__.py", "settings.py"}  # re-exports and parsing; they decide nothing
+INTERFACE = "interface"  # the directory of declarations alone
 TO_BE_SPLIT: dict[str, int] = {}
 """Files still over the limit, each with the size that it may not exceed until it is split."""
 
 
 def test_every_decision_module_is_named_as_policy_and_small() -> None:
     named = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
-    modules = {path for path in (ROOT / "pebblepass/decisions").rglob("*.py") if path.name not in NOT_POLICY}
-    assert {ROOT / name for name in named} == modules
+    modules = set((ROOT / "pebblepass/decisions").rglob("*.py"))
+    assert {ROOT / name for name in named} == {
+        path for path in modules if path.name not in NOT_POLICY and path.parent.name != INTERFACE
+    }
     for path in modules:
         limit = TO_BE_SPLIT.get(str(path.relative_to(ROOT)), MAX_DECISION_FILE_LINES)
         assert len(path.read_text().splitlines()) <= limit, path.name
