--- a/pebblepass/decisions/arrivals.py
+++ b/pebblepass/decisions/arrivals.py
@@ -47,7 +47,7 @@
         self._open[request.id] = request
         if event.retry:
             request.is_retry = True
-        if request.write and self._has_origin:
+        if request.is_write and self._has_origin:
             self._origin_requests.fetch(request)
         else:
             request.popularity = self._popularity.add(request.slot)
@@ -96,7 +96,7 @@
             cached = steady_rankings.get(slot) if request.popularity <= hot_fraction else None
             ranking = cached or self._selection.candidates(request)
             # Fast path of Routing.route: the first choice is healthy, and there is time left.
-            if not ranking or not ranking[0].healthy or short_of_time:
+            if not ranking or not ranking[0].is_healthy or short_of_time:
                 self._routing.route(request)
                 continue
             node = ranking[0]
@@ -122,7 +122,7 @@
                 continue
             node = request.node
             node.attempts_in_flight -= 1
-            request.in_flight, request.done = False, True
+            request.in_flight, request.is_done = False, True
             self._requests.request_closed(request.command)
             if node is not recorded:
                 recorded = node
--- a/pebblepass/decisions/attempt_results.py
+++ b/pebblepass/decisions/attempt_results.py
@@ -31,23 +31,23 @@
         self._hedging, self._routing, self._completion = hedging, routing, completion
         self._has_origin = has_origin
 
-    def attempt_ended(self, event: api.AttemptEnded) -> None:
+    def process(self, event: api.AttemptEnded) -> None:
         """Record the end of an attempt and choose the next step; unknown requests are ignored."""
         request = self._open.get(event.request)
         if request is None or request.node is None:
             return
         if request.hedge_node is not None and event.server == request.hedge_node.entry.id:
-            self._hedging.hedge_ended(request, request.hedge_node, event)
+            self._hedging.process_result(request, request.hedge_node, event)
             return
-        freed = request.free_command_slot() if request.fetching else None
-        self._first_attempt_ended(request, request.node, event)
+        freed = request.free_command_slot() if request.is_fetching else None
+        self._process_first(request, request.node, event)
         if freed is not None:
             self._completion.resume_command(freed)
 
-    def _first_attempt_ended(self, request: Request, node: Node, event: api.AttemptEnded) -> None:
+    def _process_first(self, request: Request, node: Node, event: api.AttemptEnded) -> None:
         """Process the end of any attempt but a hedge."""
-        fetched, outcome = request.fetching, event.outcome
-        request.in_flight = request.fetching = False
+        fetched, outcome = request.is_fetching, event.outcome
+        request.in_flight = request.is_fetching = False
         node.attempts_in_flight -= 1
         if fetched:
             self._origin_requests.record_attempt(request, node, event)
@@ -55,7 +55,7 @@
             self._cache_health.record_attempt(request, node, event)
         if not outcome.never_ran and request.may_have_run is None:
             request.may_have_run = node, request.sent_at
-        if event.answered or request.done:
+        if event.answered or request.is_done:
             self._completion.finish(request, stored=fetched and outcome is Outcome.OK)
         elif outcome is Outcome.MISS and fetched:
             self._completion.key_missing(request)
--- a/pebblepass/decisions/completion.py
+++ b/pebblepass/decisions/completion.py
@@ -44,9 +44,9 @@
     def give_up(self, request: Request, reason: Reason) -> None:
         """Answer without a result: reject where a retry is harmless, else fail.
 
-        The Retry-After (nanoseconds) is drawn from the upper half of its limit, so that clients spread.
+        The Retry-After (nanoseconds) is drawn at random, so that clients do not retry in step.
         """
-        if request.may_refuse():
+        if request.may_reject():
             wait = int(self._rng.uniform(0.5, 1.0) * self._max_retry_after)
             self._context.actions.append(api.Reject(request.id, wait if self._retry_after else 0, reason))
         else:
@@ -57,13 +57,13 @@
         """Answer all that wait for this fetch: the origin has no such key."""
         waiters = self._flights.waiters(request) if request.leads_flight else ()
         for each in (*waiters, request):
-            if not each.done:
+            if not each.is_done:
                 self._context.actions.append(api.Fail(each.id, Reason.NOT_FOUND))
                 self.finish(each)
 
     def finish(self, request: Request, stored: bool = False) -> None:
         """Close a request that has its final answer; `stored`: a cache holds its key now."""
-        request.done, request.waiting = True, False
+        request.is_done, request.is_waiting = True, False
         freed = None
         if request.in_origin_queue:
             self._queue.remove(request)
@@ -77,17 +77,17 @@
 
     def resume_command(self, command: Command) -> None:
         """Start fetches of a command that waited for one of its fetches to end."""
-        while command.waiting and command.fetching < FETCHES_PER_COMMAND:
-            waiter = command.waiting.popleft()
-            if waiter.in_command_queue and waiter.waiting:
-                waiter.in_command_queue = waiter.waiting = False
+        while command.queued and command.fetches < FETCHES_PER_COMMAND:
+            waiter = command.queued.popleft()
+            if waiter.in_command_queue and waiter.is_waiting:
+                waiter.in_command_queue = waiter.is_waiting = False
                 self._fetch_or_wait(waiter)
 
     def _end_flight(self, request: Request, stored: bool) -> None:
         """Resume the waiters of a shared fetch: to the cache if it is stored there, else to a fetch."""
         for waiter in self._flights.end(request):
-            if not waiter.done:
-                waiter.waiting = False
+            if not waiter.is_done:
+                waiter.is_waiting = False
                 (self._route if stored else self._fetch_or_wait)(waiter)
         if stored and request.key is not None and self._requests.commands:
             self._resume_key(request.key)
@@ -95,8 +95,8 @@
     def _resume_key(self, key: str) -> None:
         """Route the requests that wait in their command's queue for a key that is now cached."""
         commands = self._requests.commands.values()
-        queued = [waiter for command in commands for waiter in command.waiting if waiter.key == key]
+        queued = [waiter for command in commands for waiter in command.queued if waiter.key == key]
         for waiter in queued:
-            if waiter.in_command_queue and waiter.waiting:
-                waiter.in_command_queue = waiter.waiting = False
+            if waiter.in_command_queue and waiter.is_waiting:
+                waiter.in_command_queue = waiter.is_waiting = False
                 self._route(waiter)
--- a/pebblepass/decisions/fetch_queue.py
+++ b/pebblepass/decisions/fetch_queue.py
@@ -9,7 +9,7 @@
 
 
 class FetchQueue:
-    """Queued fetches, taken by how many reads wait for the same key.
+    """Queued fetches, ordered by how many reads wait for the same key.
 
     Inputs: the flights' waiters, and the window (fetches that may be in flight). Reason: one fetch of the key
     that most reads wait for serves the most clients.
@@ -30,11 +30,11 @@
         """Whether as many reads are queued as fit behind this window."""
         return len(self._queued) >= QUEUED_PER_FETCH * window
 
-    def most_wanted(self) -> Request:
+    def with_most_waiters(self) -> Request:
         """Return the queued request whose key has most waiters; the oldest of several."""
         return max(self._queued, key=self._flights.waiter_count)
 
-    def least_wanted(self) -> Request:
+    def with_fewest_waiters(self) -> Request:
         """Return the queued request whose key has fewest waiters; the oldest of several."""
         return min(self._queued, key=self._flights.waiter_count)
 
--- a/pebblepass/decisions/health.py
+++ b/pebblepass/decisions/health.py
@@ -1,4 +1,4 @@
-"""Health of servers as this router observes it: latency, time-outs, and a send probability.
+"""Health of servers as this router observes it: latency, timeouts, and a send probability.
 
 All times are whole nanoseconds on the caller's clock.
 """
@@ -13,17 +13,19 @@
 from pebblepass.decisions.interface import NS_PER_S, Outcome
 
 # A server's send probability: how an attempt's outcome changes it, and how long it takes to recover.
-LATE_DECREASE, SUCCESS_INCREASE = 0.25, 0.2  # factor for a late answer; added by one in time
+LATE_DECREASE = 0.25  # factor for a late answer
+SUCCESS_INCREASE = 0.2  # added by an answer in time
 MIN_PROBABILITY = 0.05  # of a server that can be reached
 UNREACHABLE_PROBABILITY = -0.02  # below 0: none, until the clock has restored it
-# A queue that made one answer late has drained within two seconds, whoever sent the requests; a server that
-# rejects or does not answer stays so for longer; an unreachable one is for discovery to remove. Recovery is
-# by the clock, not by this router's own answers: a router that asks a server once in three seconds would go
-# on refusing for half a minute what forty like it could have had served.
-LATE_RECOVERY_NS, OVERLOAD_RECOVERY_NS, UNREACHABLE_RECOVERY_NS = 2 * NS_PER_S, 8 * NS_PER_S, 60 * NS_PER_S
-TIMEOUT_HOLD_NS = 4 * NS_PER_S  # before recovery begins: half of the requests in this time go unanswered too
-CONNECT_BACKOFF_NS, MAX_CONNECT_DOUBLINGS = NS_PER_S, 4  # first pause after a rejected connection; doublings
-HISTORY_SIZE = 32  # attempts kept in an AttemptHistory
+# Times from probability 0 to 1. Recovery is by the clock and not by this router's own answers: a router that
+# seldom sends to a server would avoid it for long after it has recovered.
+LATE_RECOVERY_NS = 2 * NS_PER_S  # a queue that made an answer late drains fast
+OVERLOAD_RECOVERY_NS = 8 * NS_PER_S  # a server that declines or does not answer recovers more slowly
+UNREACHABLE_RECOVERY_NS = 60 * NS_PER_S  # discovery is to remove it
+TIMEOUT_HOLD_NS = 4 * NS_PER_S  # before recovery begins: further requests would go unanswered too
+CONNECT_BACKOFF_NS = NS_PER_S  # first pause after a rejected connection
+MAX_CONNECT_DOUBLINGS = 4  # of that pause
+HISTORY_SIZE = 32  # attempts in an AttemptHistory
 SMOOTHING = 16  # samples over which latencies are averaged
 
 
@@ -32,9 +34,8 @@
 
     def __init__(self, initial: float = 0.0) -> None:
         self.mean = self.deviation = initial
-        self.sample_weight = (
-            0.0  # fraction of the mean that comes from samples; the rest is the initial value
-        )
+        self.sample_weight = 0.0
+        """Fraction of the mean that comes from samples, 0 to 1; the rest comes from the initial value."""
 
     def record(self, latency: int) -> None:
         """Add one sample."""
@@ -63,11 +64,11 @@
         self._attempts: deque[tuple[int, bool]] = deque(maxlen=HISTORY_SIZE)
 
     def record(self, duration: int, answered: bool) -> None:
-        """Add one attempt; without an answer, `duration` is how long it was waited for."""
+        """Add one attempt and its duration (nanoseconds), whether or not it was answered."""
         self._attempts.append((duration, answered))
 
     def answer_probability(self, time: int) -> float:
-        """Estimate the probability of an answer within `time`; 1 without evidence.
+        """Estimate the probability of an answer within `time` (nanoseconds); 1 without evidence.
 
         An attempt that was abandoned earlier than `time` is no evidence and is left out.
         """
@@ -80,16 +81,16 @@
     """A ready server: this router's outstanding attempts at it, and its health."""
 
     def __init__(self, entry: api.Server, weighted: bool) -> None:
-        self.entry, self.attempts_in_flight = entry, 0  # load: attempts outstanding
+        self.entry, self.attempts_in_flight = entry, 0
         self.weight = entry.weight if weighted else 1.0
         self.hash_seed = int.from_bytes(blake2b(entry.id.encode(), digest_size=8).digest(), "big")
-        self.unreachable = False
+        self.is_unreachable = False
         self.consecutive_unanswered = self.last_outcome_at = 0
         self.latency = LatencyEstimate()
         self._probability, self._recovers_from, self._recovery_time = 1.0, 0, LATE_RECOVERY_NS
         self._connect_rejections, self._next_connect_at = 0, 0
         self.unanswered_at = -TIMEOUT_HOLD_NS
-        """When its last attempt ended, if that was without an answer, however short its time was."""
+        """When its last attempt ended without an answer, however short its time was; reset by an answer."""
 
     def send_probability(self, now: int) -> float:
         """Return the probability with which a request is sent here; it recovers linearly with time.
@@ -101,23 +102,23 @@
         return min(1.0, self._probability + max(now - self._recovers_from, 0) / self._recovery_time)
 
     @property
-    def healthy(self) -> bool:
+    def is_healthy(self) -> bool:
         """Whether no failure is on record: full send probability, and no rejected connection."""
         return self._probability >= 1.0 and not self._connect_rejections
 
-    def avoided(self, now: int) -> bool:
-        """Whether it is unreachable, or has no more than the least probability."""
+    def is_avoided(self, now: int) -> bool:
+        """Whether it is unreachable, or its send probability is at its minimum."""
         probability = self.send_probability(now)
-        return (self.unreachable and probability < 1.0) or probability <= MIN_PROBABILITY
+        return (self.is_unreachable and probability < 1.0) or probability <= MIN_PROBABILITY
 
     def may_connect(self, now: int) -> bool:
-        """Whether the back-off after a rejected connection is over."""
+        """Whether the backoff after a rejected connection is over."""
         return now >= self._next_connect_at
 
     def record_connect_rejection(self, now: int, rng: random.Random) -> None:
-        """The server accepts no more connections: back off exponentially, with jitter.
+        """Back off exponentially from a server that accepts no more connections.
 
-        The pauses bound the dials of many routers at one full server; jitter keeps them apart.
+        Jitter keeps the routers of a fleet from connecting in step.
         """
         self._next_connect_at = now + int(
             rng.uniform(0.5, 1.0) * (CONNECT_BACKOFF_NS << self._connect_rejections)
@@ -125,7 +126,7 @@
         self._connect_rejections = min(self._connect_rejections + 1, MAX_CONNECT_DOUBLINGS)
 
     def record_outcome(self, outcome: Outcome, late: bool, now: int) -> None:
-        """Update the health by an attempt's outcome; an error in time changes nothing."""
+        """Update the health by an attempt's outcome; `late`: after the latency target."""
         probability, hold = self.send_probability(now), 0
         answered = outcome in (Outcome.OK, Outcome.MISS)
         lost = outcome in (Outcome.TIMEOUT, Outcome.RESET)
@@ -133,7 +134,7 @@
         self.consecutive_unanswered = self.consecutive_unanswered + 1 if lost else 0
         repeated = self.consecutive_unanswered > 1
         if outcome is Outcome.CONNECT_FAILED or (outcome is Outcome.RESET and repeated):
-            probability, self.unreachable = UNREACHABLE_PROBABILITY, True
+            probability, self.is_unreachable = UNREACHABLE_PROBABILITY, True
             self._recovery_time = UNREACHABLE_RECOVERY_NS
         elif late or outcome is Outcome.OVERLOADED or repeated:
             timed_out = outcome is Outcome.TIMEOUT
@@ -141,7 +142,7 @@
             self._recovery_time = LATE_RECOVERY_NS if answered else OVERLOAD_RECOVERY_NS
             hold = TIMEOUT_HOLD_NS if timed_out else 0
         elif answered:
-            probability, self.unreachable = min(1.0, probability + SUCCESS_INCREASE), False
+            probability, self.is_unreachable = min(1.0, probability + SUCCESS_INCREASE), False
             self._connect_rejections = self._next_connect_at = 0
         self._probability, self._recovers_from = probability, now + hold
 
@@ -155,7 +156,7 @@
             self._probability,
             self._recovers_from,
             self._recovery_time,
-            self.unreachable,
+            self.is_unreachable,
             self.consecutive_unanswered,
             self._connect_rejections,
             self._next_connect_at,
@@ -165,11 +166,11 @@
         )
 
     def import_state(self, known: api.ServerHealth) -> None:
-        """Take over another router's record if it is newer than the own; latencies count by its weight."""
-        # A server that has started since has lost its queue and its faults, and its cache is cold.
+        """Replace the record by another router's newer one; latencies count by its weight (0 to 1)."""
+        # A server that has started since has lost its queue and its faults, and its cache is empty.
         if known.started != self.entry.started or known.last_outcome_at <= self.last_outcome_at:
             return
-        self.last_outcome_at, self.unreachable = known.last_outcome_at, known.unreachable
+        self.last_outcome_at, self.is_unreachable = known.last_outcome_at, known.unreachable
         self.consecutive_unanswered = known.consecutive_unanswered
         self._probability, self._recovers_from = known.send_probability, known.recovers_from
         self._recovery_time = known.recovery_time
@@ -182,6 +183,6 @@
 def is_connection_failure(event: api.AttemptEnded, late: bool) -> bool:
     """Whether an outcome concerns its connection alone, and not the server.
 
-    A connection that could not be set up does so however long that took; any other only if it was not late.
+    A connection that failed to open counts so however long that took, a broken one only if it was not late.
     """
     return event.connection_failed and (event.outcome is Outcome.CONNECT_FAILED or not late)
--- a/pebblepass/decisions/hedging.py
+++ b/pebblepass/decisions/hedging.py
@@ -37,7 +37,9 @@
 
     def hedge(self, request: Request) -> None:
         """Send a hedged second attempt to the slot's next server, if one is fit for it."""
-        running = request.hedge_node is None and request.in_flight and not (request.fetching or request.done)
+        running = (
+            request.hedge_node is None and request.in_flight and not (request.is_fetching or request.is_done)
+        )
         if not running or not self._may_hedge or request.request_class.effect is not Effect.IDEMPOTENT:
             return
         for node in self._selection.candidates(request):
@@ -45,15 +47,15 @@
                 self._attempts.send_hedge(request, node)
                 return
 
-    def hedge_ended(self, request: Request, node: Node, event: api.AttemptEnded) -> None:
+    def process_result(self, request: Request, node: Node, event: api.AttemptEnded) -> None:
         """Process a hedge's end; while the first attempt is in flight, that one decides."""
         request.hedge_node = None
         node.attempts_in_flight -= 1
         self._cache_health.record_attempt(request, node, event)
         request.excluded.append(node)
-        if event.answered or request.done:
+        if event.answered or request.is_done:
             self._completion.finish(request)
-        elif request.in_flight or request.waiting:
+        elif request.in_flight or request.is_waiting:
             return
         elif event.outcome is Outcome.MISS and self._has_origin:
             self._origin_requests.fetch_or_wait(request)
--- a/pebblepass/decisions/hot_keys.py
+++ b/pebblepass/decisions/hot_keys.py
@@ -7,8 +7,8 @@
 from operator import itemgetter
 
 HOT_LOAD_FRACTION = 0.25  # of a server's fair load: what a slot may bring before it is replicated
-COUNT_LIMIT = 1024  # total count at which all counts are halved: seconds of a busy router
-EXPORTED_COUNTS = 256  # the highest counts, for another router
+COUNT_LIMIT = 1024  # requests in total, at which all counts are halved: some seconds of a busy router
+EXPORTED_COUNTS = 256  # slots or tenants with the highest counts
 
 
 class Popularity:
--- a/pebblepass/decisions/interface/events.py
+++ b/pebblepass/decisions/interface/events.py
@@ -26,7 +26,7 @@
     """The connection broke."""
     CANCELLED = "cancelled"
     SUPERSEDED = "moot"
-    """Another attempt made this one unnecessary before it was sent."""
+    """It was never sent: it had become unnecessary or could not be sent."""
 
     @property
     def never_ran(self) -> bool:
@@ -111,7 +111,7 @@
 
 
 class HedgeDue(Struct, frozen=True):
-    """A read's attempt has run for the hedge delay, and the client's retry budget allows a hedge."""
+    """A read's attempt has run for the hedge delay, and the client's budget allows a hedge."""
 
     request: str
 
--- a/pebblepass/decisions/open_requests.py
+++ b/pebblepass/decisions/open_requests.py
@@ -15,7 +15,7 @@
     def open_command(self, name: str, requests: int) -> Command:
         """Return the command of this name, new or already open, with so many more open requests."""
         command = self.commands.setdefault(name, Command(name))
-        command.open += requests
+        command.open_requests += requests
         return command
 
     def remove(self, request: Request) -> None:
@@ -26,6 +26,6 @@
 
     def request_closed(self, command: Command) -> None:
         """Count one request of a command as closed; forget the command with its last one."""
-        command.open -= 1
-        if not command.open:
+        command.open_requests -= 1
+        if not command.open_requests:
             del self.commands[command.name]
--- a/pebblepass/decisions/origin_requests.py
+++ b/pebblepass/decisions/origin_requests.py
@@ -18,7 +18,7 @@
 
 
 class OriginRequests:
-    """Starts, queues, delays or refuses fetches and writes, by the origin's limits.
+    """Starts, queues, delays or rejects fetches and writes, by the origin's limits.
 
     Inputs: the limits (OriginLimits), the tenant's Suppressor, the flight of the key, the command's fetches
     and the time left. Reason: the origin is one slow server; more than it can answer in time helps nobody.
@@ -44,21 +44,21 @@
         """Fetch, or wait for the same key's fetch or for another fetch of the same command."""
         if not self._flights.join(request):
             command = request.command
-            if command is None or command.fetching < FETCHES_PER_COMMAND:
+            if command is None or command.fetches < FETCHES_PER_COMMAND:
                 self.fetch(request)
                 return
-            command.waiting.append(request)
+            command.queued.append(request)
             request.in_command_queue = True
         self._wait(request, request.deadline - self._context.now)
 
     def fetch(self, request: Request) -> None:
         """Send a read or write to the origin if its limits admit it; else queue it or give it up."""
-        request.waiting = False
+        request.is_waiting = False
         now = self._context.now
         origins = self._origins.rank(request.slot, now)
         if not origins or not self._attempts.may_try(request) or not request.may_send(origins[0], now):
             self._exhausted(request, has_origin=bool(origins))
-        elif request.write:
+        elif request.is_write:
             self._start_write(request, origins[0])
         else:
             self._start_fetch(request, origins[0])
@@ -67,9 +67,9 @@
         """End a request's wait: in the queue, until the deadline, or before a write's next attempt."""
         if request.in_origin_queue:
             self._completion.give_up(request, Reason.RATE_LIMITED)
-        elif request.waiting and self._context.now >= request.deadline:
+        elif request.is_waiting and self._context.now >= request.deadline:
             self._completion.give_up(request, Reason.DEADLINE)
-        elif request.waiting and request.write:
+        elif request.is_waiting and request.is_write:
             self.fetch(request)
 
     def record_attempt(self, request: Request, node: Node, event: api.AttemptEnded) -> None:
@@ -80,7 +80,7 @@
         self._resume_writes(node)
 
     def fetch_failed(self, request: Request, event: api.AttemptEnded) -> None:
-        """Retry a write after a pause; refuse a read, which the client may retry.
+        """Retry a write after a pause; reject a read, which the client may retry.
 
         A lost attempt is repeated at once, one time: the origin was not at fault.
         """
@@ -92,7 +92,7 @@
             return
         pause = int(self._limits.fetch_latency.mean * self._rng.uniform(0.5, 1.5))
         in_time = self._context.now + pause < request.deadline
-        if request.write and in_time and event.outcome is not Outcome.TIMEOUT:
+        if request.is_write and in_time and event.outcome is not Outcome.TIMEOUT:
             self._wait(request, pause)
         else:
             self._completion.give_up(request, Reason.ORIGIN_FAILED)
@@ -119,7 +119,7 @@
         self._begin(request, origin)
 
     def _begin(self, request: Request, origin: Node) -> None:
-        request.fetching = True
+        request.is_fetching = True
         request.take_command_slot()
         self._attempts.send(request, origin)
 
@@ -132,7 +132,7 @@
         left = min(request.deadline - self._context.now, int(target * SLOW_FETCH_FRACTION))
         left -= int(self._limits.fetch_latency.mean)
         if self._queue.is_full(self._limits.fetch_window):
-            least = self._queue.least_wanted()
+            least = self._queue.with_fewest_waiters()
             if left > 0 and not self._flights.waiter_count(least):
                 self._completion.give_up(least, Reason.RATE_LIMITED)
             else:
@@ -147,22 +147,22 @@
     def _start_queued(self) -> None:
         """Start queued fetches while the window has room, the key with most waiters first."""
         while self._queue:
-            best = self._queue.most_wanted()
+            best = self._queue.with_most_waiters()
             origins = self._origins.rank(best.slot, self._context.now)
             if origins and origins[0].attempts_in_flight >= self._limits.fetch_window:
                 return
             self._queue.remove(best)
-            best.waiting = False
+            best.is_waiting = False
             if origins and self._attempts.may_try(best):
                 self._begin(best, origins[0])
             else:
                 self._exhausted(best, has_origin=bool(origins))
 
     def _resume_writes(self, node: Node) -> None:
-        """Send waiting writes, the newest first, while the origin takes more."""
+        """Send waiting writes, the newest first, while the write limit has room."""
         while self._waiting_writes and node.attempts_in_flight < self._limits.write_limit:
             waiter = self._waiting_writes.pop()
-            if waiter.waiting:
+            if waiter.is_waiting:
                 self.fetch(waiter)
             if self._waiting_writes and self._waiting_writes[-1] is waiter:
                 # It was queued again: the origin's entry was replaced, and its new node is the full one.
@@ -173,5 +173,5 @@
         self._completion.give_up(request, reason)
 
     def _wait(self, request: Request, delay: int) -> None:
-        request.waiting = True
+        request.is_waiting = True
         self._context.actions.append(api.SetTimer(delay, request.id))
--- a/pebblepass/decisions/requests.py
+++ b/pebblepass/decisions/requests.py
@@ -1,4 +1,4 @@
-"""Open requests, the rules of repeating them, and the commands that several of them belong to."""
+"""Open requests, the rules of repeating them, and the multi-get commands that several of them belong to."""
 
 from __future__ import annotations
 
@@ -11,43 +11,64 @@
 
 
 class Command:
-    """A command of several keys: how many requests are open or being fetched, and which wait to be."""
+    """A multi-get command: its open requests, and those of them that may not be fetched yet."""
 
     def __init__(self, name: str) -> None:
-        self.name, self.open, self.fetching = name, 0, 0
-        self.waiting: deque[Request] = deque()
+        self.name = name
+        self.open_requests = 0
+        self.fetches = 0
+        """Requests that hold a slot: being fetched, or in the origin's queue."""
+        self.queued: deque[Request] = deque()
+        """Requests that wait for one of these fetches to end, the oldest first."""
 
 
 class Request:
-    """A client's request; it is kept after its final answer until its last attempt has ended."""
+    """A client's request; it stays open after its final answer until its last attempt has ended."""
 
-    slot = attempts = sent_at = 0
-    popularity = 0.0  # the fraction of recent requests that its slot had
-    node: Node | None = None
-    may_have_run: tuple[Node, int] | None = None  # the first attempt that may have run: node, send time
-    fetching = is_refetch = in_flight = leads_flight = waiting = done = False
+    # Placement.
+    slot = 0
+    popularity = 0.0  # fraction of recent requests that its slot had, 0 to 1
     command: Command | None = None
-    in_command_queue = False  # waits for one of its command's fetches to end
-    in_origin_queue = False  # waits for one of this router's fetches to end
-    is_retry = False  # the client's retry
-    holds_command_slot = False  # counts as one of its command's fetches
-    hedge_node: Node | None = None  # the server of a hedged second attempt
+
+    # Attempts.
+    attempts = 0
+    node: Node | None = None  # the server of the last attempt that is no hedge
+    sent_at = 0  # clock time of that attempt, nanoseconds
+    hedge_node: Node | None = None  # the server of a hedge in flight
+    may_have_run: tuple[Node, int] | None = None  # the first attempt that may have run: server, clock time
+    in_flight = False  # an attempt that is no hedge is in flight
+    is_fetching = False  # and that attempt is at the origin
+    is_refetch = False  # its fetch was lost, and repeated at once
+    is_retry = False  # the client repeats an earlier request
+
+    # Waiting.
+    is_waiting = False  # for a timer, and possibly for one of the three below
+    in_command_queue = False  # for one of its command's fetches to end
+    in_origin_queue = False  # for one of this router's fetches to end
+    leads_flight = False  # others wait for its fetch
+    holds_command_slot = False  # it counts as one of its command's fetches
+    is_done = False  # it has its final answer
 
     def __init__(
         self,
         name: str,
         key: str | None,
         deadline: int,
-        write: bool,
-        cls: api.RequestClass,
+        is_write: bool,
+        request_class: api.RequestClass,
         suppressor: Suppressor,
     ) -> None:
-        self.id, self.key, self.deadline, self.write = name, key, deadline, write
-        self.request_class, self.suppressor = cls, suppressor
+        self.id, self.key, self.deadline, self.is_write = name, key, deadline, is_write
+        self.request_class, self.suppressor = request_class, suppressor
         self.excluded: list[Node] = []
+        """Servers that it is not sent to again."""
 
     def may_send(self, node: Node, now: int) -> bool:
-        """Rule 2: repeat what may have run only at servers that drop duplicates, within their window."""
+        """Whether it may be sent to this server at clock time `now` (nanoseconds).
+
+        What may have run is repeated only if that is harmless: an idempotent request anywhere, one with an
+        idempotency key at the servers that drop duplicates, within the time for which they remember the key.
+        """
         if self.may_have_run is None or self.request_class.effect is Effect.IDEMPOTENT:
             return True
         here, there = node.entry, self.may_have_run[0].entry
@@ -76,20 +97,20 @@
         )
         return self.request_class.effect is Effect.IDEMPOTENT or keyed_anywhere
 
-    def may_refuse(self) -> bool:
-        """Rule 2: a refusal promises the client that a retry is harmless."""
+    def may_reject(self) -> bool:
+        """Whether it may be rejected, which promises the client that a retry is harmless."""
         return self.may_have_run is None or self.may_repeat()
 
     def take_command_slot(self) -> None:
         """Count this request's queued or started fetch as one of its command's."""
         if self.command is not None and not self.holds_command_slot:
             self.holds_command_slot = True
-            self.command.fetching += 1
+            self.command.fetches += 1
 
     def free_command_slot(self) -> Command | None:
         """Stop counting it; return the command that may start another fetch, if any."""
         if self.command is None or not self.holds_command_slot:
             return None
         self.holds_command_slot = False
-        self.command.fetching -= 1
+        self.command.fetches -= 1
         return self.command
--- a/pebblepass/decisions/router.py
+++ b/pebblepass/decisions/router.py
@@ -101,7 +101,7 @@
         return {
             api.RequestArrived: self._arrivals.request_arrived,
             api.BatchArrived: self._batches.batch_arrived,
-            api.AttemptEnded: self._attempt_results.attempt_ended,
+            api.AttemptEnded: self._attempt_results.process,
             api.BatchServed: self._batches.batch_served,
             api.HedgeDue: self._hedge_due,
             api.ClientDisconnected: self._client_disconnected,
--- a/pebblepass/decisions/routing.py
+++ b/pebblepass/decisions/routing.py
@@ -55,7 +55,7 @@
             if selection.accepts(request, node):
                 self._send_in_time(request, node)
                 return
-            if not node.unreachable:
+            if not node.is_unreachable:
                 again, declined = declined, True
                 if again or not self._origin_limits.has_headroom(request, len(self._queue)):
                     break
--- a/pebblepass/decisions/selection.py
+++ b/pebblepass/decisions/selection.py
@@ -19,7 +19,7 @@
 
 
 class ServerSelection:
-    """The order in which a read's slot prefers the ready cache servers, and who may get the read.
+    """The ready cache servers for a read in order of preference, and whether each may get it.
 
     Inputs: the slot's ranking and popularity, each server's health, load and warm-up, and the time left.
     Reason: a key belongs on one server, so that it is cached once; a hot slot belongs on several, and a
@@ -78,11 +78,11 @@
     def unlikely_in_time(self, request: Request, node: Node) -> bool:
         """Whether a first attempt at this server would probably end after the client's deadline.
 
-        Such a request is refused: it would cost the server as much as any, and the client time for a retry.
-        A few are sent all the same: they show that caches are fast again where all clients have little time.
+        Such a request is rejected: it would cost the server as much as any, and the client time for a retry.
+        A few are sent all the same, to detect that caches are fast again where all deadlines are short.
         """
         left = request.deadline - self._context.now
-        if left >= request.request_class.latency_target or request.attempts or request.write:
+        if left >= request.request_class.latency_target or request.attempts or request.is_write:
             return False
         unlikely = node.unanswered_at > self._context.now - TIMEOUT_HOLD_NS
         unlikely = unlikely or self._health.history.answer_probability(left) < MIN_ANSWER_PROBABILITY
@@ -92,7 +92,7 @@
         """Whether to skip a cold server: its slot may be hot, and too few requests were seen to know that.
 
         All routers place a slot on the same server, and those that have just started know no hot slots.
-        Beside its usual load a cold server has room for `overload_multiple` - 1 times that. With the
+        Beyond its normal load a cold server has room for `overload_multiple` - 1 times that. With the
         probability used here all such routers together send it 1/e of that room for one slot, however many
         they are.
         """
--- a/pebblepass/decisions/server_list.py
+++ b/pebblepass/decisions/server_list.py
@@ -59,7 +59,7 @@
     def avoided(self, now: int) -> list[str]:
         """Return the ids of ready caches that get hardly any requests; one late answer is not enough."""
         nodes = self._caches.nodes.items()
-        return [name for name, node in nodes if node.avoided(now) or not node.may_connect(now)]
+        return [name for name, node in nodes if node.is_avoided(now) or not node.may_connect(now)]
 
     def _without_cordoned(self, ready: list[api.Server], event: api.ServersChanged) -> list[api.Server]:
         """Remember the ready servers that are cordoned, and return the others."""
--- a/pebblepass/decisions/single_flight.py
+++ b/pebblepass/decisions/single_flight.py
@@ -28,7 +28,7 @@
     def join(self, request: Request) -> bool:
         """Add a read to its key's flight; return whether there is one."""
         flight = None if request.key is None else self._flights.get(request.key)
-        if flight is None or request.write:
+        if flight is None or request.is_write:
             return False
         flight.append(request)
         return True
--- a/pebblepass/decisions/slot_table.py
+++ b/pebblepass/decisions/slot_table.py
@@ -10,8 +10,8 @@
 from pebblepass.decisions import interface as api
 from pebblepass.decisions.health import Node
 
-SLOTS = 8192  # far more than servers, so that one slot is a small part of a server's load
-DEPTH = 8  # servers ranked for a slot: more than a request may try, with some to skip
+SLOTS = 8192  # far more than servers, so that one slot is a small fraction of a server's load
+DEPTH = 8  # servers ranked for a slot: more than a request has attempts, with some to skip
 HASH_MASK = (1 << 64) - 1  # of a 64-bit hash
 
 
@@ -63,7 +63,10 @@
         return 1.0 if warm else cold + (1 - cold) * age / cold_time
 
     def rank(self, slot: int, now: int, depth: int = DEPTH) -> Sequence[Node]:
-        """Return at least `depth` servers of a slot (or all), best first; cold ones count by their warmth."""
+        """Return at least `depth` servers of a slot (or all), best first.
+
+        Scores are multiplied by the warm-up fraction while any server is warming up.
+        """
         if len(self.nodes) <= 1:  # the origin's table: nothing to rank
             return self._single
         cached = self.steady_rankings.get(slot, ())
--- a/pebblepass/decisions/suppressor.py
+++ b/pebblepass/decisions/suppressor.py
@@ -1,5 +1,7 @@
 """Rate limiting of fetches from the origin: one suppressor for each tenant.
 
+The algorithm is suppressed rate limiting; docs/design/decisions.md names its source and the departures.
+
 Limits are calls a second of this router alone; times are whole nanoseconds, windows are seconds.
 """
 
@@ -13,17 +15,18 @@
 from pebblepass.decisions import interface as api
 from pebblepass.decisions.interface import NS_PER_S
 
-HARD_LIMIT_FACTOR = 1.5  # of the soft limit, as the paper recommends
-PROBABILITY_TTL_NS = NS_PER_S // 10  # the paper's caching time of the admission probability
+HARD_LIMIT_FACTOR = 1.5  # of the soft limit
+PROBABILITY_TTL_NS = NS_PER_S // 10  # for which an admission probability is cached
 WINDOW_CALLS = 8  # that a window should hold at the cap
-MIN_WINDOW_S, MAX_WINDOW_S = 5.0, 20.0  # seconds
+MIN_WINDOW_S, MAX_WINDOW_S = 5.0, 20.0
 DEFAULT_LIMIT = 1000.0  # calls a second of all routers together, where no quota is configured
 MIN_WEIGHT = 0.001  # of a tenant without one, for its overuse
-LIMIT_DECREASE, LIMIT_RECOVERY_S = 0.7, 15.0  # factor on the rate in use; from 0 to the cap
+LIMIT_DECREASE = 0.7  # factor on the rate in use
+LIMIT_RECOVERY_S = 15.0  # from 0 to the cap
 
 
 class Suppressor:
-    """A tenant's rate limiter: sliding-window counts, the paper's three regimes, and a limit tuned by AIMD.
+    """A tenant's rate limiter: sliding-window counts, three regimes, and a limit tuned by AIMD.
 
     Under the soft limit every fetch is admitted, over the hard limit none, and some in between.
     """
@@ -34,7 +37,10 @@
         self.window_s = min(max(WINDOW_CALLS / self.cap, MIN_WINDOW_S), MAX_WINDOW_S)
         self.min_limit = min(1 / self.window_s, self.cap)  # one call a window
         self._calls: deque[tuple[int, bool]] = deque()
-        self.declined = self.demand = 0  # wanted: fetches and writes, without retries
+        self.declined = 0
+        """Declined calls in the window."""
+        self.demand = 0
+        """Fetches and writes so far, declined ones included and retries not."""
         self.hard_factor = HARD_LIMIT_FACTOR
         self.configured_limit = self.weight, self.cap, self.window_s
         self.has_quota, self._leased = tenant.quota_per_s > 0, False
@@ -55,7 +61,7 @@
         """Apply a policy, its entry for this tenant, and the quota lease granted beyond the floor.
 
         `lease` is in calls a second, and counts where the policy splits quotas by leases. None applies the
-        floor: this router can't tell whether the policy is still in force.
+        floor: this router does not know whether the policy is still in force.
         """
         weight, cap, window_s = self.configured_limit
         if namespace is not None:
@@ -70,13 +76,13 @@
         self.weight, self.cap, self.hard_factor = weight, cap, policy.hard_factor
         self.window_s = window_s if policy.window_s is None else policy.window_s
         self.min_limit = min(1 / self.window_s, cap)
-        # The limit from before the floor applies again after it: the floor says nothing about the origin.
+        # The limit from before the floor applies again after it: the floor is no evidence about the origin.
         tuned = self.limit if self._limit_before_floor is None else self._limit_before_floor
         if self._leased and not leased:
             tuned = used_fraction * full_cap
         previous = self.limit + self._carry_over(now)
         self.limit, self._limit_before_floor = min(tuned, cap), tuned if lease is None else None
-        if leased:  # nor does a lease that changes: the limit keeps its fraction of the cap
+        if leased:  # nor is a lease that changes: the limit keeps its fraction of the cap
             self.limit, self._limit_before_floor = min(used_fraction, 1.0) * cap, None
         # Calls in the window from before a lease shrank were allowed then, and are not charged now.
         self._carried_over = max(previous - self.limit, 0.0) if leased and lease else 0.0
@@ -123,13 +129,14 @@
         return len(self._calls) - self.declined
 
     def admit(self, now: int, again: bool = False) -> bool:
-        """Decide on one fetch, and count it; a retry (`again`) is not counted as wanted."""
+        """Decide on one fetch, and count it; a retry (`again`) is not counted as demand."""
         accepted, soft = self.accepted(now), self.window_s * (self.limit + self._carry_over(now))
         over = len(self._calls) >= soft * self.hard_factor
         allowed = not (over and accepted >= soft)
         if allowed and self._calls and (over or accepted >= soft):
-            # Departure from the paper: while fewer calls than the soft limit were admitted, the probability
-            # applies over the hard limit too. Declined retries would keep a tenant there for good.
+            # Departure from the source (docs/design/decisions.md): while fewer calls than the soft limit were
+            # admitted, the probability applies over the hard limit too. Declined retries would keep a tenant
+            # there for good.
             allowed = self._rng.random() < self.admission_probability(now)
         self.record_call(now, declined=not allowed)
         self.demand -= again
--- a/pebblepass/decisions/timeouts.py
+++ b/pebblepass/decisions/timeouts.py
@@ -33,10 +33,10 @@
         """Return the timeout of an attempt that starts now; 0: only the client's deadline ends it."""
         target = request.request_class.latency_target
         mean, deviation = expected_latency(
-            self._fetch_latency if request.fetching else self._cache_latency, node
+            self._fetch_latency if request.is_fetching else self._cache_latency, node
         )
         slow = mean + deviation * TIMEOUT_DEVIATIONS / 2 > target * SLOW_SERVER_FRACTION
-        first = not request.is_refetch if request.fetching else request.attempts == 1
+        first = not request.is_refetch if request.is_fetching else request.attempts == 1
         if slow or not first or not request.may_repeat():
             return 0
         # The least fraction protects fast servers: their deviations are smaller than a pause of this router.
--- a/tests/decisions/test_requests.py
+++ b/tests/decisions/test_requests.py
@@ -530,4 +530,4 @@
     other = only_send(router.handle(ended(first, Outcome.CONNECT_FAILED, latency=late, stale=True), late))
     assert other.server not in (first.server, ORIGIN.id)
     assert router.avoided(late) == []
-    assert router.caches.nodes[first.server].healthy
+    assert router.caches.nodes[first.server].is_healthy
