--- a/benchmarks/cold_starts.py
+++ b/benchmarks/cold_starts.py
@@ -28,7 +28,7 @@
 from pebblepass.decisions.hot_keys import COUNT_LIMIT, HOT_LOAD_FRACTION, Popularity
 from pebblepass.decisions.interface import RequestClass, Server, Settings
 from pebblepass.decisions.slot_table import SLOTS, SlotTable
-from tests.decisions.cold_starts import ColdRules, Start, heaviest
+from tests.decisions.cold_start_bounds import ColdRules, Start, heaviest
 
 ROUTERS = (1, 4, 30, 200, 930)
 LOADS = (1.1,)  # of all servers' capacity, when warm
--- a/pebblepass/decisions/router.py
+++ b/pebblepass/decisions/router.py
@@ -74,12 +74,8 @@
     def _build_request_path(self, settings: api.Settings) -> None:
         """Build the parts that a request passes through, from its arrival to its final answer."""
         context, rng, selection, health = self._context, self._rng, self.selection, self.cache_health
-        requests, tenants, limits, queue = (
-            self.open_requests,
-            self.tenants,
-            self.origin_limits,
-            self.fetch_queue,
-        )
+        requests, tenants = self.open_requests, self.tenants
+        limits, queue = self.origin_limits, self.fetch_queue
         attempts = Attempts(settings.max_attempts, context, self._timeouts)
         completion = Completion(settings, requests, self.flights, queue, context, rng)
         origin = OriginRequests(self.origins, limits, self.flights, queue, attempts, completion, context, rng)
--- a/tests/decisions/cases.py
+++ b/tests/decisions/cases.py
@@ -96,22 +96,22 @@
     return RequestArrived(**{**fields, **changes})  # type: ignore[arg-type]
 
 
-def ended(
+def result_of(
     send: Send,
     outcome: Outcome,
     attempt: int = 0,
-    closed: bool | None = None,
+    answered: bool | None = None,
     latency: int = 20 * MS,
-    stale: bool = False,
+    connection_failed: bool = False,
 ) -> AttemptEnded:
     return AttemptEnded(
         request=send.request,
         attempt=attempt,
         server=send.server,
         outcome=outcome,
-        answered=outcome is Outcome.OK if closed is None else closed,
+        answered=outcome is Outcome.OK if answered is None else answered,
         latency=latency,
-        connection_failed=stale,
+        connection_failed=connection_failed,
     )
 
 
--- a/tests/decisions/test_keys.py
+++ b/tests/decisions/test_batches.py
@@ -24,7 +24,7 @@
     Settings,
 )
 from pebblepass.decisions.health import LATE_DECREASE
-from tests.decisions.cases import MS, S, ended, fleet, request, settings, started
+from tests.decisions.cases import MS, S, fleet, request, result_of, settings, started
 
 KEYS = [f"pkg/{number}" for number in range(200)]
 
@@ -38,7 +38,7 @@
 
 
 def sent(actions: list[Action]) -> dict[str, tuple[str, int]]:
-    """Where each request goes, and with what patience."""
+    """Where each request goes, and with which timeout."""
     found = {}
     for action in actions:
         if isinstance(action, Send):
@@ -60,7 +60,7 @@
     for number in range(40):
         for action in router.handle(request(f"w{number}", now=now, key=f"w{number}"), now):
             assert isinstance(action, Send)
-            router.handle(ended(action, Outcome.OK, latency=(2 + number % 7) * MS), now + 9 * MS)
+            router.handle(result_of(action, Outcome.OK, latency=(2 + number % 7) * MS), now + 9 * MS)
     return router
 
 
@@ -77,7 +77,7 @@
         (COLD, fleet(12, started=60 * S), 70 * S),
     ],
 )
-def test_keys_asked_at_once_go_where_each_would_go_by_itself(
+def test_keys_of_a_batch_go_where_each_would_go_by_itself(
     config: Settings, servers: tuple[Server, ...], now: int
 ) -> None:
     together, alone = warmed(config, servers, now), warmed(config, servers, now)
@@ -96,14 +96,14 @@
     assert nothing_left(alone)
 
 
-def test_a_server_that_is_down_gets_none_of_them_and_a_draining_one_nothing_new() -> None:
+def test_a_failed_server_gets_no_key_of_a_batch_and_a_draining_one_nothing_new() -> None:
     router = started(settings(), fleet(4))
     down, drains = sorted(router.caches.nodes)[:2]
     for number in range(60):
         for action in router.handle(request(f"d{number}", key=f"d{number}"), 0):
             assert isinstance(action, Send)
             lost = Outcome.CONNECT_FAILED if action.server == down else Outcome.OK
-            router.handle(ended(action, lost), MS)
+            router.handle(result_of(action, lost), MS)
             if lost is not Outcome.OK:
                 router.handle(ClientDisconnected(f"d{number}"), MS)
     draining = Server(drains, kind="std", state=ServerState.DRAINING)
@@ -113,7 +113,7 @@
     assert {server for server, _ in found.values()} == set(router.caches.nodes) - {down, drains}
 
 
-def test_keys_served_together_are_one_event_at_their_server() -> None:
+def test_keys_served_together_count_as_one_sample_of_their_server() -> None:
     late = 400 * MS
     together, alone = started(settings(), fleet(1)), started(settings(), fleet(1))
     (send,) = arrive(together, KEYS[:8])
@@ -128,22 +128,22 @@
     assert nothing_left(together)
 
 
-def test_a_key_given_up_or_broken_in_between_is_not_counted_twice() -> None:
+def test_a_key_given_up_or_reset_in_between_is_not_counted_twice() -> None:
     router = started(settings(), fleet(1))
     (send,) = arrive(router, KEYS[:4])
     assert isinstance(send, SendBatch)
-    gone, broken, *served = send.requests
-    router.handle(ClientDisconnected(gone), MS)
-    router.handle(AttemptEnded(gone, 0, send.server, Outcome.OK, True, MS), 2 * MS)
+    disconnected, broken, *served = send.requests
+    router.handle(ClientDisconnected(disconnected), MS)
+    router.handle(AttemptEnded(disconnected, 0, send.server, Outcome.OK, True, MS), 2 * MS)
     (again,) = router.handle(AttemptEnded(broken, 0, send.server, Outcome.RESET, False, MS), 2 * MS)
     assert isinstance(again, Send)
-    router.handle(BatchServed([gone, *served], send.server, MS), 3 * MS)
+    router.handle(BatchServed([disconnected, *served], send.server, MS), 3 * MS)
     router.handle(AttemptEnded(broken, 1, again.server, Outcome.OK, True, MS), 3 * MS)
     router.handle(BatchServed(["c.99"], send.server, MS), 3 * MS)
     assert nothing_left(router)
 
 
-def test_a_hot_key_of_lists_is_spread_over_more_than_one_server() -> None:
+def test_a_hot_key_of_batches_has_more_than_one_owner() -> None:
     router, servers = started(settings(), fleet(8)), set[str]()
     for number in range(200):
         keys = ["hot", f"cold/{number}"]
@@ -155,15 +155,15 @@
 
 
 @pytest.mark.parametrize(("now", "count", "reason"), [(0, 0, Reason.NO_SERVER), (2 * S, 3, Reason.DEADLINE)])
-def test_keys_that_nobody_can_serve_are_refused_each(now: int, count: int, reason: Reason) -> None:
+def test_keys_that_no_server_can_serve_are_rejected_one_by_one(now: int, count: int, reason: Reason) -> None:
     router = started(settings(), fleet(count), origin=False)
-    told = router.handle(BatchArrived(names(KEYS[:5]), KEYS[:5], "read", S, "a", "c"), now)
-    assert [action.request for action in told if isinstance(action, Reject)] == names(KEYS[:5])
-    assert {action.reason for action in told if isinstance(action, Reject)} == {reason}
+    actions = router.handle(BatchArrived(names(KEYS[:5]), KEYS[:5], "read", S, "a", "c"), now)
+    assert [action.request for action in actions if isinstance(action, Reject)] == names(KEYS[:5])
+    assert {action.reason for action in actions if isinstance(action, Reject)} == {reason}
     assert nothing_left(router)
 
 
-def test_a_tenant_beyond_its_portion_is_known_by_the_keys_of_its_lists() -> None:
+def test_keys_of_batches_count_towards_a_tenants_overuse() -> None:
     router = started(settings(), fleet(3))
     arrive(router, KEYS, tenant="b")
     router.handle(request("one", key="x", tenant="a"), 0)
--- a/tests/decisions/test_churn.py
+++ b/tests/decisions/test_churn.py
@@ -1,4 +1,4 @@
-"""A minute of churn, and replacements in the midst of requests: nothing is kept for what is gone."""
+"""A minute of churn, and replacements in the midst of requests: no state of removed servers is left."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     SetTimer,
     TimerFired,
 )
-from tests.decisions.cases import MS, ORIGIN, S, Timeline, ended, finals, request, settings, started
+from tests.decisions.cases import MS, ORIGIN, S, Timeline, finals, request, result_of, settings, started
 
 SERVERS, A_SECOND = 30, 60
 GRACE = 500 * MS
@@ -37,11 +37,11 @@
         self.rng = Random(seed)
         config = settings(cold_capacity=0.3, warm_up_time=9 * S)
         self.up = [Server(f"server-{i}", kind="std") for i in range(SERVERS)]
-        self.gone: dict[str, int] = {}
-        """When the router was told."""
+        self.removed_at: dict[str, int] = {}
+        """Clock time at which the router was notified, by server."""
         self.router: Router = started(config, tuple(self.up), seed=seed)
         self.due = Timeline[Event]()
-        self.came = SERVERS
+        self.server_count = SERVERS
         self.open: dict[str, int] = {}
         self.answered = 0
 
@@ -57,25 +57,25 @@
             name = f"r{now}"
             self.open[name] = now + S
             key = f"k{self.rng.randrange(40)}" if i % 2 else f"once{now}"
-            self._tell(request(name, now, key=key, tenant=f"t{now}" if i % 5 == 0 else "a"), now)
+            self._handle(request(name, now, key=key, tenant=f"t{now}" if i % 5 == 0 else "a"), now)
             if i % 17 == 0 and name in self.open:
                 del self.open[name]
-                self._tell(ClientDisconnected(name), now)
+                self._handle(ClientDisconnected(name), now)
         self._until((begins + seconds) * S)
 
     def _replace(self, now: int) -> None:
         old = self.up.pop(self.rng.randrange(SERVERS))
-        new = Server(f"server-{self.came}", kind="std", started=now + self.rng.choice((-S, 3 * S)))
-        self.came += 1
+        new = Server(f"server-{self.server_count}", kind="std", started=now + self.rng.choice((-S, 3 * S)))
+        self.server_count += 1
         self.up.append(new)
-        self.gone[old.id] = now
-        self._tell(ServersChanged(ListKind.DELTA, (replace(old, state=ServerState.REMOVED), new)), now)
+        self.removed_at[old.id] = now
+        self._handle(ServersChanged(ListKind.DELTA, (replace(old, state=ServerState.REMOVED), new)), now)
 
     def _until(self, now: int) -> None:
         for then, event in self.due.until(now):
-            self._tell(event, then)
+            self._handle(event, then)
 
-    def _tell(self, event: Event, now: int) -> None:
+    def _handle(self, event: Event, now: int) -> None:
         if isinstance(event, AttemptEnded):
             if event.outcome is Outcome.OK and event.request in self.open:  # its client's answer
                 del self.open[event.request]
@@ -92,7 +92,7 @@
         if isinstance(action, SetTimer):
             self.due.add(now + action.delay, TimerFired(action.token))
         elif isinstance(action, Send):
-            assert now <= self.gone.get(action.server, now)  # nothing for one that is gone, from then on
+            assert now <= self.removed_at.get(action.server, now)  # nothing for a removed server
             assert action.request in self.open  # nothing after the final answer
             self._attempt(action, now)
 
@@ -101,10 +101,10 @@
         if send.server != ORIGIN.id:
             roll = self.rng.random()
             outcome = Outcome.MISS if roll < 0.4 else Outcome.RESET if roll < 0.43 else Outcome.OK
-        self.due.add(now + took, ended(send, outcome, latency=took))
+        self.due.add(now + took, result_of(send, outcome, latency=took))
 
 
-def test_a_minute_of_churn_leaves_nothing_of_what_is_gone() -> None:
+def test_a_minute_of_churn_leaves_no_state_of_removed_servers() -> None:
     site = Churn(3)
     site.play(10, 20, 2)
     before = len(pickle.dumps(site.router))
@@ -112,10 +112,10 @@
     site._until(200 * S)
     assert site.open == {}
     assert site.answered > 4000
-    held = pickle.dumps(site.router)
-    assert len(held) < before * 1.1
-    kept = {word.decode() for word in re.findall(rb"server-\d+|once\d{9,}|r\d{9,}", held)}
-    assert kept == {server.id for server in site.up}
+    pickled = pickle.dumps(site.router)
+    assert len(pickled) < before * 1.1
+    names = {word.decode() for word in re.findall(rb"server-\d+|once\d{9,}|r\d{9,}", pickled)}
+    assert names == {server.id for server in site.up}
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -126,7 +126,7 @@
     site.play(15, 7, SERVERS * 0.6 / 7)
     site.play(22, 5, 0)
     site._until(100 * S)
-    assert len(site.gone) >= SERVERS * 0.6 - 2
+    assert len(site.removed_at) >= SERVERS * 0.6 - 2
     assert site.open == {}
     assert site.router.open_requests.by_id == {}
     assert {server.id for server in site.router.ready_servers()} == {server.id for server in site.up} | {
@@ -134,7 +134,7 @@
     }
 
 
-def test_one_replaced_while_dials_lines_and_fetches_are_under_way_gets_nothing_more() -> None:
+def test_a_server_replaced_during_connects_queues_and_fetches_gets_nothing_more() -> None:
     site = Churn(9)
     site.router.origin_limits.fetch_window = 1.0  # reads stand in line for the store all the time
     site.play(10, 20, 5)
--- a/tests/decisions/test_cold_servers.py
+++ b/tests/decisions/test_cold_servers.py
@@ -14,8 +14,8 @@
 from pebblepass.decisions.interface import BatchArrived, SendBatch
 from pebblepass.decisions.settings import read_settings
 from pebblepass.decisions.slot_table import SLOTS, SlotTable
-from tests.decisions.cases import MS, ORIGIN, S, ended, fleet, only_send, request, settings, started
-from tests.decisions.cold_starts import ColdRules, Start, heaviest
+from tests.decisions.cases import MS, ORIGIN, S, fleet, only_send, request, result_of, settings, started
+from tests.decisions.cold_start_bounds import ColdRules, Start, heaviest
 
 SERVERS, BORN = 24, 100 * S
 RULES = ColdRules(multiple=4.0, window=2.0, share=0.32, time=9.0)
@@ -51,11 +51,11 @@
     while (age := age + rng.expovariate(load * SERVERS * A_SECOND)) < span:
         now, count = BORN + int(age * S), count + 1
         router = rng.choice(routers)
-        asked = key if rng.random() < hot else f"k{rng.randrange(1_000_000)}"
-        send = only_send(router.handle(request(f"r{count}", now, key=asked), now))
+        chosen = key if rng.random() < hot else f"k{rng.randrange(1_000_000)}"
+        send = only_send(router.handle(request(f"r{count}", now, key=chosen), now))
         if send.server == cold.id:
             sent.append((age, 1.0))
-        router.handle(ended(send, Outcome.OK, latency=20 * MS), now)
+        router.handle(result_of(send, Outcome.OK, latency=20 * MS), now)
     return heaviest(rules, A_SECOND, sent)
 
 
@@ -65,42 +65,42 @@
     return [started(config(rules), servers, now=BORN, seed=seed) for seed in range(count)]
 
 
-def test_a_hot_slot_that_routers_do_not_know_as_hot_is_not_sent_to_a_cold_server_by_all_of_them() -> None:
+def test_a_hot_slot_not_known_as_hot_is_not_sent_to_a_cold_server_by_all_routers() -> None:
     start = sent_to(COLD, group(200), load=0.6, hot=0.25)
     assert start.strictest < 0
     assert start.part < 0.5
 
 
-def test_so_for_reads_of_many_keys() -> None:
+def test_a_hot_slot_of_batches_is_not_sent_to_a_cold_server_by_all_routers() -> None:
     key, rng, sent = hot_key(), Random(1), list[tuple[float, float]]()
     for i, router in enumerate(group(200)):
         age = i / 100  # within two seconds; each asks for the hot key and three others
         keys = [key, *(f"k{rng.randrange(1_000_000)}" for _ in range(3))]
         now = BORN + int(age * S)
-        asked = BatchArrived([f"{i}.{each}" for each in range(4)], keys, "read", now + S, "a", f"c{i}")
-        for action in router.handle(asked, now):
+        batch = BatchArrived([f"{i}.{each}" for each in range(4)], keys, "read", now + S, "a", f"c{i}")
+        for action in router.handle(batch, now):
             if isinstance(action, SendBatch) and action.server == COLD.id:
                 sent += [(age, 1.0)] * len(action.requests)
     assert heaviest(RULES, A_SECOND, sent).strictest < 0
 
 
-def test_routers_that_know_what_is_hot_give_a_cold_server_its_part() -> None:
+def test_routers_that_know_hot_slots_send_a_cold_server_its_fraction() -> None:
     routers = group(2)
     for router in routers:  # 400 requests seen: a slot of more than a quarter of a server's part is known
         for i in range(400):
             send = only_send(router.handle(request(f"w{i}", BORN, key=f"w{i}"), BORN))
-            router.handle(ended(send, Outcome.OK, latency=20 * MS), BORN)
-    rng, asked, counts = Random(2), 4000, 0
-    for i in range(asked):
+            router.handle(result_of(send, Outcome.OK, latency=20 * MS), BORN)
+    rng, total, counts = Random(2), 4000, 0
+    for i in range(total):
         router = routers[i % 2]
         send = only_send(router.handle(request(f"r{i}", BORN, key=f"k{rng.randrange(1_000_000)}"), BORN))
         counts += send.server == COLD.id
-        router.handle(ended(send, Outcome.OK, latency=20 * MS), BORN)
+        router.handle(result_of(send, Outcome.OK, latency=20 * MS), BORN)
     part = RULES.share / (SERVERS - 1 + RULES.share)
-    assert 0.7 * part < counts / asked < 1.3 * part
+    assert 0.7 * part < counts / total < 1.3 * part
 
 
-def test_where_no_server_is_warm_the_cold_ones_are_asked() -> None:
+def test_cold_servers_are_used_where_none_is_warm() -> None:
     servers = fleet(6, started=BORN)
     router = started(config(), servers, now=BORN)
     warm = started(config(), fleet(6), now=BORN)
@@ -109,7 +109,7 @@
         assert send.server == only_send(warm.handle(request(f"r{i}", BORN, key=f"k{i}"), BORN)).server
 
 
-def test_settings_that_name_no_multiple_leave_the_ramp_alone() -> None:
+def test_settings_without_an_overload_multiple_leave_the_warm_up_alone() -> None:
     plain = settings(cold_capacity=RULES.share, warm_up_time=9 * S)
     router = started(plain, (*fleet(SERVERS - 1), COLD), now=BORN)
     assert only_send(router.handle(request("r", BORN, key=hot_key()), BORN)).server == COLD.id
@@ -124,13 +124,13 @@
     counted = 0
     for seed in range(starts):
         cold = Server(f"cold{seed}:80", kind="std", started=BORN)
-        held = [started(config(TIGHT), fleet(SERVERS - 1), now=BORN, seed=each) for each in range(routers)]
-        for router in held:
+        fresh = [started(config(TIGHT), fleet(SERVERS - 1), now=BORN, seed=each) for each in range(routers)]
+        for router in fresh:
             for i in range(SERVERS * 8):
                 send = only_send(router.handle(request(f"w{i}", BORN, key=f"w{i}"), BORN))
-                router.handle(ended(send, Outcome.OK, latency=20 * MS), BORN)
+                router.handle(result_of(send, Outcome.OK, latency=20 * MS), BORN)
             router.handle(ServersChanged(ListKind.FULL, (*fleet(SERVERS - 1), cold, ORIGIN)), BORN)
-        counted += sent_to(cold, held, 1.0, 0.0, TIGHT, seed=seed).excess > 0
+        counted += sent_to(cold, fresh, 1.0, 0.0, TIGHT, seed=seed).excess > 0
     return counted
 
 
@@ -146,19 +146,19 @@
 
 
 @pytest.mark.parametrize("routers", [1, 10])
-def test_the_ramp_keeps_to_the_bound_by_the_sum_of_routers(routers: int) -> None:
+def test_the_warm_up_keeps_the_sum_of_all_routers_within_the_bound(routers: int) -> None:
     assert over(routers, 4) == 0
 
 
 @pytest.mark.parametrize("broken", [no_ramp, doubled])
-def test_a_broken_ramp_is_caught(
+def test_a_broken_warm_up_is_detected(
     broken: Callable[[SlotTable, Node, int], float], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(SlotTable, "warm_up_fraction", broken)
     assert over(2, 8) > 0
 
 
-def test_the_multiple_is_read_from_the_settings() -> None:
+def test_the_overload_multiple_is_read_from_the_settings() -> None:
     facts = {"classes": [{"name": "read", "aimNs": 1, "giveUpNs": 2, "semantics": "retryable"}]}
     assert read_settings({**facts, "rules": {"fallMultiple": 3.0}}).overload_multiple == 3.0
     assert read_settings(facts).overload_multiple == inf
--- a/tests/decisions/test_throng.py
+++ b/tests/decisions/test_cold_start_bursts.py
@@ -32,8 +32,8 @@
 from pebblepass.decisions.health import Node
 from pebblepass.decisions.hot_keys import Popularity
 from pebblepass.decisions.slot_table import SLOTS, SlotTable
-from tests.decisions.cases import MS, S, Timeline, ended, fleet, request, sends, settings, started
-from tests.decisions.cold_starts import ColdRules, Start, heaviest
+from tests.decisions.cases import MS, S, Timeline, fleet, request, result_of, sends, settings, started
+from tests.decisions.cold_start_bounds import ColdRules, Start, heaviest
 
 SERVERS, JOINING, RETURNING = 18, 3, 3
 RATE_PER_SERVER = 20.0  # requests of mean work a second that a warm server can do
@@ -41,8 +41,8 @@
 WARM_UP_S, COLD_S = 6.0, 6.0
 FIRST_START = 100 * S
 APART_S = 0.4  # between two starts
-TOLD_WITHIN_S = 0.3  # a router is told of a change so late at most
-ABSENT_S = 4.0  # for which a returning server was gone
+MAX_NOTIFICATION_DELAY_S = 0.3  # a router is notified of a change within this time
+ABSENT_S = 4.0  # for which a returning server was absent
 BUSY_SHARE = 0.1  # of the first attempts: turned away, and tried at another server
 ANSWER_S = 0.02
 LEAST_SHARE = 0.2  # of a warm server's part before the burst, over the whole ramp
@@ -96,7 +96,7 @@
     def announce(self, server: Server, when: int) -> None:
         """Tell every router of this entry, each in its own time."""
         for router in self.routers:
-            delay = int(self.rng.uniform(0.0, TOLD_WITHIN_S) * S)
+            delay = int(self.rng.uniform(0.0, MAX_NOTIFICATION_DELAY_S) * S)
             self.due.add(when + delay, (router, ServersChanged(ListKind.DELTA, (server,))))
 
     def starts_at(self, server: Server, when: int) -> None:
@@ -144,11 +144,11 @@
         self.attempts[send.request] = attempt + 1
         busy = attempt == 0 and self.rng.random() < BUSY_SHARE
         outcome = Outcome.OVERLOADED if busy else Outcome.OK
-        event = ended(send, outcome, attempt, latency=20 * MS)
+        event = result_of(send, outcome, attempt, latency=20 * MS)
         self._carry_out(router, router.handle(event, now), now)
 
 
-def key_held_by(cold: Server, others: tuple[Server, ...]) -> str:
+def key_owned_by(cold: Server, others: tuple[Server, ...]) -> str:
     """A key whose slot this server holds from its start on."""
     table = SlotTable(config(ROOMY, 1))
     table.update([*others, replace(cold, started=FIRST_START)], [])
@@ -157,13 +157,13 @@
     return next(key for key, slot in slots if table.rank(slot, FIRST_START)[0].entry.id == cold.id)
 
 
-def throng(count: int, rules: ColdRules, burst: Burst, seed: int) -> dict[str, Start]:
+def start_burst(count: int, rules: ColdRules, burst: Burst, seed: int) -> dict[str, Start]:
     """What each cold server was sent in its heaviest window, by all routers together."""
     servers = fleet(SERVERS - JOINING)
     routers = [started(config(rules, count), servers, seed=1000 * seed + each) for each in range(count)]
     site = Site(routers, Random(seed))
     newcomers = [Server(f"new{seed}.{each}:80", kind="std") for each in range(JOINING)]
-    site.new_key = key_held_by(newcomers[0], servers)
+    site.new_key = key_owned_by(newcomers[0], servers)
     returning = site.rng.sample(servers, RETURNING)
     for server in returning:
         site.announce(replace(server, state=ServerState.REMOVED), FIRST_START - int(ABSENT_S * S))
@@ -182,34 +182,34 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("burst", [HALF_AGAIN, FLASH], ids=["half again", "flash"])
 @pytest.mark.parametrize("routers", [20, 30])
-def test_no_cold_server_gets_more_than_its_bound_from_all_routers_under_a_burst(
+def test_no_cold_server_gets_more_than_its_bound_from_all_routers_in_a_burst(
     routers: int, burst: Burst, seed: int
 ) -> None:
-    assert fallen(throng(routers, TIGHT, burst, seed)) == []
+    assert fallen(start_burst(routers, TIGHT, burst, seed)) == []
 
 
 @pytest.mark.parametrize("routers", [20, 30])
-def test_a_key_that_is_suddenly_hot_does_not_fell_the_cold_server_that_holds_it(routers: int) -> None:
-    assert fallen(throng(routers, ROOMY, NEW_KEY, 1)) == []
+def test_a_key_that_is_suddenly_hot_does_not_overload_the_cold_server_that_caches_it(routers: int) -> None:
+    assert fallen(start_burst(routers, ROOMY, NEW_KEY, 1)) == []
 
 
 def always_warm(table: SlotTable, node: Node, now: int) -> float:
     return 1.0
 
 
-def never_hot(heat: Popularity, slot: int | str, requests: int = 1) -> float:
-    heat.total += requests
+def never_hot(popularity: Popularity, slot: int | str, requests: int = 1) -> float:
+    popularity.total += requests
     return 0.0
 
 
 @pytest.mark.parametrize("burst", [HALF_AGAIN, FLASH], ids=["half again", "flash"])
-def test_routers_that_take_a_cold_server_for_a_warm_one_are_caught(
+def test_routers_that_treat_a_cold_server_as_warm_are_detected(
     burst: Burst, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(SlotTable, "warm_up_fraction", always_warm)
-    assert fallen(throng(20, TIGHT, burst, 1)) != []
+    assert fallen(start_burst(20, TIGHT, burst, 1)) != []
 
 
-def test_routers_that_do_not_see_that_a_key_is_hot_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_routers_that_ignore_hot_keys_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Popularity, "add", never_hot)
-    assert fallen(throng(20, ROOMY, NEW_KEY, 1)) == ["new1.0:80"]
+    assert fallen(start_burst(20, ROOMY, NEW_KEY, 1)) == ["new1.0:80"]
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_invariants.py
@@ -47,7 +47,7 @@
     closed_at: int | None = None
 
 
-class World:
+class Environment:
     """Plays clients, caches, an origin and a server list, and checks every action against the rules."""
 
     def __init__(self, config: Settings, seed: int) -> None:
@@ -154,13 +154,13 @@
         attempt = len(known.sends)
         known.sends.append((now, action.server))
         left = known.event.deadline - now
-        patience = min(action.timeout or left, left)
-        takes = int(self.rng.expovariate(1.0) * 150) * MS
+        time_left = min(action.timeout or left, left)
+        latency = int(self.rng.expovariate(1.0) * 150) * MS
         outcome = Outcome.OK if self.rng.random() < 0.5 else self.rng.choice(FAILURES)
-        if takes >= patience:
-            takes, outcome = max(patience, 0), Outcome.TIMEOUT
-        done = AttemptEnded(action.request, attempt, action.server, outcome, False, takes)
-        self.later(now + takes, done)
+        if latency >= time_left:
+            latency, outcome = max(time_left, 0), Outcome.TIMEOUT
+        done = AttemptEnded(action.request, attempt, action.server, outcome, False, latency)
+        self.later(now + latency, done)
 
 
 @given(
@@ -180,7 +180,7 @@
         cold_capacity=0.2,
         warm_up_time=S,
     )
-    first, second = World(config, seed), World(config, seed)
+    first, second = Environment(config, seed), Environment(config, seed)
     first.run(60)
     second.run(60)
     assert first.log == second.log
@@ -189,7 +189,7 @@
 
 @given(seed=strategies.integers(0, 2**32), share=strategies.floats(0.1, 0.5))
 @profile(derandomize=True, max_examples=20, deadline=None)
-def test_a_cold_server_gets_about_its_share_of_keys_and_no_heap_on_failover(seed: int, share: float) -> None:
+def test_a_cold_server_gets_its_fraction_of_keys_and_no_surge_on_failover(seed: int, share: float) -> None:
     config = settings(cold_capacity=share, warm_up_time=10 * S, max_attempts=2)
     cold = Server("cold", started=S)
     warm = tuple(Server(f"s{i}") for i in range(9))
--- a/tests/decisions/test_many_routers.py
+++ b/tests/decisions/test_many_routers.py
@@ -21,9 +21,20 @@
     Tenant,
     TimerFired,
 )
-from tests.decisions.cases import MS, ORIGIN, S, Timeline, ended, fleet, only_send, request, settings, started
+from tests.decisions.cases import (
+    MS,
+    ORIGIN,
+    S,
+    Timeline,
+    fleet,
+    only_send,
+    request,
+    result_of,
+    settings,
+    started,
+)
 
-AIM = 300 * MS
+LATENCY_TARGET = 300 * MS
 
 
 class OneStore:
@@ -63,34 +74,36 @@
     def _serve(self, router: Router, send: Send, now: int) -> None:
         attempt = self.attempts[send.request] = self.attempts.get(send.request, -1) + 1
         if send.server != ORIGIN.id:
-            self._later(now + 5 * MS, router, ended(send, Outcome.MISS, attempt, latency=5 * MS))
+            self._later(now + 5 * MS, router, result_of(send, Outcome.MISS, attempt, latency=5 * MS))
             return
         self.free_at = max(self.free_at, now) + self.work  # also for what nobody waits for any longer
         took = self.free_at - now
         self.fetched.append((self.routers.index(router), now, took))
         limit = min(send.timeout or S, S)
         outcome = Outcome.OK if took <= limit else Outcome.TIMEOUT
-        self._later(now + min(took, limit), router, ended(send, outcome, attempt, latency=min(took, limit)))
+        self._later(
+            now + min(took, limit), router, result_of(send, outcome, attempt, latency=min(took, limit))
+        )
 
     def _later(self, when: int, router: Router, event: Event) -> None:
         self.due.add(when, (router, event))
 
 
 @pytest.mark.parametrize(("routers", "a_second"), [(4, 120), (40, 1200)])
-def test_fresh_routers_at_one_store_learn_in_time_and_none_is_starved(routers: int, a_second: int) -> None:
+def test_new_routers_at_one_origin_adapt_in_time_and_none_is_starved(routers: int, a_second: int) -> None:
     """Reads come at four times what the store can do; all copies are gone."""
     site = OneStore(routers, a_second, work=S * 4 // a_second)
     site.play(20 * S)
     for begins, in_time in ((0, 0.3), (5, 0.9), (10, 0.9)):
-        asked = [f for f in site.fetched if begins * S <= f[1] < (begins + 5) * S]
-        assert sum(took <= AIM for _, _, took in asked) / len(asked) >= in_time
+        started_fetches = [f for f in site.fetched if begins * S <= f[1] < (begins + 5) * S]
+        assert sum(took <= LATENCY_TARGET for _, _, took in started_fetches) / len(started_fetches) >= in_time
         # Neither more than the store can do, nor much less: by forty floors or forty starts.
-        assert 0.9 <= len(asked) / 5 / (a_second / 4) <= 1.1
+        assert 0.9 <= len(started_fetches) / 5 / (a_second / 4) <= 1.1
     assert {router for router, when, _ in site.fetched if when >= 10 * S} == set(range(routers))
 
 
 @pytest.mark.parametrize("routers", [4, 40])
-def test_a_zone_that_is_back_cold_gets_its_part_by_the_sum_of_all_routers(routers: int) -> None:
+def test_a_zone_that_returns_cold_gets_its_fraction_from_all_routers_together(routers: int) -> None:
     cold_share, cold_time, back = 0.32, 9 * S, 100 * S
     zones = [Server(f"10.0.0.{i}:80", kind="std", zone="abc"[i % 3]) for i in range(24)]
     config = settings(routers=routers, cold_capacity=cold_share, warm_up_time=cold_time)
@@ -106,10 +119,10 @@
         now, router = back + S + i * S // a_second, group[i % routers]
         send = only_send(router.handle(request(f"r{i}", now, key=f"k{i}"), now))
         sent[send.server].append(now)
-        router.handle(ended(send, Outcome.OK), now)
+        router.handle(result_of(send, Outcome.OK), now)
     for server in cold:
         for begins in range(back + S, back + 9 * S, S):
-            came = sum(begins <= when < begins + 2 * S for when in sent[server.id])
+            received = sum(begins <= when < begins + 2 * S for when in sent[server.id])
             can = cold_share + (1 - cold_share) * (begins - back) / cold_time
-            assert came <= 2 * can * capacity * 2  # half of the multiple of four that fells it
+            assert received <= 2 * can * capacity * 2  # half of the multiple of four that fells it
         assert len(sent[server.id]) > capacity  # and it is not left out
--- a/tests/decisions/test_outage.py
+++ b/tests/decisions/test_outage.py
@@ -6,7 +6,7 @@
 
 from pebblepass.decisions import Action, Event, Outcome, Router, Send, SetTimer, TimerFired
 from pebblepass.decisions.outage import OriginState, Outage
-from tests.decisions.cases import MS, ORIGIN, S, Timeline, ended, fleet, request, settings, started
+from tests.decisions.cases import MS, ORIGIN, S, Timeline, fleet, request, result_of, settings, started
 
 CUT_S = 6
 
@@ -19,7 +19,7 @@
 
     def __init__(self) -> None:
         self.router: Router = started(settings(), fleet(5))
-        self.asked = self.fetched = 0
+        self.requested = self.fetched = 0
         self.due = Timeline[Event]()
         self.how: tuple[Way, ...] = ()
 
@@ -29,8 +29,8 @@
         for i in range(seconds * 20):
             now = begins * S + i * S // 20
             self._until(now)
-            self.asked += 1
-            name = f"k{self.asked}"
+            self.requested += 1
+            name = f"k{self.requested}"
             self._carry_out(self.router.handle(request(name, now, key=name), now), now)
         self._until((begins + seconds) * S)
         return self.fetched / (seconds * 20)
@@ -46,16 +46,16 @@
             elif isinstance(action, Send) and action.server == ORIGIN.id:
                 outcome, latency = self.how[self.fetched % len(self.how)]
                 self.fetched += 1
-                self.due.add(now + latency, ended(action, outcome, 1, latency=latency))
+                self.due.add(now + latency, result_of(action, outcome, 1, latency=latency))
             elif isinstance(action, Send):
-                self.due.add(now + 5 * MS, ended(action, Outcome.MISS, latency=5 * MS))
+                self.due.add(now + 5 * MS, result_of(action, Outcome.MISS, latency=5 * MS))
 
 
 GOOD = (Outcome.OK, 60 * MS)
 
 
 @pytest.mark.parametrize("way", [(Outcome.TIMEOUT, 900 * MS), (Outcome.CONNECT_FAILED, 250 * MS)])
-def test_two_seconds_after_the_way_is_back_all_is_fetched_again(way: Way) -> None:
+def test_two_seconds_after_an_outage_every_fetch_succeeds_again(way: Way) -> None:
     site = Site()
     assert site.play(0, 10, GOOD) == 1.0
     before = site.router.limits()
@@ -66,7 +66,7 @@
     assert site.play(12 + CUT_S, 5, GOOD) == 1.0
 
 
-def test_while_the_way_is_cut_little_is_sent_to_hear_whether_it_still_is() -> None:
+def test_few_probes_are_sent_during_an_outage() -> None:
     site = Site()
     site.play(0, 10, GOOD)
     site.play(10, CUT_S, (Outcome.TIMEOUT, 900 * MS))
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize(
     "how", [[(Outcome.ERROR, 60 * MS)], [(Outcome.TIMEOUT, 900 * MS)] * 2 + [(Outcome.OK, 600 * MS)]]
 )
-def test_what_an_overloaded_origin_was_cut_for_stays_cut(how: list[Way]) -> None:
+def test_limits_decreased_for_an_overloaded_origin_are_not_restored(how: list[Way]) -> None:
     site = Site()
     site.play(0, 10, GOOD)
     before = site.router.limits()
@@ -86,20 +86,20 @@
     assert site.router.limits()["a"] < before["a"] * 0.75
 
 
-def held(width: float) -> OriginState:
+def state_of(width: float) -> OriginState:
     return OriginState(width, 1.0, 0.0, 0.0, 0.0, {})
 
 
-def test_an_outage_is_three_in_a_row_and_ends_with_a_quick_answer_only() -> None:
+def test_an_outage_is_three_unanswered_in_a_row_and_ends_with_a_quick_answer_only() -> None:
     outage = Outage()
     for _ in range(2):
-        outage.record_unanswered(held(1.0))
+        outage.record_unanswered(state_of(1.0))
     assert outage.record_answer(quickly=True) is None
     for width in (2.0, 3.0, 4.0):
-        outage.record_unanswered(held(width))
+        outage.record_unanswered(state_of(width))
     assert outage.record_answer(quickly=False) is None
     assert outage.record_answer(quickly=True) is None  # a slow one has come in between: too much to do
     for width in (5.0, 6.0, 7.0):
-        outage.record_unanswered(held(width))
-    assert outage.record_answer(quickly=True) == held(5.0)
+        outage.record_unanswered(state_of(width))
+    assert outage.record_answer(quickly=True) == state_of(5.0)
     assert outage.record_answer(quickly=True) is None
--- a/tests/decisions/test_policy.py
+++ b/tests/decisions/test_policy.py
@@ -20,8 +20,8 @@
 )
 from pebblepass.decisions.interface import NS_PER_S
 
-AIM = NS_PER_S
-CLASSES = (RequestClass("get", AIM, 2 * AIM),)
+LATENCY_TARGET = NS_PER_S
+CLASSES = (RequestClass("get", LATENCY_TARGET, 2 * LATENCY_TARGET),)
 SETTINGS = Settings(
     CLASSES, (Tenant("acme", 0.5, 40.0), Tenant("zoo", 0.5, 40.0)), routers=4, origin_kind="o"
 )
@@ -46,14 +46,14 @@
     return found["acme"], found["zoo"]
 
 
-def test_without_a_policy_the_settings_hold_and_nothing_ends() -> None:
+def test_without_a_policy_the_settings_apply_and_nothing_expires() -> None:
     made = router()
     made.handle(TICK, NOW + 3600 * NS_PER_S)
     assert limits(made) == (10.0, 10.0)
     assert made.policy_version() == 0
 
 
-def test_a_policy_is_in_force_until_its_time_and_then_the_floor_holds_at_the_very_next_event() -> None:
+def test_a_policy_is_in_force_until_its_expiry_and_the_floor_applies_at_the_next_event() -> None:
     made = router()
     made.handle(PolicyChanged(policy(3, rate=40.0, quota=30.0), NOW + NS_PER_S), NOW)
     assert limits(made) == (5.0, 5.0)  # 40 a second for all, by portion, at four routers
@@ -66,45 +66,45 @@
     assert limits(made) == (2.5, 2.5)
 
 
-def test_a_lease_that_is_renewed_changes_no_limit_and_one_that_comes_back_brings_what_was_tuned() -> None:
+def test_a_renewed_lease_changes_no_limit_and_one_after_the_floor_restores_the_tuned_limit() -> None:
     made = router()
-    held = policy(3, quota=20.0)
-    made.handle(PolicyChanged(held, NOW + NS_PER_S), NOW)
+    current = policy(3, quota=20.0)
+    made.handle(PolicyChanged(current, NOW + NS_PER_S), NOW)
     made.tenants.suppressors["acme"].limit = 4.0  # cut by the origin's errors
-    made.handle(PolicyChanged(held, NOW + 2 * NS_PER_S), NOW + NS_PER_S // 2)
+    made.handle(PolicyChanged(current, NOW + 2 * NS_PER_S), NOW + NS_PER_S // 2)
     assert limits(made)[0] == 4.0
     made.handle(TICK, NOW + 3 * NS_PER_S)
     assert limits(made)[0] == 2.5
-    made.handle(PolicyChanged(held, NOW + 5 * NS_PER_S), NOW + 4 * NS_PER_S)
+    made.handle(PolicyChanged(current, NOW + 5 * NS_PER_S), NOW + 4 * NS_PER_S)
     assert limits(made)[0] == 4.0
     assert made.policy_version() == 3
 
 
-def test_a_version_that_is_decided_and_not_yet_held_is_at_the_floor() -> None:
+def test_a_version_that_is_decided_but_already_expired_is_at_the_floor() -> None:
     made = router()
     made.handle(PolicyChanged(policy(4, quota=30.0), 0), NOW)
     assert made.policy_version() == 0
     assert limits(made)[0] == 2.5
 
 
-def test_servers_held_out_get_nothing_new_and_come_back_with_the_policy_that_lets_them() -> None:
+def test_cordoned_servers_get_nothing_new_until_a_policy_uncordons_them() -> None:
     made = router()
 
-    def asked() -> set[str]:
+    def servers_used() -> set[str]:
         found = set()
         for number in range(60):
             name = f"{number}.{len(made.open_requests.by_id)}"
-            event = RequestArrived(name, "get", NOW + AIM, "acme", f"key{number}")
+            event = RequestArrived(name, "get", NOW + LATENCY_TARGET, "acme", f"key{number}")
             found |= {each.server for each in made.handle(event, NOW) if isinstance(each, Send)}
         return found
 
-    assert asked() == {"s1", "s2", "s3"}
+    assert servers_used() == {"s1", "s2", "s3"}
     made.handle(PolicyChanged(policy(1, None, None, "s2", "store"), NOW + NS_PER_S), NOW)
-    assert asked() == {"s1", "s3"}
+    assert servers_used() == {"s1", "s3"}
     assert sorted(each.id for each in made.ready_servers()) == ["s1", "s2", "s3", "store"]
     # News of the list meanwhile: it stays out, and one that is gone is not kept.
     made.handle(ServersChanged(ListKind.DELTA, (Server("s2"), Server("s4"))), NOW)
-    assert "s2" not in asked()
+    assert "s2" not in servers_used()
     made.handle(ServersChanged(ListKind.DELTA, (Server("s3", state=ServerState.REMOVED),)), NOW)
     made.handle(PolicyChanged(policy(2), NOW + NS_PER_S), NOW)
-    assert asked() == {"s1", "s2", "s4"}
+    assert servers_used() == {"s1", "s2", "s4"}
--- a/tests/decisions/test_requests.py
+++ b/tests/decisions/test_requests.py
@@ -28,11 +28,11 @@
     MS,
     ORIGIN,
     S,
-    ended,
     finals,
     fleet,
     only_send,
     request,
+    result_of,
     sends,
     settings,
     started,
@@ -43,66 +43,66 @@
     router = started(settings(), fleet(5))
     send = only_send(router.handle(request("r"), 0))
     assert send.server in {server.id for server in fleet(5)}
-    assert router.handle(ended(send, Outcome.OK), 20 * MS) == []
+    assert router.handle(result_of(send, Outcome.OK), 20 * MS) == []
 
 
-def test_miss_is_fetched_from_the_origin_with_the_whole_remaining_time() -> None:
+def test_miss_is_fetched_from_the_origin_with_all_of_the_remaining_time() -> None:
     router = started(settings(), fleet(5))
     send = only_send(router.handle(request("r"), 0))
-    fetch = only_send(router.handle(ended(send, Outcome.MISS), 5 * MS))
+    fetch = only_send(router.handle(result_of(send, Outcome.MISS), 5 * MS))
     assert (fetch.server, fetch.timeout) == (ORIGIN.id, 0)
 
 
-def test_write_goes_straight_to_the_origin_even_when_reads_are_denied() -> None:
+def test_write_is_sent_directly_to_the_origin_even_when_reads_are_denied() -> None:
     router = started(settings(tenants=(Tenant("a", 1.0, 0.1),)), fleet(5))
     denied = 0
     for i in range(50):
         send = only_send(router.handle(request(f"r{i}", key=f"k{i}"), 0))
-        denied += bool(finals(router.handle(ended(send, Outcome.MISS), 0)))
+        denied += bool(finals(router.handle(result_of(send, Outcome.MISS), 0)))
     assert denied > 40
     assert only_send(router.handle(request("w", cls="edit"), 0)).server == ORIGIN.id
 
 
-def test_refusal_carries_a_wait_only_where_clients_get_one() -> None:
-    for told in (True, False):
-        router = started(settings(retry_after=told, max_retry_after=400 * MS), (), origin=False)
+def test_rejection_has_a_retry_after_only_where_clients_get_one() -> None:
+    for has_retry_after in (True, False):
+        router = started(settings(retry_after=has_retry_after, max_retry_after=400 * MS), (), origin=False)
         (refusal,) = router.handle(request("r"), 0)
         assert isinstance(refusal, Reject)
-        assert (200 * MS <= refusal.retry_after <= 400 * MS) if told else refusal.retry_after == 0
+        assert (200 * MS <= refusal.retry_after <= 400 * MS) if has_retry_after else refusal.retry_after == 0
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.ERROR])
 def test_failed_holder_is_followed_by_the_next_ranked_server(outcome: Outcome) -> None:
     router = started(settings(), fleet(5))
     first = only_send(router.handle(request("r"), 0))
-    second = only_send(router.handle(ended(first, outcome), 5 * MS))
+    second = only_send(router.handle(result_of(first, outcome), 5 * MS))
     assert second.server not in (first.server, ORIGIN.id)
 
 
-def test_attempt_limit_ends_in_a_refusal_of_a_safe_read() -> None:
+def test_attempt_limit_ends_in_the_rejection_of_an_idempotent_read() -> None:
     router = started(settings(max_attempts=2), fleet(5))
     first = only_send(router.handle(request("r"), 0))
-    second = only_send(router.handle(ended(first, Outcome.OVERLOADED), 0))
-    assert router.handle(ended(second, Outcome.OVERLOADED, 1), 0) == [
+    second = only_send(router.handle(result_of(first, Outcome.OVERLOADED), 0))
+    assert router.handle(result_of(second, Outcome.OVERLOADED, 1), 0) == [
         Reject("r", reason=Reason.ORIGIN_FAILED)
     ]
 
 
-def test_misses_of_a_key_share_one_fetch_and_ask_the_cache_again() -> None:
+def test_misses_of_a_key_share_one_fetch_and_are_routed_to_the_cache_again() -> None:
     router = started(settings(), fleet(5))
     one, two = (only_send(router.handle(request(name), 0)) for name in ("one", "two"))
-    fetch = only_send(router.handle(ended(one, Outcome.MISS), 5 * MS))
-    waiting = router.handle(ended(two, Outcome.MISS), 6 * MS)
+    fetch = only_send(router.handle(result_of(one, Outcome.MISS), 5 * MS))
+    waiting = router.handle(result_of(two, Outcome.MISS), 6 * MS)
     assert [type(action) for action in waiting] == [SetTimer]
-    again = only_send(router.handle(ended(fetch, Outcome.OK, 1), 50 * MS))
+    again = only_send(router.handle(result_of(fetch, Outcome.OK, 1), 50 * MS))
     assert (again.request, again.server) == ("two", two.server)
 
 
-def test_waiter_fetches_when_the_leading_client_leaves() -> None:
+def test_waiter_fetches_when_the_leading_client_disconnects() -> None:
     router = started(settings(), fleet(5))
     one, two = (only_send(router.handle(request(name), 0)) for name in ("one", "two"))
-    router.handle(ended(one, Outcome.MISS), 5 * MS)
-    router.handle(ended(two, Outcome.MISS), 5 * MS)
+    router.handle(result_of(one, Outcome.MISS), 5 * MS)
+    router.handle(result_of(two, Outcome.MISS), 5 * MS)
     fetch = only_send(router.handle(ClientDisconnected("one"), 10 * MS))
     assert (fetch.request, fetch.server) == ("two", ORIGIN.id)
 
@@ -110,20 +110,20 @@
 def test_waiter_is_answered_at_its_deadline() -> None:
     router = started(settings(), fleet(5))
     one, two = (only_send(router.handle(request(name), 0)) for name in ("one", "two"))
-    router.handle(ended(one, Outcome.MISS), 5 * MS)
-    (timer,) = router.handle(ended(two, Outcome.MISS), 6 * MS)
+    router.handle(result_of(one, Outcome.MISS), 5 * MS)
+    (timer,) = router.handle(result_of(two, Outcome.MISS), 6 * MS)
     assert isinstance(timer, SetTimer)
     assert timer.delay == S - 6 * MS
     assert router.handle(TimerFired(timer.token), S) == [Reject("two", reason=Reason.DEADLINE)]
 
 
-def test_client_leaving_in_the_same_batch_as_the_outcome() -> None:
+def test_client_disconnecting_in_the_same_turn_as_the_outcome() -> None:
     router = started(settings(), fleet(5))
     send = only_send(router.handle(request("r"), 0))
     assert router.handle(ClientDisconnected("r"), 5 * MS) == []
-    assert router.handle(ended(send, Outcome.MISS, closed=True), 5 * MS) == []
+    assert router.handle(result_of(send, Outcome.MISS, answered=True), 5 * MS) == []
     other = only_send(router.handle(request("s"), 0))
-    only_send(router.handle(ended(other, Outcome.MISS), 5 * MS))
+    only_send(router.handle(result_of(other, Outcome.MISS), 5 * MS))
     assert router.handle(ClientDisconnected("unknown"), 5 * MS) == []
 
 
@@ -138,43 +138,43 @@
     assert only_send(router.handle(request("r"), 0)).server == ORIGIN.id
 
 
-def test_unsafe_write_that_may_have_run_fails_and_one_that_did_not_is_sent_again() -> None:
+def test_not_idempotent_write_that_may_have_run_fails_and_one_that_did_not_is_retried() -> None:
     router = started(settings(), fleet(3))
     send = only_send(router.handle(request("w", cls="order"), 0))
-    assert router.handle(ended(send, Outcome.ERROR), 5 * MS)[-1] != Fail("w")
+    assert router.handle(result_of(send, Outcome.ERROR), 5 * MS)[-1] != Fail("w")
     (final,) = router.handle(TimerFired("w"), 300 * MS)
     assert final == Fail("w")
     send = only_send(router.handle(request("x", cls="order"), 0))
-    (timer,) = router.handle(ended(send, Outcome.OVERLOADED), 5 * MS)
+    (timer,) = router.handle(result_of(send, Outcome.OVERLOADED), 5 * MS)
     assert isinstance(timer, SetTimer)
     assert only_send(router.handle(TimerFired(timer.token), 300 * MS)).server == ORIGIN.id
 
 
-def test_keyed_write_is_not_sent_again_after_its_window() -> None:
+def test_write_with_an_idempotency_key_is_not_retried_after_its_window() -> None:
     short = RequestClass(
         "edit", latency_target=S, deadline=9 * S, effect=settings().classes[1].effect, dedup_window=10
     )
     router = started(settings(classes=(short,)), fleet(3))
     send = only_send(router.handle(request("w", cls="edit", deadline=9 * S), 0))
-    (timer,) = router.handle(ended(send, Outcome.ERROR), 5 * MS)
+    (timer,) = router.handle(result_of(send, Outcome.ERROR), 5 * MS)
     assert isinstance(timer, SetTimer)
     assert router.handle(TimerFired(timer.token), 500 * MS) == [Reject("w")]
 
 
-def test_keyed_group_of_a_zone_is_kept_when_caches_take_the_writes() -> None:
+def test_dedup_scope_of_a_zone_is_respected_when_caches_process_the_writes() -> None:
     zones = tuple(Server(f"s{i}", zone=f"z{i % 2}") for i in range(6))
     router = started(settings(origin_kind=None), zones, origin=False)
     send = only_send(router.handle(request("w", cls="zonal"), 0))
-    again = only_send(router.handle(ended(send, Outcome.ERROR), 5 * MS))
+    again = only_send(router.handle(result_of(send, Outcome.ERROR), 5 * MS))
     zone_of = {server.id: server.zone for server in zones}
     assert again.server != send.server
     assert zone_of[again.server] == zone_of[send.server]
-    third = only_send(router.handle(ended(again, Outcome.ERROR, 1), 6 * MS))
-    assert router.handle(ended(third, Outcome.ERROR, 2), 7 * MS) == [Fail("w", Reason.NO_SERVER)]
+    third = only_send(router.handle(result_of(again, Outcome.ERROR, 1), 6 * MS))
+    assert router.handle(result_of(third, Outcome.ERROR, 2), 7 * MS) == [Fail("w", Reason.NO_SERVER)]
 
 
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.REMOVED])
-def test_nothing_is_sent_to_a_server_that_drains_or_is_gone(state: ServerState) -> None:
+def test_nothing_is_sent_to_a_server_that_is_draining_or_removed(state: ServerState) -> None:
     router = started(settings(), fleet(5))
     leaver = only_send(router.handle(request("r0"), 0)).server
     router.handle(ServersChanged(ListKind.DELTA, (Server(leaver, kind="std", state=state),)), 0)
@@ -182,7 +182,7 @@
         assert only_send(router.handle(request(f"r{i}", key=f"k{i}"), 0)).server != leaver
 
 
-def test_server_absent_from_a_full_list_is_gone() -> None:
+def test_server_absent_from_a_full_list_is_removed() -> None:
     router = started(settings(), fleet(5))
     router.handle(ServersChanged(ListKind.FULL, (fleet(5)[2], ORIGIN)), 0)
     targets = {only_send(router.handle(request(f"r{i}", key=f"k{i}"), 0)).server for i in range(50)}
@@ -195,25 +195,25 @@
     assert router.handle(request("w", cls="edit"), 0) == [Reject("w", reason=Reason.NO_SERVER)]
 
 
-def test_refused_connection_ejects_a_server_and_it_returns_by_trials() -> None:
+def test_refused_connection_ejects_a_server_and_it_recovers_by_probes() -> None:
     router = started(settings(tenants=()), fleet(5))
     dead = only_send(router.handle(request("r"), 0))
-    router.handle(ended(dead, Outcome.CONNECT_FAILED), 0)
+    router.handle(result_of(dead, Outcome.CONNECT_FAILED), 0)
     early = [only_send(router.handle(request(f"s{i}"), 900 * MS)) for i in range(40)]
     assert dead.server not in {send.server for send in early}
-    router.handle(ended(early[0], Outcome.OK), 910 * MS)
+    router.handle(result_of(early[0], Outcome.OK), 910 * MS)
     later = [only_send(router.handle(request(f"t{i}", 12 * S), 12 * S)).server for i in range(40)]
     assert 0 < later.count(dead.server) < 30
     full = [only_send(router.handle(request(f"u{i}", 65 * S), 65 * S)).server for i in range(40)]
     assert set(full) == {server.id for server in fleet(5)}  # the one slot asked for is hot: all own it
 
 
-def test_dead_server_stays_out_whatever_the_clock_showed_at_first() -> None:
+def test_unreachable_server_stays_ejected_whatever_the_clock_showed_at_first() -> None:
     # Found on real sockets: the clock counts from the machine's start, and nobody was ever out for long.
     day = 86_400 * S
     router = started(settings(tenants=()), fleet(5), now=day)
     dead = only_send(router.handle(request("r", day), day))
-    router.handle(ended(dead, Outcome.CONNECT_FAILED), day)
+    router.handle(result_of(dead, Outcome.CONNECT_FAILED), day)
     early = [only_send(router.handle(request(f"s{i}", day), day + 900 * MS)) for i in range(40)]
     assert dead.server not in {send.server for send in early}
     later = day + 12 * S
@@ -221,12 +221,12 @@
     assert 0 < tried.count(dead.server) < 30
 
 
-def test_congested_server_sheds_tenants_over_their_portion_first() -> None:
+def test_congested_server_sheds_tenants_over_their_weight_first() -> None:
     router = started(settings(), fleet(1))
     for i in range(300):  # b asks for two thirds of the traffic, its portion is 0.4
         tenant = "a" if i % 3 == 0 else "b"
         for send in sends(router.handle(request(f"r{i}", tenant=tenant), 0)):
-            router.handle(ended(send, Outcome.OK), 0)
+            router.handle(result_of(send, Outcome.OK), 0)
     router.caches.nodes[fleet(1)[0].id].record_outcome(Outcome.OK, True, 0)
     served = {"a": 0, "b": 0}
     for i in range(600):
@@ -235,34 +235,34 @@
     assert served["a"] > 60 > served["b"]
 
 
-def test_reads_go_to_the_origin_when_every_cache_counts_as_dead() -> None:
+def test_reads_are_fetched_when_every_cache_is_unreachable() -> None:
     router = started(settings(max_attempts=6), fleet(3))
     actions = router.handle(request("r"), 0)
     for attempt in range(3):
-        actions = router.handle(ended(only_send(actions), Outcome.CONNECT_FAILED, attempt), 0)
+        actions = router.handle(result_of(only_send(actions), Outcome.CONNECT_FAILED, attempt), 0)
     assert only_send(actions).server == ORIGIN.id
     assert only_send(router.handle(request("s", key="other"), 1)).server == ORIGIN.id
 
 
-def test_late_and_full_answers_shed_a_server_and_good_ones_bring_it_back() -> None:
+def test_late_and_overloaded_answers_shed_a_server_and_good_ones_restore_it() -> None:
     # Found in incident i81a10c: overloaded servers kept their whole share and answered nobody in time.
     router = started(settings(), fleet(1))
     for i in range(8):
         for send in sends(router.handle(request(f"r{i}", i * MS), i * MS)):
-            router.handle(ended(send, Outcome.OK, latency=400 * MS), i * MS)
+            router.handle(result_of(send, Outcome.OK, latency=400 * MS), i * MS)
     answers = [router.handle(request(f"s{i}", 100 * MS), 100 * MS) for i in range(200)]
     passed = [only_send(actions) for actions in answers if sends(actions)]
     assert 2 < len(passed) < 50
-    router.handle(ended(passed[0], Outcome.OK), 200 * MS)
+    router.handle(result_of(passed[0], Outcome.OK), 200 * MS)
     again = [router.handle(request(f"t{i}", 65 * S), 65 * S) for i in range(50)]
     assert all(sends(actions) for actions in again)
 
 
-def test_congested_server_sheds_by_refusal_and_does_not_spread_its_load() -> None:
+def test_congested_server_sheds_by_rejection_and_does_not_move_its_load() -> None:
     router = started(settings(), fleet(6))
     for i in range(400):
         for send in sends(router.handle(request(f"r{i}", key=f"k{i}"), 0)):
-            router.handle(ended(send, Outcome.OVERLOADED, closed=True), 0)
+            router.handle(result_of(send, Outcome.OVERLOADED, answered=True), 0)
     answers = [router.handle(request(f"s{i}", key=f"q{i}"), 0) for i in range(200)]
     assert sum(bool(finals(actions)) for actions in answers) > 150
 
@@ -275,79 +275,79 @@
         key = "hot" if i % 10 == 0 else f"cold{i % 500}"
         send = only_send(router.handle(request(f"r{i}", key=key), i))
         owners.setdefault(key, set()).add(send.server)
-        router.handle(ended(send, Outcome.OK), i)
+        router.handle(result_of(send, Outcome.OK), i)
     assert 4 <= len(owners.pop("hot")) <= 8
     assert sum(len(servers) == 1 for servers in owners.values()) > 0.95 * len(owners)
 
 
-def test_lone_bad_fetch_cuts_nobody_and_repeated_ones_cut_every_tenant() -> None:
+def test_single_bad_fetch_decreases_no_limit_and_repeated_ones_every_tenants() -> None:
     # Found on cluj's rough days: one late fetch in forty, by chance, starved every tenant.
     router = started(settings(), fleet(5))
-    guards = list(router.tenants.suppressors.values())
-    caps = [guard.limit for guard in guards]
+    limiters = list(router.tenants.suppressors.values())
+    caps = [limiter.limit for limiter in limiters]
 
     def fetch(i: int, outcome: Outcome) -> None:
         now = (i + 1) * S
         send = only_send(router.handle(request(f"r{i}", now, key=f"k{i}"), now))
-        out = only_send(router.handle(ended(send, Outcome.MISS), now))
-        router.handle(ended(out, outcome, 1, closed=True, latency=600 * MS), now)
+        out = only_send(router.handle(result_of(send, Outcome.MISS), now))
+        router.handle(result_of(out, outcome, 1, answered=True, latency=600 * MS), now)
 
     fetch(0, Outcome.TIMEOUT)
-    assert [guard.limit for guard in guards] == caps
+    assert [limiter.limit for limiter in limiters] == caps
     fetch(1, Outcome.TIMEOUT)
-    assert all(guard.limit < cap for guard, cap in zip(guards, caps, strict=True))
+    assert all(limiter.limit < cap for limiter, cap in zip(limiters, caps, strict=True))
 
 
-def test_tenant_over_its_portion_is_cut_harder() -> None:
+def test_limit_of_a_tenant_over_its_weight_is_decreased_more() -> None:
     router = started(settings(), fleet(5))
     a, b, _ = router.tenants.suppressors.values()
     for i in range(60):  # b asks for two thirds of the traffic, its portion is 0.4
         now, tenant = (i + 1) * 20 * MS, "a" if i % 3 == 0 else "b"
         send = only_send(router.handle(request(f"r{i}", now, tenant=tenant, key=f"k{i}"), now))
-        for fetch in sends(router.handle(ended(send, Outcome.MISS), now)):
+        for fetch in sends(router.handle(result_of(send, Outcome.MISS), now)):
             outcome = Outcome.RESET if i > 57 else Outcome.OK
-            router.handle(ended(fetch, outcome, 1, closed=True), now)
-    used_a, used_b = (guard.accepted(2 * S) / guard.window_s for guard in (a, b))
+            router.handle(result_of(fetch, outcome, 1, answered=True), now)
+    used_a, used_b = (limiter.accepted(2 * S) / limiter.window_s for limiter in (a, b))
     assert b.limit / used_b < LIMIT_DECREASE < a.limit / used_a
 
 
-def test_cuts_come_once_an_origin_round_trip() -> None:
+def test_limits_are_decreased_once_in_an_origin_round_trip() -> None:
     router = started(settings(), fleet(5))
     fetches = []
     for i in range(12):
         send = only_send(router.handle(request(f"r{i}", S, key=f"k{i}"), S))
-        fetches += sends(router.handle(ended(send, Outcome.MISS), S))
-    guard = router.tenants.suppressors["b"]
+        fetches += sends(router.handle(result_of(send, Outcome.MISS), S))
+    limiter = router.tenants.suppressors["b"]
     for fetch in fetches:
-        router.handle(ended(fetch, Outcome.RESET, 1), S + 200 * MS)
-    once = guard.limit
-    assert once < guard.cap
+        router.handle(result_of(fetch, Outcome.RESET, 1), S + 200 * MS)
+    once = limiter.limit
+    assert once < limiter.cap
     router.origin_limits.record_fetch(
-        router.origins.nodes[ORIGIN.id], ended(fetches[0], Outcome.RESET), False, S
+        router.origins.nodes[ORIGIN.id], result_of(fetches[0], Outcome.RESET), False, S
     )
-    assert guard.limit == once
+    assert limiter.limit == once
 
 
-def test_writes_are_held_while_the_origin_is_over_its_width_and_the_newest_goes_first() -> None:
+def test_writes_wait_while_the_origin_is_over_the_write_limit_and_the_newest_is_sent_first() -> None:
     # Found in incident i623dca: writes alone kept a queue at the origin that nobody waited for.
     router = started(settings(), fleet(2))
     writes = [only_send(router.handle(request(f"w{i}", S, cls="edit"), S)) for i in range(8)]
     for write in writes[:6]:
-        router.handle(ended(write, Outcome.TIMEOUT, latency=900 * MS), 2 * S)
+        router.handle(result_of(write, Outcome.TIMEOUT, latency=900 * MS), 2 * S)
     more = [router.handle(request(f"x{i}", 2 * S, cls="edit"), 2 * S) for i in range(6)]
-    went = [actions for actions in more if sends(actions)]
-    assert 0 < len(went) < 5
-    assert all(isinstance(action, SetTimer) for actions in more[len(went) :] for action in actions)
+    sent = [actions for actions in more if sends(actions)]
+    assert 0 < len(sent) < 5
+    assert all(isinstance(action, SetTimer) for actions in more[len(sent) :] for action in actions)
     freed = []
     for write in writes[6:]:  # slowly: a quick answer behind so many without one ends an outage of the way
-        freed += sends(router.handle(ended(write, Outcome.OK, latency=400 * MS), 2 * S + 10 * MS))
+        freed += sends(router.handle(result_of(write, Outcome.OK, latency=400 * MS), 2 * S + 10 * MS))
     assert [send.request for send in freed] == ["x5", "x4", "x3"]
     late = router.handle(request("y", 2 * S, cls="edit"), 2 * S)
     assert sends(late) == []
     assert router.handle(TimerFired("y"), 3 * S) == [Reject("y", reason=Reason.DEADLINE)]
 
 
-def test_subscription_is_asked_for_at_the_start_and_after_failures_with_growing_waits() -> None:
+def test_subscription_at_the_start_and_after_failures_with_backoff() -> None:
     router = started(settings(must_subscribe=True, subscribe_within=8 * S), fleet(2), seed=3)
     fresh = started(settings(must_subscribe=True), ())
     (timer,) = fresh.handle(ServersChanged(ListKind.FAILED), 0) or [SetTimer(0, "subscribe")]
@@ -365,26 +365,26 @@
     assert router.handle(ServersChanged(ListKind.DELTA), 0) == []
 
 
-def test_pushed_lists_are_not_asked_for() -> None:
+def test_pushed_lists_need_no_subscription() -> None:
     router = started(settings(), fleet(2))
     assert router.handle(ServersChanged(ListKind.FULL, fleet(2)), 0) == []
 
 
-def test_request_without_a_key_is_spread_and_never_waits_for_another() -> None:
+def test_request_without_a_key_gets_a_random_server_and_never_waits_for_another() -> None:
     router = started(settings(), fleet(10))
     targets = set()
     for i in range(60):
         send = only_send(router.handle(request(f"r{i}", key=None), i))
         targets.add(send.server)
-        assert only_send(router.handle(ended(send, Outcome.MISS), i)).server == ORIGIN.id
+        assert only_send(router.handle(result_of(send, Outcome.MISS), i)).server == ORIGIN.id
     assert len(targets) > 5
 
 
-def test_no_tenants_and_no_quota_leave_fetches_free_at_first() -> None:
+def test_no_tenants_and_no_quota_leave_fetches_unlimited_at_first() -> None:
     router = started(settings(tenants=()), fleet(3))
     for i in range(30):
         send = only_send(router.handle(request(f"r{i}", tenant=None, key=f"k{i}"), i))
-        assert only_send(router.handle(ended(send, Outcome.MISS), i)).server == ORIGIN.id
+        assert only_send(router.handle(result_of(send, Outcome.MISS), i)).server == ORIGIN.id
 
 
 @pytest.mark.parametrize(
@@ -414,120 +414,124 @@
     """Have every cache answer often enough for the router to know how long that takes; returns the time."""
     for i in range(answers):
         send = only_send(router.handle(request(f"w{i}", i * MS, key=f"k{i}"), i * MS))
-        router.handle(ended(send, Outcome.OK), (i + 20) * MS)
+        router.handle(result_of(send, Outcome.OK), (i + 20) * MS)
     return answers * MS
 
 
-def test_lost_attempt_is_cut_short_and_asked_once_more_at_the_same_server() -> None:
+def test_lost_attempt_times_out_and_is_retried_once_at_the_same_server() -> None:
     router = started(settings(), fleet(3))
     now = warmed(router)
     first = only_send(router.handle(request("r", now, key="k1"), now))
     assert 20 * MS < first.timeout < 300 * MS
     now += first.timeout
-    again = only_send(router.handle(ended(first, Outcome.TIMEOUT, latency=first.timeout), now))
+    again = only_send(router.handle(result_of(first, Outcome.TIMEOUT, latency=first.timeout), now))
     assert (again.server, again.timeout) == (first.server, 0)
-    router.handle(ended(again, Outcome.OK, 1), now + 20 * MS)
+    router.handle(result_of(again, Outcome.OK, 1), now + 20 * MS)
     # the lone silence is held against nobody: no read is refused
     assert all(sends(router.handle(request(f"s{i}", now, key=f"k{i}"), now)) for i in range(20))
 
 
-def test_server_that_stays_silent_is_left() -> None:
+def test_unresponsive_server_is_abandoned() -> None:
     router = started(settings(), fleet(3))
     now = warmed(router)
     first = only_send(router.handle(request("r", now, key="k1"), now))
-    again = only_send(router.handle(ended(first, Outcome.TIMEOUT, latency=first.timeout), now))
-    other = only_send(router.handle(ended(again, Outcome.TIMEOUT, 1, latency=250 * MS), now + 250 * MS))
+    again = only_send(router.handle(result_of(first, Outcome.TIMEOUT, latency=first.timeout), now))
+    other = only_send(router.handle(result_of(again, Outcome.TIMEOUT, 1, latency=250 * MS), now + 250 * MS))
     assert other.server != first.server
 
 
-def test_slow_answers_and_repeats_that_would_do_harm_get_all_the_time() -> None:
+def test_slow_answers_and_requests_that_are_not_idempotent_get_no_timeout() -> None:
     router = started(settings(origin_kind=None), fleet(3), origin=False)
     now = warmed(router)
     for cls in ("order", "zonal"):
         assert only_send(router.handle(request(cls, now, cls), now)).timeout == 0
     for i in range(60):
         send = only_send(router.handle(request(f"s{i}", now, key=f"k{i}"), now))
-        router.handle(ended(send, Outcome.OK, latency=(280 if i % 2 else 100) * MS), now)
+        router.handle(result_of(send, Outcome.OK, latency=(280 if i % 2 else 100) * MS), now)
     assert only_send(router.handle(request("r", now, key="k1"), now)).timeout == 0
 
 
-def test_held_writes_do_not_loop_when_the_origin_entry_changes() -> None:
+def test_waiting_writes_do_not_loop_when_the_origin_entry_changes() -> None:
     router = started(settings(), ())
     router.origin_limits.write_limit = 3.0
     out = [only_send(router.handle(request(f"w{i}", cls="edit"), 0)) for i in range(3)]
     router.handle(ServersChanged(ListKind.DELTA, (replace(ORIGIN, started=1),)), 0)
     later = [sends(router.handle(request(f"h{i}", cls="edit"), 0)) for i in range(6)]
     assert [len(sent) for sent in later] == [1, 1, 1, 0, 0, 0]
-    router.handle(ended(out[0], Outcome.OK), 0)  # at the node that the list no longer has
+    router.handle(result_of(out[0], Outcome.OK), 0)  # at the node that the list no longer has
 
 
-def test_lost_fetch_is_made_once_more_and_keeps_its_waiters() -> None:
+def test_lost_fetch_is_repeated_once_and_keeps_its_waiters() -> None:
     router = started(settings(), fleet(3))
     for i in range(60):
         send = only_send(router.handle(request(f"f{i}", key=f"f{i}"), 0))
-        fetch = only_send(router.handle(ended(send, Outcome.MISS), 0))
-        router.handle(ended(fetch, Outcome.OK, 1), 0)
+        fetch = only_send(router.handle(result_of(send, Outcome.MISS), 0))
+        router.handle(result_of(fetch, Outcome.OK, 1), 0)
     first, second = (only_send(router.handle(request(name, key="k1"), 0)) for name in ("r1", "r2"))
-    fetch = only_send(router.handle(ended(first, Outcome.MISS), 0))
+    fetch = only_send(router.handle(result_of(first, Outcome.MISS), 0))
     assert 0 < fetch.timeout < 300 * MS
-    assert not sends(router.handle(ended(second, Outcome.MISS), 0))
+    assert not sends(router.handle(result_of(second, Outcome.MISS), 0))
     now = fetch.timeout
-    again = only_send(router.handle(ended(fetch, Outcome.TIMEOUT, 1, latency=now), now))
+    again = only_send(router.handle(result_of(fetch, Outcome.TIMEOUT, 1, latency=now), now))
     assert (again.server, again.timeout) == (ORIGIN.id, 0)
-    (waiter,) = sends(router.handle(ended(again, Outcome.OK, 2), now + 20 * MS))
+    (waiter,) = sends(router.handle(result_of(again, Outcome.OK, 2), now + 20 * MS))
     assert waiter.request == "r2"
 
 
-def test_lost_write_is_repeated_only_where_its_repeat_is_dropped() -> None:
+def test_lost_write_is_repeated_only_where_duplicates_are_dropped() -> None:
     for cls, repeated in (("edit", True), ("order", False)):
         router = started(settings(), fleet(3))
         for i in range(60):
-            router.handle(ended(only_send(router.handle(request(f"w{i}", cls=cls), 0)), Outcome.OK), 0)
+            router.handle(result_of(only_send(router.handle(request(f"w{i}", cls=cls), 0)), Outcome.OK), 0)
         send = only_send(router.handle(request("w", cls=cls), 0))
         assert bool(send.timeout) is repeated
-        actions = router.handle(ended(send, Outcome.TIMEOUT, latency=send.timeout), send.timeout)
+        actions = router.handle(result_of(send, Outcome.TIMEOUT, latency=send.timeout), send.timeout)
         assert bool(sends(actions)) is repeated
 
 
-def test_lone_reset_is_tried_again_there_and_a_second_one_ejects() -> None:
+def test_single_reset_is_retried_at_the_same_server_and_a_second_one_ejects_it() -> None:
     router = started(settings(), fleet(5))
     first = only_send(router.handle(request("r"), 0))
-    again = only_send(router.handle(ended(first, Outcome.RESET), 5 * MS))
+    again = only_send(router.handle(result_of(first, Outcome.RESET), 5 * MS))
     assert again.server == first.server
-    other = only_send(router.handle(ended(again, Outcome.RESET, 1), 10 * MS))
+    other = only_send(router.handle(result_of(again, Outcome.RESET, 1), 10 * MS))
     assert other.server not in (first.server, ORIGIN.id)
 
 
-def test_kept_connections_that_break_eject_no_server_and_cut_nobody() -> None:
+def test_idle_connections_that_break_eject_no_server_and_decrease_no_limit() -> None:
     # Found on the day of resets: two broken connections took a sound server out, and the origin's cut all.
     router = started(settings(), fleet(5))
     first = only_send(router.handle(request("r"), 0))
-    caps = [guard.limit for guard in router.tenants.suppressors.values()]
-    actions = router.handle(ended(first, Outcome.RESET, stale=True), MS)
+    caps = [limiter.limit for limiter in router.tenants.suppressors.values()]
+    actions = router.handle(result_of(first, Outcome.RESET, connection_failed=True), MS)
     for attempt in (1, 2):
         again = only_send(actions)
         assert again.server == first.server
-        actions = router.handle(ended(again, Outcome.RESET, attempt, stale=True), MS)
+        actions = router.handle(result_of(again, Outcome.RESET, attempt, connection_failed=True), MS)
     for i in range(20):
         send = only_send(router.handle(request(f"s{i}", key=f"k{i}"), 9 * MS))
-        fetch = only_send(router.handle(ended(send, Outcome.MISS), 9 * MS))
-        once_more = only_send(router.handle(ended(fetch, Outcome.RESET, 1, stale=True), 9 * MS))
+        fetch = only_send(router.handle(result_of(send, Outcome.MISS), 9 * MS))
+        once_more = only_send(
+            router.handle(result_of(fetch, Outcome.RESET, 1, connection_failed=True), 9 * MS)
+        )
         assert once_more.server == ORIGIN.id
-        router.handle(ended(once_more, Outcome.OK, 2), S)
-    assert [guard.limit for guard in router.tenants.suppressors.values()] == caps
+        router.handle(result_of(once_more, Outcome.OK, 2), S)
+    assert [limiter.limit for limiter in router.tenants.suppressors.values()] == caps
 
 
-def test_unsafe_write_on_a_kept_connection_that_breaks_is_not_repeated() -> None:
+def test_not_idempotent_write_on_an_idle_connection_that_breaks_is_not_repeated() -> None:
     router = started(settings(), fleet(3))
     send = only_send(router.handle(request("w", cls="order"), 0))
-    assert router.handle(ended(send, Outcome.RESET, stale=True), MS) == [Fail("w")]
+    assert router.handle(result_of(send, Outcome.RESET, connection_failed=True), MS) == [Fail("w")]
 
 
-def test_what_tells_of_a_connection_that_did_not_come_up_ejects_nobody_however_late() -> None:
+def test_connections_that_fail_to_open_eject_no_server_however_late() -> None:
     # Found on a day on which a third of them come up late: half of the servers were held dead for a minute.
     router, late = started(settings(), fleet(5)), 400 * MS  # the aim: 300
     first = only_send(router.handle(request("r"), 0))
-    other = only_send(router.handle(ended(first, Outcome.CONNECT_FAILED, latency=late, stale=True), late))
+    other = only_send(
+        router.handle(result_of(first, Outcome.CONNECT_FAILED, latency=late, connection_failed=True), late)
+    )
     assert other.server not in (first.server, ORIGIN.id)
     assert router.avoided(late) == []
     assert router.caches.nodes[first.server].is_healthy
--- a/tests/decisions/test_haste.py
+++ b/tests/decisions/test_short_deadlines.py
@@ -12,11 +12,11 @@
     MS,
     S,
     Timeline,
-    ended,
     finals,
     fleet,
     only_send,
     request,
+    result_of,
     sends,
     settings,
     started,
@@ -28,7 +28,7 @@
     router = started(settings(), fleet(5))
     for i in range(answers):
         send = only_send(router.handle(request(f"w{i}", i * MS, key=f"w{i}"), i * MS))
-        router.handle(ended(send, Outcome.OK, latency=latency), i * MS)
+        router.handle(result_of(send, Outcome.OK, latency=latency), i * MS)
     return router
 
 
@@ -43,7 +43,7 @@
         actions = router.handle(request(name, now, key=name, deadline=now + left), now)
         if sends(actions):
             sent += 1
-            router.handle(ended(only_send(actions), Outcome.OK, latency=latency), now)
+            router.handle(result_of(only_send(actions), Outcome.OK, latency=latency), now)
         else:
             (refused,) = actions
             assert isinstance(refused, Reject)
@@ -51,7 +51,7 @@
     return sent
 
 
-def test_less_time_than_answers_take_is_refused_at_once_but_for_a_few() -> None:
+def test_less_time_than_answers_need_is_rejected_at_once_but_for_a_few() -> None:
     assert 0 < sent_of(after_answers(70 * MS), 200, 54 * MS, latency=70 * MS) < 30
 
 
@@ -60,17 +60,17 @@
     assert sent_of(after_answers(latency), 50, left) == 50
 
 
-def test_a_router_that_has_heard_nothing_sends_whatever_comes() -> None:
+def test_a_router_without_evidence_sends_every_request() -> None:
     assert sent_of(started(settings(), fleet(5)), 1, 5 * MS) == 1
 
 
-def test_writes_are_sent_whatever_their_time() -> None:
+def test_writes_are_sent_whatever_their_deadline() -> None:
     router = after_answers(70 * MS)
     for cls in ("edit", "order"):
         assert sends(router.handle(request(cls, S, cls=cls, deadline=S + 20 * MS), S))
 
 
-def test_where_all_are_in_haste_the_few_tell_that_caches_are_quick_again() -> None:
+def test_where_all_deadlines_are_short_a_few_attempts_detect_that_caches_are_fast_again() -> None:
     router = after_answers(200 * MS)
     assert sent_of(router, 100, 54 * MS) < 20
     for second in range(2, 30):
@@ -78,46 +78,46 @@
     assert sent_of(router, 100, 54 * MS, 31 * S) == 100
 
 
-class HastyMorning:
+class MixedDeadlines:
     """A server that does one read after another, and clients: some wait, others try six times in a row."""
 
     WORK = 50 * MS
-    PATIENT, HASTY = 700 * MS, 40 * MS
-    AIM = 300 * MS
+    LONG_DEADLINE, SHORT_DEADLINE = 700 * MS, 40 * MS
+    LATENCY_TARGET = 300 * MS
 
     def __init__(self) -> None:
         self.router = after_answers(60 * MS, 40)
         self.free_at: dict[str, int] = defaultdict(int)
         self.due = Timeline[tuple[str, int, AttemptEnded | None]]()
-        self.begun: dict[str, int] = {}
+        self.started_at: dict[str, int] = {}
         self.served: dict[str, int] = {}
 
-    def play(self, span: int, every: int, hasty: int) -> float:
-        """The share that is served within the aim; each `hasty`th client is in haste."""
+    def play(self, span: int, every: int, short_deadlines: int) -> float:
+        """The share that is served within the aim; each `short_deadlines`th client is in haste."""
         for i, at in enumerate(range(S, S + span, every)):
-            self._later(at, f"c{i}", 5 if i % hasty == 0 else 0)
-            self.begun[f"c{i}"] = at
+            self._later(at, f"c{i}", 5 if i % short_deadlines == 0 else 0)
+            self.started_at[f"c{i}"] = at
         for now, (client, left, event) in self.due.until(S + 2 * span):
             if event is None:
                 self._try(client, left, now)
             elif event.outcome is Outcome.OK:
                 self.router.handle(event, now)
-                self.served[client] = now - self.begun[client]
+                self.served[client] = now - self.started_at[client]
             elif finals(self.router.handle(event, now)) and left:
                 self._later(now + MS, client, left - 1)
-        return sum(took <= self.AIM for took in self.served.values()) / len(self.begun)
+        return sum(took <= self.LATENCY_TARGET for took in self.served.values()) / len(self.started_at)
 
     def _try(self, client: str, left: int, now: int) -> None:
-        patience = self.HASTY if left else self.PATIENT
+        deadline = self.SHORT_DEADLINE if left else self.LONG_DEADLINE
         actions = self.router.handle(
-            request(f"{client}.{left}", now, key=client, deadline=now + patience), now
+            request(f"{client}.{left}", now, key=client, deadline=now + deadline), now
         )
         for send in sends(actions):
             self.free_at[send.server] = max(self.free_at[send.server], now) + self.WORK
             took = self.free_at[send.server] - now  # the work goes on when nobody waits
-            end = Outcome.OK if took <= patience else Outcome.TIMEOUT
-            took = min(took, patience)
-            self._later(now + took, client, left, ended(send, end, latency=took))
+            end = Outcome.OK if took <= deadline else Outcome.TIMEOUT
+            took = min(took, deadline)
+            self._later(now + took, client, left, result_of(send, end, latency=took))
         if finals(actions) and left:
             self._later(now + MS, client, left - 1)
 
@@ -125,24 +125,24 @@
         self.due.add(when, (client, left, event))
 
 
-def test_clients_in_haste_do_not_take_the_time_of_those_that_wait() -> None:
+def test_short_deadlines_do_not_use_up_the_capacity_of_longer_ones() -> None:
     """Five servers do 100 reads a second; of 60 that come a second half are tried five times in vain."""
-    assert HastyMorning().play(10 * S, S // 60, 2) > 0.9
+    assert MixedDeadlines().play(10 * S, S // 60, 2) > 0.9
 
 
-def test_time_outs_of_clients_in_haste_are_not_held_against_servers() -> None:
-    for left, sound in ((50 * MS, True), (900 * MS, False)):
+def test_timeouts_of_short_deadlines_do_not_lower_a_servers_health() -> None:
+    for left, is_healthy in ((50 * MS, True), (900 * MS, False)):
         router = after_answers(40 * MS)
         for i in range(20):
             now = (2 + i) * S
             name = f"h{i}"
             actions = router.handle(request(name, now, key=name, deadline=now + left), now)
             for send in sends(actions):
-                router.handle(ended(send, Outcome.TIMEOUT, latency=left), now + left)
-        assert (router.avoided(22 * S) == []) is sound
+                router.handle(result_of(send, Outcome.TIMEOUT, latency=left), now + left)
+        assert (router.avoided(22 * S) == []) is is_healthy
 
 
-def test_odds_count_what_was_waited_for_as_long_and_leave_the_rest_out() -> None:
+def test_answer_probability_counts_attempts_that_lasted_as_long_and_no_others() -> None:
     odds = AttemptHistory()
     assert odds.answer_probability(50 * MS) == 1.0  # nothing tells
     for took, answered in ((30, True), (60, True), (40, False), (60, False)):
@@ -154,7 +154,7 @@
     assert odds.answer_probability(35 * MS) == pytest.approx(2 / 5)
 
 
-def test_odds_forget() -> None:
+def test_answer_probability_drops_old_attempts() -> None:
     odds = AttemptHistory()
     for _ in range(100):
         odds.record(200 * MS, answered=False)
@@ -164,18 +164,18 @@
     assert odds.answer_probability(100 * MS) == 1.0
 
 
-def test_a_server_that_left_one_unanswered_gets_none_in_haste_for_a_while() -> None:
+def test_a_server_with_an_unanswered_attempt_gets_no_short_deadlines_for_a_while() -> None:
     router = after_answers(40 * MS)
     homes: dict[str, list[str]] = defaultdict(list)
     for i in range(400):
         send = only_send(router.handle(request(f"p{i}", S, key=f"p{i}"), S))
-        router.handle(ended(send, Outcome.OK, latency=40 * MS), S)
+        router.handle(result_of(send, Outcome.OK, latency=40 * MS), S)
         homes[send.server].append(f"p{i}")
     silent, other, *_ = homes
     key, missed = homes[silent].pop(), 2 * S + 120 * MS
     send = only_send(router.handle(request("h", 2 * S, key=key, deadline=missed), 2 * S))
     assert send.server == silent
-    router.handle(ended(send, Outcome.TIMEOUT, latency=120 * MS), missed)
+    router.handle(result_of(send, Outcome.TIMEOUT, latency=120 * MS), missed)
 
     def sent(home: str, now: int, left: int) -> int:
         keys = [homes[home].pop() for _ in range(15)]
--- a/tests/decisions/test_slot_table.py
+++ b/tests/decisions/test_slot_table.py
@@ -24,8 +24,8 @@
 
 
 def test_balance_within_a_fifth_of_the_mean() -> None:
-    held = holders(table_of(fleet(10)), slots=SLOTS)
-    counts = [held.count(server.id) for server in fleet(10)]
+    owners = holders(table_of(fleet(10)), slots=SLOTS)
+    counts = [owners.count(server.id) for server in fleet(10)]
     assert sum(counts) == SLOTS
     assert max(counts) < 1.2 * SLOTS / 10
     assert min(counts) > 0.8 * SLOTS / 10
@@ -36,7 +36,7 @@
     assert holders(table_of(fleet(10))) == holders(other)
 
 
-def test_join_and_leave_move_only_slots_of_the_server_concerned() -> None:
+def test_joining_and_leaving_move_only_slots_of_the_server_concerned() -> None:
     table = table_of(fleet(10))
     before = holders(table)
     newcomer = Server("10.9.9.9:80")
@@ -56,7 +56,7 @@
     assert holders(table) == holders(table_of(fleet(10)))
 
 
-def test_remembered_ranking_equals_a_fresh_one_after_small_changes() -> None:
+def test_cached_ranking_equals_a_new_one_after_small_changes() -> None:
     table = table_of(fleet(12))
     holders(table)
     table.update([Server("10.9.9.9:80")], [fleet(12)[3].id])
@@ -67,7 +67,7 @@
         assert len(remembered) >= DEPTH
 
 
-def test_cold_ramp_starts_at_the_cold_share_and_rises_monotonically() -> None:
+def test_warm_up_starts_at_the_cold_capacity_and_rises_monotonically() -> None:
     cold = Server("10.9.9.9:80", started=100 * S)
     table = table_of((*fleet(9), cold), **COLD)
     owned = [
@@ -82,12 +82,12 @@
     assert all(h == w for h, w in zip(at_start, warm, strict=True) if h != cold.id)
 
 
-def test_whole_fleet_cold_keeps_its_placement() -> None:
+def test_placement_is_the_same_while_every_server_is_cold() -> None:
     restarted = tuple(replace(server, started=50 * S) for server in fleet(12))
     assert holders(table_of(restarted, **COLD), 52 * S) == holders(table_of(fleet(12)))
 
 
-def test_list_weights_count_only_where_they_state_sizes() -> None:
+def test_list_weights_count_only_where_they_are_sizes() -> None:
     servers = tuple(Server(f"s{i}", weight=3.0 if i == 0 else 1.0) for i in range(10))
     sized = holders(table_of(servers, weighted=True), slots=SLOTS).count("s0")
     equal = holders(table_of(servers), slots=SLOTS).count("s0")
@@ -95,7 +95,7 @@
     assert 0.08 < equal / SLOTS < 0.12
 
 
-def test_start_that_lies_ahead_of_the_clock_counts_as_now() -> None:
+def test_start_ahead_of_the_clock_counts_as_now() -> None:
     table = SlotTable(settings(cold_capacity=0.5))
     table.update([Server("s1", started=5)], [])
     assert table.warm_up_fraction(table.nodes["s1"], 4) == 1.0
--- a/tests/discovery/test_late_silence.py
+++ b/tests/discovery/test_late_silence.py
@@ -35,7 +35,7 @@
 from pebblepass.discovery.registry import Clock, Discovery, Listing
 from pebblepass.simulation.clock import VirtualLoop
 from tests.crossings import GatedLoop
-from tests.decisions.cases import S, ended, request, settings
+from tests.decisions.cases import S, request, result_of, settings
 from tests.discovery.test_discovery_faults import entry
 from tests.discovery.test_watches import AFTER_WAIT_S, GRACE_S, SILENCE_S, Agent
 
@@ -126,7 +126,7 @@
         number = self._attempts.get(send.request, 0)
         self._attempts[send.request] = number + 1
         failed = self.rng.random() < FAILED_SHARE
-        self._tell(ended(send, Outcome.OVERLOADED if failed else Outcome.OK, number))
+        self._tell(result_of(send, Outcome.OVERLOADED if failed else Outcome.OK, number))
 
 
 class Late(NamedTuple):
