--- a/tests/daemon/test_pipelined_forms.py
+++ b/tests/daemon/test_pipelined_forms.py
@@ -22,9 +22,9 @@
 
 from pebblepass.daemon import clients
 from pebblepass.daemon.clients import MAX_PIPELINE, Reply
+from pebblepass.decisions.attempts import Attempts
 from pebblepass.decisions.health import Node
 from pebblepass.decisions.requests import Request
-from pebblepass.decisions.router import Router
 from pebblepass.wire.resp import MAX_VALUE, Command, CommandReader, UnknownCommandError, parse_request
 from tests.crossings import Bed, ClientLine, Peer, PeerLine, crossing
 from tests.sockets import MISS, bulk, hit, http_answer
@@ -425,7 +425,7 @@
     return True
 
 
-def tried_once(router: Router, request: Request) -> bool:
+def tried_once(attempts: Attempts, request: Request) -> bool:
     """Broken: nothing is tried again."""
     return request.attempts < 1
 
@@ -438,7 +438,7 @@
         (clients, "parse_request", stripped, 150, "sent on with another key or value"),
         (CommandReader, "feed", forgetful, 150, "answers to 300 commands"),
         (Request, "may_send", sent_again_whatever_it_is, 150, "an unsafe write sent"),
-        (Router, "_may_try", tried_once, 150, "reads whose first attempt broke were refused"),
+        (Attempts, "may_try", tried_once, 150, "reads whose first attempt broke were refused"),
     ],
 )
 def test_routers_that_break_it_are_caught(
