--- a/pebblepass/decisions/suppressor.py
+++ b/pebblepass/decisions/suppressor.py
@@ -11,6 +11,7 @@
 import random
 from collections import deque
 from itertools import takewhile
+from typing import NamedTuple
 
 from pebblepass.decisions import interface as api
 from pebblepass.decisions.interface import NS_PER_S
@@ -25,6 +26,16 @@
 LIMIT_RECOVERY_S = 15.0  # from 0 to the cap
 
 
+class ConfiguredLimit(NamedTuple):
+    """A tenant's limit by the settings, without a policy."""
+
+    weight: float
+    """Fraction of the service, 0 to 1."""
+    cap: float
+    """Calls a second of this router."""
+    window_s: float
+
+
 class Suppressor:
     """A tenant's rate limiter: sliding-window counts, three regimes, and a limit tuned by AIMD.
 
@@ -42,7 +53,7 @@
         self.demand = 0
         """Fetches and writes so far, declined ones included and retries not."""
         self.hard_factor = HARD_LIMIT_FACTOR
-        self.configured_limit = self.weight, self.cap, self.window_s
+        self.configured_limit = ConfiguredLimit(self.weight, self.cap, self.window_s)
         self.has_quota, self._leased = tenant.quota_per_s > 0, False
         self._carried_over, self._carried_over_at = 0.0, 0  # excess of the limit before its lease shrank
         self._limit_before_floor: float | None = None  # None: the floor does not apply
@@ -63,32 +74,47 @@
         `lease` is in calls a second, and counts where the policy splits quotas by leases. None applies the
         floor: this router does not know whether the policy is still in force.
         """
+        used_fraction = self.limit / self.cap if self.cap else 1.0
+        full_cap = self._configure(policy, namespace, routers)
+        leased = policy.uses_leases and self.has_quota
+        self.cap = full_cap
+        if lease is None or leased:
+            self.cap = min(full_cap, self.configured_limit.cap * policy.floor_fraction) + (lease or 0.0)
+        self.min_limit = min(1 / self.window_s, self.cap)
+        previous = self.limit + self._carry_over(now)
+        if leased:  # a lease that changes is no evidence about the origin: the limit keeps its fraction
+            self.limit, self._limit_before_floor = min(used_fraction, 1.0) * self.cap, None
+        else:
+            self._limit_without_lease(used_fraction, full_cap, at_floor=lease is None)
+        # Calls in the window from before a lease shrank were allowed then, and are not charged now.
+        self._carried_over = max(previous - self.limit, 0.0) if leased and lease else 0.0
+        self._carried_over_at = now
+        self._leased = leased
+        self._probability_until = 0
+
+    def _configure(
+        self, policy: api.FleetPolicy, namespace: api.NamespaceLimits | None, routers: int
+    ) -> float:
+        """Set weight, hard factor and window; return the cap without floor and lease, in calls a second."""
         weight, cap, window_s = self.configured_limit
         if namespace is not None:
             weight = weight if namespace.weight is None else namespace.weight
             cap = cap if namespace.quota_per_s is None else namespace.quota_per_s / routers
         if policy.rate_per_s is not None:
             cap = min(cap, policy.rate_per_s * weight / routers)
-        leased, full_cap = policy.uses_leases and self.has_quota, cap
-        used_fraction = self.limit / self.cap if self.cap else 1.0
-        if lease is None or leased:
-            cap = min(cap, self.configured_limit[1] * policy.floor_fraction) + (lease or 0.0)
-        self.weight, self.cap, self.hard_factor = weight, cap, policy.hard_factor
+        self.weight, self.hard_factor = weight, policy.hard_factor
         self.window_s = window_s if policy.window_s is None else policy.window_s
-        self.min_limit = min(1 / self.window_s, cap)
-        # The limit from before the floor applies again after it: the floor is no evidence about the origin.
+        return cap
+
+    def _limit_without_lease(self, used_fraction: float, full_cap: float, at_floor: bool) -> None:
+        """Set the limit; the one from before the floor applies again after it.
+
+        The floor is no evidence about the origin.
+        """
         tuned = self.limit if self._limit_before_floor is None else self._limit_before_floor
-        if self._leased and not leased:
+        if self._leased:
             tuned = used_fraction * full_cap
-        previous = self.limit + self._carry_over(now)
-        self.limit, self._limit_before_floor = min(tuned, cap), tuned if lease is None else None
-        if leased:  # nor is a lease that changes: the limit keeps its fraction of the cap
-            self.limit, self._limit_before_floor = min(used_fraction, 1.0) * cap, None
-        # Calls in the window from before a lease shrank were allowed then, and are not charged now.
-        self._carried_over = max(previous - self.limit, 0.0) if leased and lease else 0.0
-        self._carried_over_at = now
-        self._leased = leased
-        self._probability_until = 0
+        self.limit, self._limit_before_floor = min(tuned, self.cap), tuned if at_floor else None
 
     def _carry_over(self, now: int) -> float:
         """Return what remains of the excess; it decays with a time constant of half a window."""
--- a/pebblepass/fault_injection/router.py
+++ b/pebblepass/fault_injection/router.py
@@ -154,7 +154,7 @@
         beyond = 0.0
         for guard in self._router.tenants.suppressors.values():
             if guard.has_quota:
-                beyond += guard.cap - guard.configured_limit[1] * policy.floor_fraction
+                beyond += guard.cap - guard.configured_limit.cap * policy.floor_fraction
         at = self.now()
         version = self._router.policy_version()
         told = self._beyond = max(beyond, 0.0) if until > at and policy.uses_leases else 0.0
