--- a/pebblepass/decisions/router.py
+++ b/pebblepass/decisions/router.py
@@ -1,8 +1,30 @@
-"""The decisions of one router, without I/O: events and the time in, actions out (see interface.py).
+"""The decisions of one router, without I/O: events and the time in, actions out (see interface/).
 
 Ordinary path: key -> slot -> the ready cache server with the highest weighted hash of (slot, server id);
 a read that misses there -> the origin, if its tenant's Suppressor admits the fetch; a write -> the origin.
 docs/design/decisions.md gives the source and the condition of every departure.
+
+Where each rule stands:
+
+| rule | module |
+| --- | --- |
+| a request's first step; batches of a multi-get command | arrivals |
+| placement and warm-up of servers | slot_table |
+| which cache server, hot slots, cold servers, deadlines that are too short | selection |
+| cache server, origin or rejection | routing |
+| popularity of slots and tenants | hot_keys |
+| number, timeout and start of attempts | attempts, timeouts |
+| what may be repeated, and where | requests |
+| retry, fetch or answer after an attempt | attempt_results |
+| hedges | hedging |
+| a server's health: send probability, recovery, backoff | health, cache_health |
+| admission of fetches and writes to the origin | origin_requests, fetch_queue, single_flight |
+| limits on the origin's traffic, outages | origin_limits, outage |
+| a tenant's rate limit | suppressor, tenants |
+| final answers, and who goes on after them | completion, open_requests |
+| policy, quota leases, floor | policy |
+| server list, cordons, subscription | server_list, subscription |
+| state for a router that starts | state_transfer |
 """
 
 from __future__ import annotations
