--- a/pebblepass/decisions/requests.py
+++ b/pebblepass/decisions/requests.py
@@ -90,7 +90,7 @@
         return self.may_have_run[1] + self.request_class.dedup_window
 
     def may_repeat(self) -> bool:
-        """Whether a repeat is harmless at any server, whatever became of earlier attempts."""
+        """Whether a repeat is harmless at any server, whatever the outcome of earlier attempts."""
         keyed_anywhere = (
             self.request_class.effect is Effect.IDEMPOTENCY_KEY
             and self.request_class.dedup_scope is DedupScope.ALL
--- a/pebblepass/decisions/suppressor.py
+++ b/pebblepass/decisions/suppressor.py
@@ -39,7 +39,9 @@
 class Suppressor:
     """A tenant's rate limiter: sliding-window counts, three regimes, and a limit tuned by AIMD.
 
-    Under the soft limit every fetch is admitted, over the hard limit none, and some in between.
+    Under the soft limit every fetch is admitted, over the hard limit none, and some in between. Inputs: the
+    calls in the window, the limit, and how good the tenant's and all others' fetches are. Reason: a tenant
+    that overuses the origin must not slow down the others, and its retries must not lock it out.
     """
 
     def __init__(self, tenant: api.Tenant, routers: int, rng: random.Random) -> None:
