--- a/pebblepass/decisions/slot_table.py
+++ b/pebblepass/decisions/slot_table.py
@@ -10,19 +10,25 @@
 from pebblepass.decisions import interface as api
 from pebblepass.decisions.health import Node
 
-SLOTS = 8192  # far more than servers, so that one slot is a small part of a server's load
-DEPTH = 8  # servers ranked for a slot: more than a request may try, with some to skip
+SLOTS = 8192  # far more than servers, so that one slot is a small fraction of a server's load
+DEPTH = 8  # servers ranked for a slot: more than a request has attempts, with some to skip
 HASH_MASK = (1 << 64) - 1  # of a 64-bit hash
 
 
 class SlotTable:
-    """Weighted rendezvous hashing of slots over the ready servers; rankings are cached by slot."""
+    """Weighted rendezvous hashing of slots over the ready servers; rankings are cached by slot.
+
+    Inputs: the servers' ids, weights and starts. Reason: every router places a slot on the same server without
+    coordination, and a change of the list moves only the slots of the servers concerned.
+    """
 
     def __init__(self, settings: api.Settings) -> None:
         self.nodes: dict[str, Node] = {}
         self._settings = settings
-        self._rankings: dict[int, list[tuple[float, Node]]] = {}
-        self.steady_rankings: dict[int, list[Node]] = {}  # the cached nodes without scores, none of them cold
+        self.scored_rankings: dict[int, list[tuple[float, Node]]] = {}
+        """Scores and servers by slot, the best first, while warm-up does not count."""
+        self.steady_rankings: dict[int, list[Node]] = {}
+        """The servers alone, by slot; filled while no server is warming up."""
         self.cold_until = 0
         self._single: list[Node] = []
 
@@ -34,14 +40,14 @@
         for server_id in removed:
             self.nodes.pop(server_id, None)
         if len(removed) > DEPTH:
-            self._rankings.clear()
+            self.scored_rankings.clear()
         for slot in [
-            s for s, ranking in self._rankings.items() if any(n.entry.id in removed for _, n in ranking)
+            s for s, ranking in self.scored_rankings.items() if any(n.entry.id in removed for _, n in ranking)
         ]:
-            del self._rankings[slot]
+            del self.scored_rankings[slot]
         for node in [Node(entry, self._settings.weighted) for entry in changed]:
             self.nodes[node.entry.id] = node
-            for slot, ranking in self._rankings.items():
+            for slot, ranking in self.scored_rankings.items():
                 extended = [*ranking, (self._score(slot, node), node)]
                 ranking[:] = nlargest(max(DEPTH, len(ranking)), extended, key=itemgetter(0))
         self._single = list(self.nodes.values())[:1]
@@ -61,16 +67,19 @@
         return 1.0 if warm else cold + (1 - cold) * age / cold_time
 
     def rank(self, slot: int, now: int, depth: int = DEPTH) -> Sequence[Node]:
-        """Return at least `depth` servers of a slot (or all), best first; cold ones count by their warmth."""
+        """Return at least `depth` servers of a slot (or all), best first.
+
+        Scores are multiplied by the warm-up fraction while any server is warming up.
+        """
         if len(self.nodes) <= 1:  # the origin's table: nothing to rank
             return self._single
         cached = self.steady_rankings.get(slot, ())
         if len(cached) >= min(depth, len(self.nodes)) and now >= self.cold_until:
             return cached
-        scores = self._rankings.get(slot, [])
+        scores = self.scored_rankings.get(slot, [])
         if len(scores) < min(depth, len(self.nodes)):
             scored = ((self._score(slot, node), node) for node in self.nodes.values())
-            scores = self._rankings[slot] = nlargest(2 * depth, scored, key=itemgetter(0))
+            scores = self.scored_rankings[slot] = nlargest(2 * depth, scored, key=itemgetter(0))
         if now < self.cold_until:
             ramped = [(score * self.warm_up_fraction(node, now), node) for score, node in scores]
             return [node for _, node in sorted(ramped, key=itemgetter(0), reverse=True)]
--- a/pebblepass/fault_injection/router.py
+++ b/pebblepass/fault_injection/router.py
@@ -152,9 +152,9 @@
         """Write down how much it may admit beyond its floors, and until when."""
         policy, until = event.policy, min(event.expires_at, event.leases_until)
         beyond = 0.0
-        for guard in self._router._suppressors.values():
+        for guard in self._router.tenants.suppressors.values():
             if guard.has_quota:
-                beyond += guard.cap - guard.configured_limit[1] * policy.floor_fraction
+                beyond += guard.cap - guard.configured_limit.cap * policy.floor_fraction
         at = self.now()
         version = self._router.policy_version()
         told = self._beyond = max(beyond, 0.0) if until > at and policy.uses_leases else 0.0
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -250,9 +250,10 @@
         module = host._router
         assert host._requests == {}
         assert host.open_request_count == 0
-        assert {**module._requests, **module._flights} == {}
-        assert module._fetch_queue == []
-        nodes = [*module._caches.nodes.values(), *module._origins.nodes.values()]
+        assert module.open_requests.by_id == {}
+        assert len(module.flights) == 0
+        assert module.fetch_queue.request_ids() == []
+        nodes = [*module.caches.nodes.values(), *module.origins.nodes.values()]
         assert {node.entry.id: node.attempts_in_flight for node in nodes if node.attempts_in_flight} == {}
         servers = list(pool._servers.values())
         assert all(not server.waiting for server in servers)
