--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -31,12 +31,14 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from pebblepass.consensus import messages as m
-from pebblepass.consensus.leases import Terms
-from pebblepass.consensus.shares import Allocator, Demand, Pool, ShareHolder, allocate
+from pebblepass.consensus.demand import DemandEstimator
+from pebblepass.consensus.leases import LeaseTerms
+from pebblepass.consensus.quota_allocator import QuotaAllocator, QuotaPool, allocate
+from pebblepass.consensus.quota_leases import QuotaLeaseHolder
 from pebblepass.decisions.interface import NS_PER_S, FleetPolicy, Tenant
 from pebblepass.decisions.suppressor import Suppressor
 
-TERMS = Terms(6 * NS_PER_S, 0.1)
+TERMS = LeaseTerms(6 * NS_PER_S, 0.1)
 VOTERS = 3
 SHIFT_S, END_S = 60.0, 90.0
 FLOOR_SHARE = 0.25
@@ -59,12 +61,12 @@
         tenant = Tenant(NAME, 1.0, self.quota)
         self.guards = [Suppressor(tenant, routers, self.rng) for _ in range(routers)]
         self.floor = self.quota * FLOOR_SHARE / self.count
-        self.pool = Pool(self.quota - self.floor * self.count, self.floor)
-        self.voters = [Allocator(TERMS, 0, restarted=False) for _ in range(VOTERS)]
+        self.pool = QuotaPool(self.quota - self.floor * self.count, self.floor)
+        self.voters = [QuotaAllocator(TERMS, 0, restarted=False) for _ in range(VOTERS)]
         for voter in self.voters:
             voter.begin(1, {NAME: self.pool}, VOTERS)
-        self.holders = [ShareHolder(TERMS) for _ in range(self.count)]
-        self.demands = [Demand() for _ in range(self.count)]
+        self.holders = [QuotaLeaseHolder(TERMS) for _ in range(self.count)]
+        self.demands = [DemandEstimator() for _ in range(self.count)]
         self.seqs = [0] * self.count
         for guard in self.guards:
             guard.apply_policy(self.policy, None, routers, 0.0, 0)
@@ -106,7 +108,7 @@
             self.most_out = max(self.most_out, voter.out(NAME) / (self.pool.shared / VOTERS))
             if holder.granted(str(number), seq, now, share):
                 voter.applied(who, 1, seq, now)
-        self.hold(router, dict(holder.held(now)[0]).get(NAME, 0.0), now)
+        self.hold(router, dict(holder.held(now).rates).get(NAME, 0.0), now)
 
     def fetch(self, router: int, now: int, seconds: float) -> None:
         """One is wanted."""
@@ -165,9 +167,9 @@
     voter_says = m.Sender("sofia-c1", "0123456789ab", "sofia-c1.0123456789ab", 12, 7, 7, 6, 6, 7, True)
     for names in (0, 1, 10):
         rows = tuple((f"namespace{number:02d}", 12.345678) for number in range(names))
-        asked = len(m.encode(m.Message(sender, m.Renew(4711, 7, 4710 if names else 0, rows))))
-        granted = len(m.encode(m.Message(voter_says, m.Grant(4711, 7, sender.boot, rows))))
-        applied = len(m.encode(m.Message(sender, m.Applied(4711, 7)))) if names else 0
+        asked = len(m.encode(m.Message(sender, m.LeaseRequest(4711, 7, 4710 if names else 0, rows))))
+        granted = len(m.encode(m.Message(voter_says, m.LeaseGrant(4711, 7, sender.boot, rows))))
+        applied = len(m.encode(m.Message(sender, m.QuotaLeaseApplied(4711, 7)))) if names else 0
         each = asked + granted + 8  # with the sizes of both frames
         most = each + (applied + 4 if names else 0)  # where every grant takes much away
         print(
@@ -177,11 +179,11 @@
         )
         if not names:
             continue
-        voter = Allocator(TERMS, 0, restarted=False)
-        voter.begin(1, {name: Pool(300.0, 0.1) for name, _ in rows}, VOTERS)
+        voter = QuotaAllocator(TERMS, 0, restarted=False)
+        voter.begin(1, {name: QuotaPool(300.0, 0.1) for name, _ in rows}, VOTERS)
         rng = random.Random(1)
-        holders = [ShareHolder(TERMS) for _ in range(routers)]
-        demands = [Demand() for _ in range(routers)]
+        holders = [QuotaLeaseHolder(TERMS) for _ in range(routers)]
+        demands = [DemandEstimator() for _ in range(routers)]
         gap = int(1e9 / (routers * questions))
         at_voter = at_router = 0.0
         rounds = 4 * routers
--- a/pebblepass/accounting/snapshot.py
+++ b/pebblepass/accounting/snapshot.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from pebblepass.storage.disk import Folder, replace_whole
+from pebblepass.storage.disk import Directory, replace_file
 
 FORMAT, VERSION = "pebblepass-figures", 1
 
@@ -117,4 +117,4 @@
 
 def write(path: Path, data: bytes) -> None:
     """Write a file so that a reader sees the old or the new one, never a part; raises OSError."""
-    replace_whole(Folder(path.parent), path.name, data)
+    replace_file(Directory(path.parent), path.name, data)
--- /dev/null
+++ b/pebblepass/consensus/acceptor.py
@@ -0,0 +1,97 @@
+"""A voter's promises: the rounds in which it votes, and the value that it has accepted. No I/O, no clock.
+
+A promise is announced only once it is on the disk: each method returns the record to write, and the answer
+that may be sent once it is synced. In memory a promise holds from when it is made.
+
+| event | guard | what follows |
+| --- | --- | --- |
+| prepare(n, b) | n is the open version, b above what was promised | promise b; report what was accepted |
+| accept(n, b, v) | n likewise, b not below; v names the same voters where it forms the fleet | accept v |
+| either | n likewise, b too low | reject, and report the round that takes precedence |
+| either | the version before the decided one is not closed | reject: a lease on it may still be valid |
+| decided(n) | - | promises and what was accepted for n and before are dropped |
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from msgspec import Struct
+
+from pebblepass.consensus.messages import (
+    Accept,
+    Accepted,
+    Ballot,
+    Prepare,
+    Promise,
+    Rejected,
+    Value,
+)
+from pebblepass.consensus.records import AcceptRecord, PromiseRecord
+
+NO_BALLOT: Ballot = (0, "")
+TAKEOVER_DELAY = 0.25  # fraction of a lease without news, until another voter proposes an accepted value
+
+
+class Vote(Struct, frozen=True):
+    """A voter's answer, and the record that must be synced before it is sent."""
+
+    answer: Promise | Accepted | Rejected
+    record: PromiseRecord | AcceptRecord | None = None
+
+
+class Acceptor:
+    """The promise and the accepted value for the one version that is open."""
+
+    def __init__(self, now: int) -> None:
+        self.promised: Ballot = NO_BALLOT
+        self.accepted: Ballot | None = None
+        self.value: Value | None = None
+        self._last_news_at = now
+
+    def restore(self, promised: Ballot, accepted: Ballot | None, value: Value | None) -> None:
+        """Restore what a record holds."""
+        self.promised, self.accepted, self.value = promised, accepted, value
+
+    def prepare(self, request: Prepare) -> Vote:
+        """Vote on a round for the open version."""
+        if request.ballot <= self.promised:
+            return Vote(Rejected(request.version, request.ballot, self.promised[0]))
+        self.promised = request.ballot
+        answer = Promise(request.version, request.ballot, self.accepted, self.value)
+        return Vote(answer, PromiseRecord(request.version, request.ballot))
+
+    def accept(self, request: Accept, now: int) -> Vote:
+        """Vote on a value for the open version."""
+        self._last_news_at = now
+        if request.ballot < self.promised:
+            return Vote(Rejected(request.version, request.ballot, self.promised[0]))
+        self.promised = self.accepted = request.ballot
+        self.value = request.value
+        record = AcceptRecord(request.version, request.ballot, request.value)
+        return Vote(Accepted(request.version, request.ballot), record)
+
+    def reset(self) -> None:
+        """Open the next version: the one that was open has been decided."""
+        self.promised, self.accepted, self.value = NO_BALLOT, None, None
+
+    def version_decided(self, now: int) -> None:
+        """Open the next version, and note the time of the news."""
+        self.reset()
+        self._last_news_at = now
+
+    def takeover_at(self, name: str, voters: Mapping[str, str], lease_ns: int) -> int | None:
+        """When this voter proposes the accepted value itself, without further news; None: there is none.
+
+        The voters' delays differ, in the order of their names, so that they do not compete.
+        """
+        if self.value is None:
+            return None
+        order = sorted(voters)
+        fraction = TAKEOVER_DELAY * (1 + order.index(name) / len(order))
+        return self._last_news_at + int(lease_ns * fraction)
+
+
+def quorum(voters: Mapping[str, str], forming: bool) -> int:
+    """Return how many voters decide: a majority, or all where they form the fleet."""
+    return len(voters) if forming else len(voters) // 2 + 1
--- /dev/null
+++ b/pebblepass/consensus/errors.py
@@ -0,0 +1,30 @@
+"""Errors of the consensus rules; the text for operators is made in `reports`."""
+
+from __future__ import annotations
+
+from enum import Enum, auto
+
+
+class RejectionReason(Enum):
+    """Why a proposal can't become a version."""
+
+    NOT_FORMED = auto()
+    """The fleet has not formed yet."""
+    NO_STORAGE = auto()
+    """A proposed voter keeps no disk; the subject is its name."""
+    NEVER_HEARD = auto()
+    """A proposed voter was never heard; the subject is its name."""
+    NO_VOTERS = auto()
+    """No voter would be left."""
+    ALREADY_DECIDED = auto()
+    """The change to withdraw is decided; the subject is its id."""
+    NO_DIFFERENCE = auto()
+    """The proposal equals what is in force."""
+
+
+class ProposalRejectedError(Exception):
+    """A proposal can't become a version: the proposal is at fault, not the fleet."""
+
+    def __init__(self, reason: RejectionReason, subject: str = "", version: int = 0) -> None:
+        super().__init__(reason, subject, version)
+        self.reason, self.subject, self.version = reason, subject, version
--- a/pebblepass/consensus/leases.py
+++ b/pebblepass/consensus/leases.py
@@ -2,131 +2,175 @@
 
 A router admits under a version only while a quorum of the voters has granted it a lease on it. A voter grants
 leases on one version at a time, and on the next one only when it knows that the one before is closed: that a
-quorum of the voters of then grants nothing more on it and has no lease of its own out. So no two routers ever
-hold leases on two versions at once, whoever is down, paused or cut off.
-
-The router counts from when it asked, and less; the voter from when it was asked, and more: with clocks that
-run apart by up to `drift` the router's end always comes first.
+quorum of the voters of that version grants nothing more on it and has no valid lease of its own. So no two
+routers ever hold leases on two versions at once, whoever is down, paused or partitioned.
+
+The router counts from when it sent the request, less the drift; the voter from when it received it, plus the
+drift: with clocks that diverge by up to `drift` the router's lease always expires first.
+
+| lease of one run, as its voter sees it | event | guard | next |
+| --- | --- | --- | --- |
+| any | request on version v | its sequence is not newer | as before |
+| granted on u | request on version v | v > u | released; waiting on v |
+| any | request on version v | - | waiting on v |
+| waiting on v | grant(v) | - | granted on v until now + `granter_duration` |
+| granted | clock | its end has come | expired |
 """
 
 from __future__ import annotations
 
+from collections.abc import Iterable
+
 from msgspec import Struct
 
+RENEWALS_PER_LEASE = 3  # two requests in a row may be lost
+REMEMBERED_REQUESTS = 8  # requests whose grants may still arrive
+FORGET_SLACK = 64  # runs of processes that are remembered beyond four times those with leases
 
-class Terms(Struct, frozen=True):
-    """The times of a fleet, in nanoseconds; alike at all its routers."""
 
-    lease: int
+class LeaseTerms(Struct, frozen=True):
+    """The durations of a fleet, equal at all its routers."""
+
+    duration: int
+    """Nanoseconds."""
     drift: float
-    """By which part a clock may run fast or slow."""
+    """The fraction by which a clock may run fast or slow."""
 
     @property
-    def kept(self) -> int:
-        """For how long a router holds what it is granted, from when it asked."""
-        return int(self.lease * (1 - self.drift))
+    def holder_duration(self) -> int:
+        """For how many nanoseconds a router holds a lease, from when it sent the request."""
+        return int(self.duration * (1 - self.drift))
 
     @property
-    def granted(self) -> int:
-        """For how long a voter keeps to what it has granted, from when it was asked."""
-        return int(self.lease * (1 + self.drift))
+    def granter_duration(self) -> int:
+        """For how many nanoseconds a voter keeps to a lease, from when it received the request."""
+        return int(self.duration * (1 + self.drift))
 
     @property
-    def renewal(self) -> int:
-        """From one question to the next: two may be lost."""
-        return self.lease // 3
+    def renewal_interval(self) -> int:
+        """Nanoseconds from one request to the next."""
+        return self.duration // RENEWALS_PER_LEASE
+
+
+class ProcessId(Struct, frozen=True):
+    """One run of a router's process."""
+
+    name: str
+    boot_id: str
+
+
+class LeaseReply(Struct, frozen=True):
+    """A lease that is granted: to whom, and in answer to which request."""
+
+    process: ProcessId
+    sequence: int
+
+
+class _Granted(Struct, frozen=True):
+    version: int
+    expires_at: int
+
+
+class _Request(Struct, frozen=True):
+    sequence: int
+    version: int
 
 
-class Granter:
-    """A voter's part."""
+class LeaseGranter:
+    """A voter's leases."""
 
-    def __init__(self, terms: Terms, now: int, restarted: bool) -> None:
-        """`restarted`: an earlier process on this disk may have granted what this one doesn't know of."""
+    def __init__(self, terms: LeaseTerms, now: int, restarted: bool) -> None:
+        """`restarted`: an earlier process on this disk may have granted leases that are not known here."""
         self._terms = terms
-        self._out: dict[tuple[str, str], tuple[int, int]] = {}  # (name, boot): version, end
-        self._seq: dict[tuple[str, str], int] = {}
-        self._waiting: dict[tuple[str, str], tuple[int, int]] = {}  # (name, boot): seq, version
-        self.quiet_from = now + terms.granted if restarted else now
-        """From then on nothing that an earlier process granted holds any more."""
-
-    def asked(self, name: str, boot: str, seq: int, version: int, now: int) -> bool:
-        """A router asks for a lease, and lets go of all on older versions; False: an old question."""
-        who = (name, boot)
-        if seq <= self._seq.get(who, 0):
+        self._granted: dict[ProcessId, _Granted] = {}
+        self._sequences: dict[ProcessId, int] = {}
+        self._waiting: dict[ProcessId, _Request] = {}
+        self.quiet_until = now + terms.granter_duration if restarted else now
+        """From then on no lease that an earlier process granted is valid."""
+
+    def request(self, process: ProcessId, sequence: int, version: int, now: int) -> bool:
+        """Take a request, which releases all leases on older versions; return False for an old request."""
+        if sequence <= self._sequences.get(process, 0):
             return False
-        self._seq[who] = seq
-        held = self._out.get(who)
-        if held is not None and held[0] < version:
-            del self._out[who]
-        self._waiting[who] = (seq, version)
-        self._forget(now)
+        self._sequences[process] = sequence
+        granted = self._granted.get(process)
+        if granted is not None and granted.version < version:
+            del self._granted[process]
+        self._waiting[process] = _Request(sequence, version)
+        self._forget_expired(now)
         return True
 
-    def grant(self, version: int, now: int) -> list[tuple[str, str, int]]:
-        """Grant this version to all that wait for it: their names, boots and questions."""
-        granted = []
-        for who, (seq, wanted) in list(self._waiting.items()):
-            if wanted == version:
-                del self._waiting[who]
-                self._out[who] = (version, now + self._terms.granted)
-                granted.append((*who, seq))
-        return granted
-
-    def clear_of(self, version: int, now: int) -> bool:
-        """Whether no lease on this version or an older one can hold any more, of those granted here."""
-        return now >= self.quiet_from and all(
-            held > version or end <= now for held, end in self._out.values()
+    def grant(self, version: int, now: int) -> list[LeaseReply]:
+        """Grant this version to all that wait for it."""
+        replies = []
+        for process, request in list(self._waiting.items()):
+            if request.version == version:
+                del self._waiting[process]
+                self._granted[process] = _Granted(version, now + self._terms.granter_duration)
+                replies.append(LeaseReply(process, request.sequence))
+        return replies
+
+    def is_released(self, version: int, now: int) -> bool:
+        """Whether no lease on this version or an older one that was granted here can be valid any more."""
+        return now >= self.quiet_until and all(
+            granted.version > version or granted.expires_at <= now for granted in self._granted.values()
         )
 
-    def next_end(self, version: int, now: int) -> int | None:
-        """When the last of them ends."""
-        ends = [end for held, end in self._out.values() if held <= version and end > now]
-        if now < self.quiet_from:
-            ends.append(self.quiet_from)
+    def last_expiry(self, version: int, now: int) -> int | None:
+        """When the last lease on this version or an older one expires; None: none is valid."""
+        ends = [
+            granted.expires_at
+            for granted in self._granted.values()
+            if granted.version <= version and granted.expires_at > now
+        ]
+        if now < self.quiet_until:
+            ends.append(self.quiet_until)
         return max(ends, default=None)
 
-    def _forget(self, now: int) -> None:
-        """Guards the memory: of processes that are over nothing is kept."""
-        if len(self._seq) > 4 * len(self._out) + 64:
-            self._out = {who: held for who, held in self._out.items() if held[1] > now}
-            kept = {*self._out, *self._waiting}
-            self._seq = {who: seq for who, seq in self._seq.items() if who in kept}
+    def _forget_expired(self, now: int) -> None:
+        """Bound the memory: nothing is kept of processes that have ended."""
+        if len(self._sequences) > 4 * len(self._granted) + FORGET_SLACK:
+            self._granted = {
+                process: granted for process, granted in self._granted.items() if granted.expires_at > now
+            }
+            known = {*self._granted, *self._waiting}
+            self._sequences = {process: seq for process, seq in self._sequences.items() if process in known}
 
 
-class Holder:
-    """A router's part."""
+class LeaseHolder:
+    """A router's lease on one version, granted by several voters."""
 
-    def __init__(self, terms: Terms) -> None:
+    def __init__(self, terms: LeaseTerms) -> None:
         self._terms = terms
         self.version = 0
-        self._seq = 0
-        self._asked: dict[int, int] = {}  # question: when it was sent
-        self._granted: dict[str, int] = {}  # voter: when the question that it granted was sent
+        self._sequence = 0
+        self._requested_at: dict[int, int] = {}  # by sequence
+        self._granted: dict[str, int] = {}  # by voter: when the request that it granted was sent
 
     def begin(self, version: int) -> None:
-        """From now on it is this version; all that was granted on the one before is let go of."""
+        """Begin another version, and release all that was granted on the one before."""
         self.version = version
         self._granted.clear()
-        self._asked.clear()
-
-    def ask(self, now: int) -> int:
-        """The next question's number; it leaves now."""
-        self._seq += 1
-        self._asked[self._seq] = now
-        self._asked.pop(self._seq - 8, None)
-        return self._seq
-
-    def asked_at(self, seq: int) -> int | None:
-        """When a question was sent; None: too long ago, or on another version."""
-        return self._asked.get(seq)
-
-    def granted(self, voter: str, seq: int, version: int) -> None:
-        """A voter has granted it."""
-        asked_at = self._asked.get(seq)
-        if version == self.version and asked_at is not None:
-            self._granted[voter] = max(self._granted.get(voter, 0), asked_at)
-
-    def until(self, voters: dict[str, str], needed: int) -> int:
-        """Until when a quorum's grants hold; 0: there is none."""
-        asked = sorted((self._granted[name] for name in voters if name in self._granted), reverse=True)
-        return asked[needed - 1] + self._terms.kept if len(asked) >= needed > 0 else 0
+        self._requested_at.clear()
+
+    def request(self, now: int) -> int:
+        """Return the sequence of the next request, which is sent now."""
+        self._sequence += 1
+        self._requested_at[self._sequence] = now
+        self._requested_at.pop(self._sequence - REMEMBERED_REQUESTS, None)
+        return self._sequence
+
+    def requested_at(self, sequence: int) -> int | None:
+        """When a request was sent; None: too long ago, or on another version."""
+        return self._requested_at.get(sequence)
+
+    def granted(self, voter: str, sequence: int, version: int) -> None:
+        """Take a voter's grant."""
+        requested_at = self._requested_at.get(sequence)
+        if version == self.version and requested_at is not None:
+            self._granted[voter] = max(self._granted.get(voter, 0), requested_at)
+
+    def until(self, voters: Iterable[str], needed: int) -> int:
+        """Until when the grants of `needed` of these voters are valid; 0: there are not so many."""
+        sent = sorted((self._granted[name] for name in voters if name in self._granted), reverse=True)
+        return sent[needed - 1] + self._terms.holder_duration if len(sent) >= needed > 0 else 0
--- a/pebblepass/consensus/messages.py
+++ b/pebblepass/consensus/messages.py
@@ -1,4 +1,8 @@
-"""What routers of a fleet say to each other about a change, and what each writes down. No I/O."""
+"""Messages between the routers of a fleet, and the values that they agree on. No I/O.
+
+The encoded names and tags are the wire form: stated here once, by `rename` and `tag`, and held by the frozen
+bytes in `tests/compatibility`. Records of the log are in `records`.
+"""
 
 from __future__ import annotations
 
@@ -10,168 +14,223 @@
 from pebblepass.consensus.policy import Policy
 
 Ballot = tuple[int, str]
-"""A round's number and who began it; the higher one goes before."""
+"""A round's number and the proposer that began it; the higher one takes precedence."""
 
 
 class Fleet(msgspec.Struct, frozen=True):
-    """Who belongs to the fleet."""
+    """The members and the voters of a fleet."""
 
     members: dict[str, str]
-    """Names, and the addresses where others reach them."""
+    """Address by router name, where the other routers reach it."""
     voters: dict[str, str]
-    """Those that decide, each with the incarnation of its disk; empty before the fleet has formed."""
+    """Disk id by router name; the id is empty before the fleet has formed."""
 
 
 Kind = Literal["none", "form", "policy", "members", "withdrawn"]
 
 
-class Value(msgspec.Struct, frozen=True):
-    """What one version is, whole: decided once."""
+class Value(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "change_id": "change",
+        "previous_voters": "before",
+        "author": "who",
+        "reason": "why",
+        "proposer": "by",
+    },
+):
+    """One version in full: the value that a quorum decides once."""
 
     version: int
-    change: str
-    """The id of the change that it came from."""
+    change_id: str
+    """The change that it came from."""
     kind: Kind
     policy: Policy
     fleet: Fleet
-    before: dict[str, str]
-    """The voters of the version before, who decide this one."""
-    who: str = ""
-    why: str = ""
-    by: str = ""
+    previous_voters: dict[str, str]
+    """The voters of the version before, who decide this one: disk id by router name."""
+    author: str = ""
+    reason: str = ""
+    proposer: str = ""
     """The router that proposed it."""
 
 
-class Proposal(msgspec.Struct, frozen=True):
-    """What a person, or a router, wants."""
-
-    change: str
-    who: str
-    why: str
+class Proposal(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "change_id": "change",
+        "author": "who",
+        "reason": "why",
+        "added_members": "add",
+        "removed_members": "retire",
+        "withdrawn_change_id": "withdraw",
+    },
+):
+    """A change that an operator or a router proposes."""
+
+    change_id: str
+    author: str
+    reason: str
     policy: Policy | None = None
-    add: dict[str, str] = {}
-    retire: tuple[str, ...] = ()
+    """None: the policy stays as it is."""
+    added_members: dict[str, str] = {}
+    """Address by router name."""
+    removed_members: tuple[str, ...] = ()
     voters: tuple[str, ...] = ()
-    withdraw: str = ""
-    """The id of a change that is to end without coming into force."""
+    """The voters from then on; empty: as before."""
+    withdrawn_change_id: str = ""
+    """A change that must end without coming into force; empty: none."""
 
 
-class Verdict(msgspec.Struct, frozen=True):
-    """How a proposal ended, in plain lines."""
+class Verdict(msgspec.Struct, frozen=True, rename={"change_id": "change"}):
+    """The outcome of a proposal, with lines for the operator."""
 
-    change: str
+    change_id: str
     state: Literal["in force", "refused", "open"]
     version: int
     lines: tuple[str, ...]
 
 
-class Sender(msgspec.Struct, frozen=True):
-    """What every message tells of its sender."""
+class Sender(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "boot_id": "boot",
+        "disk_id": "incarnation",
+        "start_count": "boots",
+        "decided_version": "decided",
+        "durable_version": "lasting",
+        "released_version": "clear",
+        "closed_version": "closed",
+        "leased_version": "held",
+        "start_confirmed": "sure",
+    },
+):
+    """The sender's state, which every message carries."""
 
     name: str
-    boot: str
-    """One run of the process."""
-    incarnation: str
-    """Of its disk; empty: it keeps none."""
-    boots: int
-    """How often this disk has been started from."""
-    decided: int
-    lasting: int
-    """The version that its disk holds as decided."""
-    clear: int
-    """No lease that it granted on this version or an older one holds any more."""
-    closed: int
-    """It knows that no router can admit under this version or an older one any more."""
-    held: int
-    """The version that it has a lease on; 0: none."""
-    sure: bool
-    """Whether enough voters have heard of this start."""
+    boot_id: str
+    """Identifies one run of the process."""
+    disk_id: str
+    """Identifies its disk; empty: it keeps none."""
+    start_count: int
+    """How often a process has been started from this disk."""
+    decided_version: int
+    durable_version: int
+    """The latest decided version that is synced to its disk."""
+    released_version: int
+    """No lease that this router granted on this version or an older one is valid any more."""
+    closed_version: int
+    """No router can hold a lease on this version or an older one any more."""
+    leased_version: int
+    """The version that it holds a lease on; 0: none."""
+    start_confirmed: bool
+    """Whether enough voters know of this start for it to vote."""
 
 
 PerSecond = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
-Rows = tuple[tuple[str, PerSecond], ...]
-"""Namespaces, and fetches a second."""
+Rates = tuple[tuple[str, PerSecond], ...]
+"""Fetches a second by namespace."""
 
 
-class Renew(msgspec.Struct, frozen=True, tag="renew", omit_defaults=True):
-    """A router asks for its lease on a version, and lets go of all older ones."""
+NO_RATES: Rates = ()
 
-    seq: int
-    version: int
-    applied: int = 0
-    """Where shares are split: the question whose grant of this voter it has applied last."""
-    demand: Rows = ()
-    """What it would fetch."""
 
+class LeaseRequest(
+    msgspec.Struct,
+    frozen=True,
+    tag="renew",
+    omit_defaults=True,
+    rename={"sequence": "seq", "applied_sequence": "applied"},
+):
+    """Request a lease on a version, and release all leases on older ones."""
 
-class Grant(msgspec.Struct, frozen=True, tag="grant", omit_defaults=True):
-    """A voter grants it; the lease runs from when the question was sent."""
-
-    seq: int
+    sequence: int
+    version: int
+    applied_sequence: int = 0
+    """With quota leases: the request whose grant of this voter the router has applied last; 0: none."""
+    demand: Rates = ()
+    """With quota leases: the fetches a second that the router would make."""
+
+
+class LeaseGrant(
+    msgspec.Struct,
+    frozen=True,
+    tag="grant",
+    omit_defaults=True,
+    rename={"sequence": "seq", "boot_id": "boot", "quota_leases": "shares"},
+):
+    """Grant a lease; it runs from when the request was sent."""
+
+    sequence: int
     version: int
-    boot: str
-    """The run of the process that asked: in an upgrade two of one name are there."""
-    shares: Rows = ()
-    """Of this voter's part, for as long as the lease."""
+    boot_id: str
+    """The run of the process that requested it: during an upgrade there are two of one name."""
+    quota_leases: Rates = ()
+    """Of this voter's part of the quotas, for as long as the lease."""
 
 
-class Applied(msgspec.Struct, frozen=True, tag="applied"):
-    """A router has applied a share that took much away: what it held before is free."""
+class QuotaLeaseApplied(msgspec.Struct, frozen=True, tag="applied", rename={"sequence": "seq"}):
+    """A router has applied a quota lease that is much smaller than the one before, which is free now."""
 
-    seq: int
+    sequence: int
     version: int
 
 
-class State(msgspec.Struct, frozen=True, tag="state"):
-    """Nothing but what every message tells."""
+class Heartbeat(msgspec.Struct, frozen=True, tag="state"):
+    """The sender's state alone."""
 
 
-class Welcome(msgspec.Struct, frozen=True, tag="welcome"):
-    """A voter's start is known, and is none from an older copy of its disk."""
+class StartConfirmed(msgspec.Struct, frozen=True, tag="welcome", rename={"boot_id": "boot"}):
+    """The sender knows of this start, and that it was not from a stale copy of the disk."""
 
-    boot: str
+    boot_id: str
 
 
-class Learn(msgspec.Struct, frozen=True, tag="learn"):
-    """A version that is decided."""
+class VersionDecided(msgspec.Struct, frozen=True, tag="learn", rename={"decided_changes": "past"}):
+    """Announce a decided version."""
 
     value: Value
-    past: tuple[tuple[int, str], ...] = ()
-    """Versions decided before it, and the changes that they were."""
+    decided_changes: tuple[tuple[int, str], ...] = ()
+    """Versions decided before it, each with the id of its change."""
 
 
-class Check(msgspec.Struct, frozen=True, tag="check"):
-    """Can this be used?"""
+class PolicyCheck(msgspec.Struct, frozen=True, tag="check"):
+    """Ask whether a router can use this value's policy."""
 
     value: Value
 
 
-class Checked(msgspec.Struct, frozen=True, tag="checked"):
-    """Yes where `problem` is empty."""
+class PolicyCheckResult(msgspec.Struct, frozen=True, tag="checked", rename={"change_id": "change"}):
+    """Answer a policy check."""
 
     version: int
-    change: str
+    change_id: str
     problem: str
+    """Why the router can't use the policy; empty: it can."""
 
 
 class Prepare(msgspec.Struct, frozen=True, tag="prepare"):
-    """A round begins: promise to take part in no lower one, and tell what you have accepted."""
+    """Begin a round: promise to vote in no lower one, and report what has been accepted."""
 
     version: int
     ballot: Ballot
 
 
 class Promise(msgspec.Struct, frozen=True, tag="promise"):
-    """Promised, durably."""
+    """A promise, synced to the voter's disk."""
 
     version: int
     ballot: Ballot
     accepted: Ballot | None = None
+    """The ballot with which the voter has accepted `value`; None: it has accepted nothing."""
     value: Value | None = None
 
 
 class Accept(msgspec.Struct, frozen=True, tag="accept"):
-    """Accept this value."""
+    """Ask a voter to accept this value."""
 
     version: int
     ballot: Ballot
@@ -179,167 +238,106 @@
 
 
 class Accepted(msgspec.Struct, frozen=True, tag="accepted"):
-    """Accepted, durably."""
+    """An acceptance, synced to the voter's disk."""
 
     version: int
     ballot: Ballot
 
 
-class Rejected(msgspec.Struct, frozen=True, tag="rejected"):
+class Rejected(msgspec.Struct, frozen=True, tag="rejected", rename={"promised_number": "promised"}):
     """A higher round has been promised, or the version before is not closed yet."""
 
     version: int
     ballot: Ballot
-    promised: int
-    """The number of the round that goes before."""
+    """The ballot that is rejected."""
+    promised_number: int
+    """The number of the round that takes precedence."""
 
 
-class Join(msgspec.Struct, frozen=True, tag="join"):
-    """A voter's disk is another one than the fleet knows: take it in anew."""
+class Rejoin(msgspec.Struct, frozen=True, tag="join"):
+    """A voter has another disk than the fleet knows, and asks to be admitted with it."""
 
 
-class Stale(msgspec.Struct, frozen=True, tag="stale"):
-    """The disk that this run was started from is an older copy: it may have forgotten promises."""
+class StaleDisk(msgspec.Struct, frozen=True, tag="stale", rename={"boot_id": "boot", "start_count": "boots"}):
+    """The disk from which this run was started is an older copy and may lack promises."""
 
-    boot: str
-    boots: int
+    boot_id: str
+    start_count: int
 
 
-class Relay(msgspec.Struct, frozen=True, tag="relay"):
-    """A router that does not vote passes a proposal on."""
+class ForwardedProposal(msgspec.Struct, frozen=True, tag="relay"):
+    """A proposal that a router without a vote forwards to a voter."""
 
     proposal: Proposal
 
 
-class Answer(msgspec.Struct, frozen=True, tag="answer"):
-    """How it ended."""
+class ForwardedVerdict(msgspec.Struct, frozen=True, tag="answer"):
+    """The outcome of a forwarded proposal."""
 
     verdict: Verdict
 
 
-class Ask(msgspec.Struct, frozen=True, tag="ask"):
-    """Have you heard of this router lately?"""
+class LivenessQuery(msgspec.Struct, frozen=True, tag="ask"):
+    """Ask when a router was last heard."""
 
     name: str
 
 
-class Heard(msgspec.Struct, frozen=True, tag="heard"):
-    """So long ago, in nanoseconds; -1: never."""
+class LivenessReport(msgspec.Struct, frozen=True, tag="heard", rename={"age_ns": "age"}):
+    """Report when a router was last heard."""
 
     name: str
-    age: int
+    age_ns: int
+    """Nanoseconds since then; -1: never."""
 
 
 Body = (
-    Renew
-    | Grant
-    | Applied
-    | State
-    | Welcome
-    | Learn
-    | Check
-    | Checked
+    LeaseRequest
+    | LeaseGrant
+    | QuotaLeaseApplied
+    | Heartbeat
+    | StartConfirmed
+    | VersionDecided
+    | PolicyCheck
+    | PolicyCheckResult
     | Prepare
     | Promise
     | Accept
     | Accepted
     | Rejected
-    | Join
-    | Stale
-    | Relay
-    | Answer
-    | Ask
-    | Heard
+    | Rejoin
+    | StaleDisk
+    | ForwardedProposal
+    | ForwardedVerdict
+    | LivenessQuery
+    | LivenessReport
 )
 
 
 class Message(msgspec.Struct, frozen=True):
-    """One message."""
+    """A message: the sender's state and a body."""
 
     sender: Sender
     body: Body
 
 
-# What is written down
-
-
-class Booted(msgspec.Struct, frozen=True, tag="booted"):
-    """The process was started from this disk once more."""
-
-    incarnation: str
-    boots: int
-
-
-class Promised(msgspec.Struct, frozen=True, tag="promised"):
-    """A promise, for the version after the decided one."""
-
-    version: int
-    ballot: Ballot
-
-
-class Took(msgspec.Struct, frozen=True, tag="took"):
-    """A value accepted."""
-
-    version: int
-    ballot: Ballot
-    value: Value
-
-
-class Decided(msgspec.Struct, frozen=True, tag="decided"):
-    """A version decided."""
-
-    value: Value
-
-
-class Seen(msgspec.Struct, frozen=True, tag="seen"):
-    """How often another voter's disk has been started from, and by which run of the process last."""
-
-    name: str
-    incarnation: str
-    boots: int
-    boot: str
-
-
-class Whole(msgspec.Struct, frozen=True, tag="whole"):
-    """All of it."""
-
-    incarnation: str
-    boots: int
-    decided: Value
-    promised: Ballot | None
-    accepted: Ballot | None
-    value: Value | None
-    seen: dict[str, tuple[str, int, str]]
-    history: tuple[Value, ...]
-    closed: int
-    past: tuple[tuple[int, str], ...]
-
-
-class Closed(msgspec.Struct, frozen=True, tag="closed"):
-    """No router can admit under this version any more."""
-
-    version: int
-
-
-Record = Booted | Promised | Took | Decided | Seen | Closed | Whole
-
-_message = msgspec.msgpack.Decoder(Message)
-_record = msgspec.msgpack.Decoder(Record)
+_message_decoder = msgspec.msgpack.Decoder(Message)
 encode = msgspec.msgpack.Encoder().encode
-"""A message's or a record's bytes."""
+"""Encode a message or a record."""
 
 
 def read_message(data: bytes) -> Message:
-    """Read a message; raises ValueError in one plain line."""
-    message = _message.decode(data)
-    if isinstance(message.body, Renew | Grant):
-        rows = message.body.demand if isinstance(message.body, Renew) else message.body.shares
-        # Danger: a NaN is neither over nor under a bound, and would spoil every sum that it gets into.
-        if any(math.isnan(rate) for _, rate in rows):
+    """Decode a message; raises ValueError with a message of one line."""
+    message = _message_decoder.decode(data)
+    if isinstance(message.body, LeaseRequest | LeaseGrant):
+        body = message.body
+        rates = body.demand if isinstance(body, LeaseRequest) else body.quota_leases
+        # Danger: a NaN is neither above nor below a bound, and would spoil every sum that it enters.
+        if any(math.isnan(rate) for _, rate in rates):
             raise ValueError("a rate that is no number")
     return message
 
 
-def read_record(data: bytes) -> Record:
-    """Read a record; raises ValueError in one plain line."""
-    return _record.decode(data)
+def tag_of(encoded: msgspec.Struct) -> str:
+    """Return the tag with which a body or a record is encoded."""
+    return str(encoded.__struct_config__.tag)
--- a/pebblepass/consensus/metrics.py
+++ b/pebblepass/consensus/metrics.py
@@ -1,4 +1,4 @@
-"""A router's part in its fleet in OpenMetrics, by prometheus_client; only who scrapes pays for it."""
+"""A router's part in its fleet as OpenMetrics, by prometheus_client; only a scrape costs anything."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 CONTENT_TYPE = CONTENT_TYPE_LATEST
 
 
-class Counted(Struct, frozen=True):
-    """What is told, as it stands."""
+class FleetMetrics(Struct, frozen=True):
+    """The metrics as they stand."""
 
     version: int
     in_force: bool
     alive: int
-    """Other routers that are heard."""
+    """Other routers that are alive."""
     steps: Mapping[str, int]
     work: Mapping[str, int]
     """Messages, writes and failed writes."""
@@ -26,31 +26,31 @@
 
 
 class _Collector:
-    def __init__(self, told: Counted) -> None:
-        self._told = told
+    def __init__(self, metrics: FleetMetrics) -> None:
+        self._metrics = metrics
 
     def collect(self) -> Iterator[Metric]:
-        told = self._told
-        for name, words, value in (
-            ("version", "The policy's version that is decided here", told.version),
-            ("in_force", "Whether this router holds a lease on it", int(told.in_force)),
-            ("alive", "Other routers of the fleet that are heard", told.alive),
+        metrics = self._metrics
+        for name, text, value in (
+            ("version", "The policy's version that is decided here", metrics.version),
+            ("in_force", "Whether this router holds a lease on it", int(metrics.in_force)),
+            ("alive", "Other routers of the fleet that are heard", metrics.alive),
         ):
-            yield GaugeMetricFamily(f"pebblepass_fleet_{name}", words, value=value)
-        for name, label, words, counts in (
-            ("steps", "event", "Steps of changes", told.steps),
-            ("work", "kind", "Messages sent, writes, and writes that failed", told.work),
-            ("links_closed", "cause", "Links closed and messages dropped", told.links_closed),
+            yield GaugeMetricFamily(f"pebblepass_fleet_{name}", text, value=value)
+        for name, label, text, counts in (
+            ("steps", "event", "Steps of changes", metrics.steps),
+            ("work", "kind", "Messages sent, writes, and writes that failed", metrics.work),
+            ("links_closed", "cause", "Links closed and messages dropped", metrics.links_closed),
         ):
-            family = CounterMetricFamily(f"pebblepass_fleet_{name}", words, labels=[label])
-            for what, count in sorted(counts.items()):
-                family.add_metric([what], count)
+            family = CounterMetricFamily(f"pebblepass_fleet_{name}", text, labels=[label])
+            for label_value, count in sorted(counts.items()):
+                family.add_metric([label_value], count)
             yield family
 
 
-def exposition(told: Counted) -> bytes:
-    """The page."""
+def exposition(metrics: FleetMetrics) -> bytes:
+    """Return the page for a scrape."""
     registry = CollectorRegistry()
-    registry.register(_Collector(told))
+    registry.register(_Collector(metrics))
     page: bytes = generate_latest(registry)  # type: ignore[no-untyped-call]
     return page
--- /dev/null
+++ b/pebblepass/consensus/outbox.py
@@ -0,0 +1,100 @@
+"""The actions of the event that a replica handles, and what waits for a write. No I/O, no clock.
+
+| state of a message | event | guard | next |
+| --- | --- | --- | --- |
+| new | send | to this router itself | looped back, handled before the event ends |
+| new | send | this start is synced | sent |
+| new | send | this start is not synced yet | dropped; the sender repeats what matters |
+| new | send after a write | - | waiting |
+| waiting | written | its record is synced | sent |
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable, Iterable
+
+from pebblepass.consensus import messages as m
+from pebblepass.consensus.actions import Action, ChangeStep, Send, Write
+from pebblepass.consensus.records import Record
+
+
+class Outbox:
+    """Collects actions. `now` is the time of the event, in nanoseconds of the router's clock."""
+
+    def __init__(self, name: str, sender: Callable[[], m.Sender], now: int) -> None:
+        """`sender`: the state that a message carries, as it stands when the message is sent."""
+        self.name, self.now = name, now
+        self._sender = sender
+        self._actions: list[Action] = []
+        self._loopback: deque[m.Message] = deque()
+        self._last_token = self._synced_token = self._start_token = 0
+        self._waiting: deque[tuple[int, str, m.Body]] = deque()
+
+    def begin(self, now: int) -> None:
+        """Begin an event."""
+        self.now, self._actions = now, []
+
+    def finish(self) -> list[Action]:
+        """Return the event's actions."""
+        return self._actions
+
+    def next_loopback(self) -> m.Message | None:
+        """Take the next message to this router itself; None: there is none."""
+        return self._loopback.popleft() if self._loopback else None
+
+    def emit(self, action: Action) -> None:
+        """Add an action."""
+        self._actions.append(action)
+
+    def note(self, event: str, version: int, peer: str = "", cause: str = "") -> None:
+        """Add a step of a change, for the log."""
+        self._actions.append(ChangeStep(event, version, peer, cause))
+
+    def send(self, to: str, body: m.Body, boot_id: str = "") -> None:
+        """Send a message, to one run of the receiver's process where `boot_id` names it."""
+        message = m.Message(self._sender(), body)
+        if to == self.name:
+            self._loopback.append(message)
+        elif self._synced_token >= self._start_token:
+            # Danger: a start that is announced before it is synced is counted twice after a power loss, and
+            # the second one would be taken for a start from an older copy of the disk.
+            self._actions.append(Send(to, message, boot_id))
+
+    def send_all(self, names: Iterable[str], body: m.Body) -> None:
+        """Send a message to several routers."""
+        for name in names:
+            self.send(name, body)
+
+    def write(self, record: Record) -> int:
+        """Write a record, and return the token with which its sync is reported."""
+        self._last_token += 1
+        self._actions.append(Write(self._last_token, (record,)))
+        return self._last_token
+
+    def write_start(self, record: Record) -> None:
+        """Write the record of this start: nothing is sent to other routers before it is synced."""
+        self._start_token = self.write(record)
+
+    def send_after_write(self, record: Record, to: str, body: m.Body) -> None:
+        """Write a record, and send the message once it is synced.
+
+        Danger: what is sent before it is synced is a promise that a power loss takes back.
+        """
+        self._waiting.append((self.write(record), to, body))
+
+    def synced(self, token: int) -> bool:
+        """All writes up to this token are synced; return whether that of this start is among them."""
+        start_synced = self._synced_token < self._start_token <= token
+        self._synced_token = max(self._synced_token, token)
+        return start_synced
+
+    def is_synced(self, token: int) -> bool:
+        """Whether the write with this token is synced."""
+        return token <= self._synced_token
+
+    def send_waiting(self) -> None:
+        """Send the messages whose records are synced."""
+        while self._waiting and self.is_synced(self._waiting[0][0]):
+            _, to, body = self._waiting.popleft()
+            self.send(to, body)
--- a/pebblepass/consensus/policy.py
+++ b/pebblepass/consensus/policy.py
@@ -1,4 +1,7 @@
-"""What all routers of a fleet must hold alike: its schema, what is checked of it, and how two differ."""
+"""The policy that all routers of a fleet hold alike: its schema, its checks, and how two differ.
+
+The keys of the file are stated here once, by `rename`; error texts name those keys.
+"""
 
 from __future__ import annotations
 
@@ -7,27 +10,40 @@
 
 import msgspec
 
-from pebblepass.consensus.shares import Pool
-from pebblepass.decisions.interface import FleetPolicy, NamespaceLimits, Settings
+from pebblepass.consensus.quota_allocator import QuotaPool
+from pebblepass.decisions.interface import FleetPolicy, NamespaceLimits, Settings, Tenant
 
-ROUNDING = 1e-9  # sums of portions
+ROUNDING = 1e-9  # tolerance of a sum of weights
 
 
 class PolicyError(ValueError):
-    """A policy can't be used; the text is one plain line that names the place."""
+    """A policy file can't be used: its author is at fault. The text is one line that names the key."""
 
 
-class NamespacePolicy(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
+class NamespacePolicy(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    omit_defaults=True,
+    rename={"weight": "portion"},
+):
     """`[namespaces.NAME]`: what is left out is as in the platform's settings."""
 
-    portion: Annotated[float, msgspec.Meta(ge=0, le=1, description="its part of the service")] | None = None
+    weight: Annotated[float, msgspec.Meta(ge=0, le=1, description="its part of the service")] | None = None
+    """Fraction of the service, 0 to 1."""
     quota_per_s: (
         Annotated[float, msgspec.Meta(gt=0, le=1e6, description="fetches a second of all routers together")]
         | None
     ) = None
 
 
-class StorePolicy(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
+class StorePolicy(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    omit_defaults=True,
+    rename={"uses_leases": "shares"},
+):
     """`[store]`: the limits of the package store; the soft limit is the rate times the window."""
 
     rate_per_s: (
@@ -43,19 +59,25 @@
     window_s: (
         Annotated[float, msgspec.Meta(ge=1, le=60, description="seconds over which calls are counted")] | None
     ) = None
-    shares: Annotated[
+    uses_leases: Annotated[
         bool, msgspec.Meta(description="split each quota by what routers fetch, and not evenly")
     ] = False
 
 
-class Policy(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """A whole policy."""
+class Policy(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    omit_defaults=True,
+    rename={"cordoned": "held_out", "floor_fraction": "floor_share"},
+):
+    """A complete policy."""
 
     store: StorePolicy = StorePolicy()
     namespaces: dict[str, NamespacePolicy] = {}
-    held_out: tuple[str, ...] = ()
-    """Servers that get nothing new, by hand."""
-    floor_share: Annotated[
+    cordoned: tuple[str, ...] = ()
+    """Servers that an operator excludes from new requests."""
+    floor_fraction: Annotated[
         float,
         msgspec.Meta(
             gt=0, le=1, description="of a quota in the settings: what a router without a lease holds"
@@ -63,41 +85,54 @@
     ] = 0.25
 
 
-class PolicyFile(Policy, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """A file to propose: a policy, who wants it and why, and changes of the fleet."""
-
-    who: str = ""
-    why: str = ""
-    add: dict[str, str] = {}
-    """Routers to take into the fleet: their names, and the addresses where others reach them."""
-    retire: tuple[str, ...] = ()
+class PolicyFile(
+    Policy,
+    frozen=True,
+    forbid_unknown_fields=True,
+    omit_defaults=True,
+    rename={
+        "cordoned": "held_out",
+        "floor_fraction": "floor_share",
+        "author": "who",
+        "reason": "why",
+        "added_members": "add",
+        "removed_members": "retire",
+    },
+):
+    """A file to propose: a policy, its author and reason, and changes of the fleet."""
+
+    author: str = ""
+    reason: str = ""
+    added_members: dict[str, str] = {}
+    """Routers that join the fleet: the addresses where others reach them, by name."""
+    removed_members: tuple[str, ...] = ()
     """Routers that leave the fleet for good."""
     voters: tuple[str, ...] = ()
     """The routers that decide from then on; empty: as before."""
 
     def policy(self) -> Policy:
-        """The policy alone."""
-        return Policy(self.store, self.namespaces, self.held_out, self.floor_share)
+        """Return the policy alone."""
+        return Policy(self.store, self.namespaces, self.cordoned, self.floor_fraction)
 
 
 def read_policy(name: str, data: bytes) -> PolicyFile:
-    """Read a policy file in TOML, whole or not at all; raises PolicyError."""
+    """Read a policy file in TOML, in full or not at all; raises PolicyError."""
     try:
         return msgspec.toml.decode(data, type=PolicyFile)
     except msgspec.ValidationError as error:
-        what, _, place = str(error).partition(" - at `$.")
-        where = f"{place.rstrip('`')}: " if place else ""
-        raise PolicyError(f"{name}: {where}{what[0].lower()}{what[1:]}") from None
+        problem, _, path = str(error).partition(" - at `$.")
+        key = f"{path.rstrip('`')}: " if path else ""
+        raise PolicyError(f"{name}: {key}{problem[0].lower()}{problem[1:]}") from None
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise PolicyError(f"{name}: not TOML: {' '.join(str(error).split())}") from None
 
 
 Check = Callable[[Policy, Policy], str]
-"""Whether a router can use a policy, after the one before: empty, or why not in one plain line."""
+"""Checks whether a router can use a policy, after the one before: empty, or why not in one line."""
 
 
-class Ground:
-    """What a router knows that a policy has to fit: the platform's settings."""
+class PolicyChecker:
+    """Checks policies against the platform's settings."""
 
     def __init__(self, settings: Settings) -> None:
         self._tenants = {tenant.name: tenant for tenant in settings.tenants}
@@ -108,76 +143,88 @@
         return next(self._problems(before, after), "")
 
     def _problems(self, before: Policy, after: Policy) -> Iterator[str]:
-        if after.floor_share < before.floor_share:
-            # Danger: a router that is cut off holds the floor it knows, and would admit more than the rest.
-            yield f"floor_share: {after.floor_share:g} is under {before.floor_share:g}; it can only rise"
-        for name, wanted in after.namespaces.items():
+        if after.floor_fraction < before.floor_fraction:
+            # Danger: a partitioned router holds the floor that it knows, and would admit more than the rest.
+            floors = f"{after.floor_fraction:g} is under {before.floor_fraction:g}"
+            yield f"floor_share: {floors}; it can only rise"
+        yield from self._namespace_problems(after)
+        yield from self._store_problems(after)
+        if sum(self._weight(after, name) for name in self._tenants) > 1 + ROUNDING:
+            yield "namespaces: the portions add up to more than 1"
+        if after.store.uses_leases and not any(pool.shared > 0 for pool in self.pools(after, 0).values()):
+            yield "store.shares: no namespace has a quota beyond its floors"
+
+    def _namespace_problems(self, after: Policy) -> Iterator[str]:
+        for name, namespace in after.namespaces.items():
             if name not in self._tenants:
                 yield f"namespaces.{name}: no such namespace"
                 continue
-            floor = self._tenants[name].quota_per_s * after.floor_share
-            if wanted.quota_per_s is not None and wanted.quota_per_s < floor:
-                yield f"namespaces.{name}.quota_per_s: {wanted.quota_per_s:g} is under its floor, {floor:g}"
-        portions = {
-            name: self._portion(after, name) for name in self._tenants if self._tenants[name].quota_per_s
+            floor, quota = self._tenants[name].quota_per_s * after.floor_fraction, namespace.quota_per_s
+            if quota is not None and quota < floor:
+                yield f"namespaces.{name}.quota_per_s: {quota:g} is under its floor, {floor:g}"
+
+    def _store_problems(self, after: Policy) -> Iterator[str]:
+        rate = after.store.rate_per_s
+        weights = {
+            name: self._weight(after, name) for name in self._tenants if self._tenants[name].quota_per_s
         }
-        for name, portion in portions.items():
-            floor = self._tenants[name].quota_per_s * after.floor_share
-            if after.store.rate_per_s is not None and after.store.rate_per_s * portion < floor:
-                least = floor / portion if portion else float("inf")
-                rate = after.store.rate_per_s
+        for name, weight in weights.items():
+            floor = self._tenants[name].quota_per_s * after.floor_fraction
+            if rate is not None and rate * weight < floor:
+                least = floor / weight if weight else float("inf")
                 yield f"store.rate_per_s: {rate:g} leaves {name} under its floor; {least:g} would do"
-        if sum(self._portion(after, name) for name in self._tenants) > 1 + ROUNDING:
-            yield "namespaces: the portions add up to more than 1"
-        if after.store.shares and not any(pool.shared > 0 for pool in self.pools(after, 0).values()):
-            yield "store.shares: no namespace has a quota beyond its floors"
 
-    def pools(self, policy: Policy, members: int) -> dict[str, Pool]:
-        """What there is to share of each stated quota, and each router's floor; `members`: of the fleet.
+    def pools(self, policy: Policy, members: int) -> dict[str, QuotaPool]:
+        """Return what leases split of each quota, and each router's floor; `members`: of the fleet.
 
-        The floors are set aside for every router, those that are down or cut off among them.
+        The floors are set aside for every router, those that are down or partitioned among them.
         """
-        if not policy.store.shares:
+        if not policy.store.uses_leases:
             return {}
-        found = {}
-        for name, tenant in self._tenants.items():
-            if tenant.quota_per_s:
-                told = policy.namespaces.get(name)
-                quota = tenant.quota_per_s if told is None or told.quota_per_s is None else told.quota_per_s
-                if policy.store.rate_per_s is not None:
-                    quota = min(quota, policy.store.rate_per_s * self._portion(policy, name))
-                floor = tenant.quota_per_s * policy.floor_share / self._routers
-                shared = max(quota - floor * max(members, self._routers), 0.0)
-                found[name] = Pool(shared, floor)
-        return found
-
-    def _portion(self, policy: Policy, name: str) -> float:
-        told = policy.namespaces.get(name)
-        return self._tenants[name].weight if told is None or told.portion is None else told.portion
-
-
-def held(version: int, policy: Policy) -> FleetPolicy:
-    """What the decision module is told of a policy."""
-    rows = tuple(
-        NamespaceLimits(name, told.portion, told.quota_per_s)
-        for name, told in sorted(policy.namespaces.items())
+        return {
+            name: self._pool(policy, tenant, members)
+            for name, tenant in self._tenants.items()
+            if tenant.quota_per_s
+        }
+
+    def _pool(self, policy: Policy, tenant: Tenant, members: int) -> QuotaPool:
+        namespace, quota = policy.namespaces.get(tenant.name), tenant.quota_per_s
+        if namespace is not None and namespace.quota_per_s is not None:
+            quota = namespace.quota_per_s
+        if policy.store.rate_per_s is not None:
+            quota = min(quota, policy.store.rate_per_s * self._weight(policy, tenant.name))
+        floor = tenant.quota_per_s * policy.floor_fraction / self._routers
+        return QuotaPool(max(quota - floor * max(members, self._routers), 0.0), floor)
+
+    def _weight(self, policy: Policy, name: str) -> float:
+        namespace = policy.namespaces.get(name)
+        if namespace is None or namespace.weight is None:
+            return self._tenants[name].weight
+        return namespace.weight
+
+
+def fleet_policy(version: int, policy: Policy) -> FleetPolicy:
+    """Return a policy in the terms of the decision module."""
+    namespaces = tuple(
+        NamespaceLimits(name, namespace.weight, namespace.quota_per_s)
+        for name, namespace in sorted(policy.namespaces.items())
     )
     store = policy.store
     return FleetPolicy(
         version,
-        rows,
+        namespaces,
         store.rate_per_s,
         store.hard_factor,
         store.window_s,
-        policy.held_out,
-        policy.floor_share,
-        store.shares,
+        policy.cordoned,
+        policy.floor_fraction,
+        store.uses_leases,
     )
 
 
 def difference(before: Policy, after: Policy) -> list[str]:
-    """Each key in which two policies differ, in one line."""
-    old, new = dict(_flat(msgspec.to_builtins(before))), dict(_flat(msgspec.to_builtins(after)))
+    """Return each key in which two policies differ, in one line."""
+    old, new = dict(_flatten(msgspec.to_builtins(before))), dict(_flatten(msgspec.to_builtins(after)))
     names = dict.fromkeys([*old, *new])
     return [
         f"{name}: {old.get(name, 'as before')} -> {new.get(name, 'as in the settings')}"
@@ -186,9 +233,9 @@
     ]
 
 
-def _flat(value: object, prefix: str = "") -> Iterator[tuple[str, object]]:
+def _flatten(value: object, prefix: str = "") -> Iterator[tuple[str, object]]:
     if isinstance(value, dict):
         for key, inner in value.items():
-            yield from _flat(inner, f"{prefix}.{key}" if prefix else str(key))
+            yield from _flatten(inner, f"{prefix}.{key}" if prefix else str(key))
     else:
         yield prefix, ", ".join(map(str, value)) if isinstance(value, list | tuple) else value
--- /dev/null
+++ b/pebblepass/consensus/replica.py
@@ -0,0 +1,389 @@
+"""A router's replica: takes events and the time, dispatches to its parts, returns actions. No I/O, no clock.
+
+| event | parts, in order |
+| --- | --- |
+| start | disk identity |
+| message | peers, disk identity, catch-up; the part that its body names; leases; the change under way |
+| written | learner, waiting messages, leases, the change under way |
+| proposal | proposals |
+| tick | renewal, liveness queries, membership; the change under way or a takeover; leases |
+| any | messages to itself; activation of the policy; releases of quota leases |
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Sequence
+
+from pebblepass.consensus import messages as m
+from pebblepass.consensus.acceptor import Acceptor
+from pebblepass.consensus.actions import Action, PolicyActivated
+from pebblepass.consensus.disk_identity import DiskIdentity
+from pebblepass.consensus.learner import REPEATS_PER_LEASE, Learner
+from pebblepass.consensus.lease_client import LeaseClient
+from pebblepass.consensus.lease_server import LeaseServer
+from pebblepass.consensus.membership import Membership
+from pebblepass.consensus.outbox import Outbox
+from pebblepass.consensus.peer_table import PeerTable
+from pebblepass.consensus.proposals import Proposals
+from pebblepass.consensus.proposer import Proposer
+from pebblepass.consensus.quota_allocator import QuotaAllocator
+from pebblepass.consensus.quota_leases import QuotaLeaseHolder
+from pebblepass.consensus.records import (
+    AcceptRecord,
+    ClosedRecord,
+    DecisionRecord,
+    DiskStart,
+    PeerStartRecord,
+    PromiseRecord,
+    Record,
+    SnapshotRecord,
+    StartRecord,
+)
+from pebblepass.consensus.setup import RandomSource, ReplicaSetup
+from pebblepass.consensus.verdicts import Verdicts
+
+
+class Replica:
+    """One router's replica. Begin with `start`, then call the method of each event, and `tick` by `due`."""
+
+    outbox_class = Outbox
+    disk_identity_class = DiskIdentity
+    proposer_class = Proposer
+    lease_server_class = LeaseServer
+    quota_allocator_class = QuotaAllocator
+    quota_holder_class = QuotaLeaseHolder
+    """The parts; fault injection replaces one by a mutant."""
+
+    def __init__(
+        self,
+        setup: ReplicaSetup,
+        records: Sequence[Record] | None,
+        now: int,
+        rng: RandomSource | None = None,
+    ) -> None:
+        """`records`: what its disk holds; None: nothing, or there is no disk."""
+        self.setup, self.name = setup, setup.name
+        random_source = rng or random.Random(f"{setup.seed} {setup.name} {setup.boot_id}")
+        self._outbox = outbox = self.outbox_class(setup.name, self._sender, now)
+        self.learner = learner = Learner(setup.name, setup.genesis, setup.check, outbox)
+        self.acceptor = Acceptor(now)
+        self.disk = self.disk_identity_class(setup.name, setup.boot_id, setup.new_disk_id, outbox)
+        self.peers = PeerTable(setup.terms.renewal_interval, now)
+        self._verdicts = Verdicts(outbox)
+        restarted = bool(records)
+        allocator = self.quota_allocator_class(setup.terms, now, restarted=restarted)
+        self.lease_server = self.lease_server_class(
+            setup, learner, self.disk, self.peers, outbox, allocator, restarted
+        )
+        for record in records or ():
+            self.restore(record)
+        learner.restored()
+        quota_holder = self.quota_holder_class(setup.terms)
+        self.lease_client = client = LeaseClient(setup, learner, outbox, random_source, quota_holder)
+        self.proposer = self.proposer_class(
+            setup,
+            learner,
+            self.acceptor,
+            self.lease_server,
+            client,
+            self.peers,
+            self._verdicts,
+            outbox,
+            random_source,
+        )
+        self._proposals = Proposals(
+            setup.name, learner, self.disk, self.peers, self.proposer, self._verdicts, outbox, random_source
+        )
+        self._membership = Membership(
+            setup, learner, self.disk, self.acceptor, self.peers, self.proposer, outbox
+        )
+        learner.check_decided(learner.decided)
+
+    @property
+    def decided(self) -> m.Value:
+        """The decided version."""
+        return self.learner.decided
+
+    @property
+    def can_vote(self) -> bool:
+        """Whether this router is a voter, on the disk with which it became one."""
+        return self.disk.can_vote(self.learner.voters)
+
+    def may_admit(self, now: int) -> bool:
+        """Whether it holds a lease on the decided version."""
+        return self.lease_client.may_admit(now)
+
+    def snapshot(self) -> SnapshotRecord:
+        """Return all that the log has to hold, in one record."""
+        acceptor, learner = self.acceptor, self.learner
+        return SnapshotRecord(
+            self.disk.disk_id,
+            self.disk.start_count,
+            learner.decided,
+            acceptor.promised,
+            acceptor.accepted,
+            acceptor.value,
+            dict(self.disk.peer_starts),
+            tuple(learner.history),
+            self.lease_server.closed_version,
+            tuple(learner.decided_changes.items()),
+        )
+
+    def restore(self, record: Record) -> None:
+        """Restore the state that a record holds."""
+        match record:
+            case SnapshotRecord():
+                self._restore_snapshot(record)
+            case StartRecord():
+                self.disk.restore(record.disk_id, record.start_count)
+            case PromiseRecord():
+                self.acceptor.promised = record.ballot
+            case AcceptRecord():
+                self.acceptor.restore(record.ballot, record.ballot, record.value)
+            case DecisionRecord():
+                self.learner.restore_decision(record.value)
+                self.acceptor.reset()
+            case ClosedRecord():
+                self.lease_server.restore_closed(record.version)
+            case PeerStartRecord():
+                start = DiskStart(record.disk_id, record.start_count, record.boot_id)
+                self.disk.peer_starts[record.name] = start
+
+    def _restore_snapshot(self, record: SnapshotRecord) -> None:
+        self.disk.restore(record.disk_id, record.start_count)
+        self.disk.peer_starts = dict(record.peer_starts)
+        self.learner.decided = record.decided
+        self.learner.history.extend(record.history)
+        self.learner.decided_changes = dict(record.decided_changes)
+        self.acceptor.restore(record.promised or (0, ""), record.accepted, record.value)
+        self.lease_server.restore_closed(record.closed_version)
+
+    # Events
+
+    def start(self, now: int) -> list[Action]:
+        """Begin; what was restored from the disk counts from when this start is synced to it."""
+        self._outbox.begin(now)
+        # It holds no lease: until it has one it admits what the floor lets through, as all without one.
+        self._outbox.emit(PolicyActivated(self.decided, 0))
+        self.disk.start()
+        return self._finish()
+
+    def received(self, message: m.Message, now: int) -> list[Action]:
+        """Take a message from another router of the fleet."""
+        self._outbox.begin(now)
+        self._take(message)
+        return self._finish()
+
+    def written(self, token: int, now: int) -> list[Action]:
+        """Take that all writes up to this one are synced."""
+        self._outbox.begin(now)
+        if self._outbox.synced(token):
+            self.lease_client.renew_at = now
+        self.learner.written()
+        self._outbox.send_waiting()
+        self._settle()
+        return self._finish()
+
+    def propose(self, proposal: m.Proposal, now: int) -> list[Action]:
+        """Take an operator's proposal."""
+        self._outbox.begin(now)
+        self._proposals.propose(proposal)
+        return self._finish()
+
+    def tick(self, now: int) -> list[Action]:
+        """Continue with what is due."""
+        self._outbox.begin(now)
+        if now >= self.lease_client.renew_at:
+            self.lease_client.renew()
+            self._query_liveness()
+            self._verdicts.expire()
+            self._membership.tick()
+        if self.proposer.change is not None:
+            self.proposer.tick()
+        else:
+            self._take_over()
+        self._settle()
+        return self._finish()
+
+    def due(self, now: int) -> int:
+        """When `tick` has something to do, in nanoseconds of the router's clock."""
+        times = [self.lease_client.due(now)]
+        if self.proposer.change is not None:
+            times.append(self.proposer.change.due)
+        elif (takeover_at := self._takeover_at()) is not None:
+            times.append(takeover_at or now)
+        if (release := self.lease_server.next_release(now)) is not None:
+            times.append(release)
+        return max(min(times), now)
+
+    def _finish(self) -> list[Action]:
+        self._take_loopback()
+        self.lease_client.refresh(self.proposer.report_if_in_force)
+        if self.lease_client.send_releases():
+            self._take_loopback()
+        return self._outbox.finish()
+
+    def _take_loopback(self) -> None:
+        while (message := self._outbox.next_loopback()) is not None:
+            self._take(message)
+
+    # Messages
+
+    def _sender(self) -> m.Sender:
+        learner, disk, now = self.learner, self.disk, self._outbox.now
+        return m.Sender(
+            self.name,
+            self.setup.boot_id,
+            disk.disk_id,
+            disk.start_count,
+            learner.version,
+            learner.durable_version,
+            self.lease_server.released_version,
+            self.lease_server.closed_version,
+            self.lease_client.leased_version(now),
+            self._is_confirmed(),
+        )
+
+    def _is_confirmed(self) -> bool:
+        return self.disk.is_confirmed(self.learner.voters, self.learner.quorum_size)
+
+    def _take(self, message: m.Message) -> None:
+        sender, body = message.sender, message.body
+        if sender.name != self.name:
+            self._heard(sender)
+            is_renewal = isinstance(body, m.LeaseRequest | m.Heartbeat)
+            if is_renewal and not (sender.start_confirmed or self.disk.is_stale(sender)):
+                self._outbox.send(sender.name, m.StartConfirmed(sender.boot_id), sender.boot_id)
+        if not self._take_lease_message(sender, body):
+            self._take_change_message(sender, body)
+        self._settle()
+
+    def _heard(self, sender: m.Sender) -> None:
+        """Take the sender's state, which every message carries."""
+        now, learner = self._outbox.now, self.learner
+        if not self.peers.is_alive(sender.name, now):
+            self._outbox.note("heard", learner.version, sender.name)
+        self.peers.record(sender, now)
+        if sender.disk_id and sender.name in learner.voters:
+            self.disk.record_peer(sender, learner.version)
+        if sender.closed_version > self.lease_server.closed_version:
+            self.lease_server.close(sender.closed_version)
+        learner.catch_up(sender, self.setup.terms.duration // REPEATS_PER_LEASE)
+
+    def _take_lease_message(self, sender: m.Sender, body: m.Body) -> bool:
+        """Dispatch messages of leases, liveness and disks; return whether the body is one of them."""
+        match body:
+            case m.LeaseRequest():
+                self.lease_server.request(sender, body)
+            case m.LeaseGrant():
+                if body.boot_id == self.setup.boot_id:
+                    self.lease_client.granted(sender, body)
+            case m.QuotaLeaseApplied():
+                self.lease_server.quota_lease_applied(sender, body)
+            case m.StartConfirmed():
+                if body.boot_id == self.setup.boot_id:
+                    self.disk.confirm(sender.name)
+            case m.StaleDisk():
+                self.disk.reported_stale(body, self.learner.version)
+            case m.LivenessQuery():
+                age = self.peers.detector.age(body.name, self._outbox.now)
+                self._outbox.send(sender.name, m.LivenessReport(body.name, age), sender.boot_id)
+            case m.LivenessReport():
+                self.peers.detector.reported(body.name, body.age_ns, self._outbox.now)
+            case m.Heartbeat():
+                pass
+            case _:
+                return False
+        return True
+
+    def _take_change_message(self, sender: m.Sender, body: m.Body) -> None:
+        """Dispatch messages of changes."""
+        match body:
+            case m.VersionDecided():
+                self._learn(body.value, sender.name, body.decided_changes)
+            case m.PolicyCheck():
+                self._outbox.send(sender.name, self.learner.check(body), sender.boot_id)
+            case m.Prepare() | m.Accept():
+                self._vote(sender, body)
+            case m.PolicyCheckResult():
+                self.proposer.checked(sender, body)
+            case m.Promise():
+                self.proposer.promised(sender, body)
+            case m.Accepted():
+                self._accepted(sender, body)
+            case m.Rejected():
+                self.proposer.rejected(body)
+            case m.Rejoin():
+                self._membership.rejoin_requested(sender)
+            case m.ForwardedProposal():
+                self._verdicts.received_from(body.proposal.change_id, sender.name)
+                self._proposals.propose(body.proposal)
+            case m.ForwardedVerdict():
+                self._verdicts.answered(body.verdict)
+
+    # Votes and decisions
+
+    def _vote(self, sender: m.Sender, body: m.Prepare | m.Accept) -> None:
+        if body.version != self.learner.version + 1 or not self.can_vote or not self._is_confirmed():
+            return
+        if self.lease_server.closed_version < body.version - 2:
+            rejection = m.Rejected(body.version, body.ballot, body.ballot[0] - 1)
+            self._outbox.send(sender.name, rejection, sender.boot_id)
+            return
+        if isinstance(body, m.Prepare):
+            vote = self.acceptor.prepare(body)
+        else:
+            # Another disk than the value names may accept it: all others remember what this one has lost.
+            if self.learner.is_forming and body.value.fleet.voters.keys() != self.learner.voters.keys():
+                return  # it would form another fleet than this router's file names
+            vote = self.acceptor.accept(body, self._outbox.now)
+        if vote.record is None:
+            self._outbox.send(sender.name, vote.answer, sender.boot_id)
+        else:
+            self._outbox.send_after_write(vote.record, sender.name, vote.answer)
+
+    def _accepted(self, sender: m.Sender, body: m.Accepted) -> None:
+        value = self.proposer.accepted(sender, body)
+        if value is not None:
+            self._learn(value, self.name)
+            self._outbox.send_all(self.learner.peers(), self.learner.announcement())
+
+    def _learn(self, value: m.Value, source: str, changes: tuple[tuple[int, str], ...] = ()) -> None:
+        """Take a decided version, and let each part begin it."""
+        learner, outbox = self.learner, self._outbox
+        if value.version <= learner.version:
+            return
+        before = learner.decided
+        learner.learn(value, changes, keeps_disk=bool(self.disk.disk_id))
+        self.acceptor.version_decided(outbox.now)
+        self.lease_client.begin()
+        learner.check_decided(before)
+        outbox.note("learned", learner.version, source)
+        outbox.emit(PolicyActivated(value, 0))
+        self.lease_client.renew()
+        self.proposer.version_decided()
+
+    def _takeover_at(self) -> int | None:
+        if not self.can_vote:
+            return None
+        return self.acceptor.takeover_at(self.name, self.learner.voters, self.setup.terms.duration)
+
+    def _take_over(self) -> None:
+        """Propose an accepted value whose proposer sends nothing more."""
+        takeover_at, value = self._takeover_at(), self.acceptor.value
+        if takeover_at is not None and value is not None and self._outbox.now >= takeover_at:
+            self.proposer.begin(value, takeover=True)
+
+    def _settle(self) -> None:
+        self.lease_server.settle()
+        self.proposer.resume()
+        self.proposer.report_if_in_force()
+
+    def _query_liveness(self) -> None:
+        """Query the other voters about routers without a heartbeat."""
+        voters = self.learner.other_voters()
+        names = self.learner.peers() if self.can_vote else voters
+        for missing in self.peers.detector.to_query(names, self._outbox.now):
+            others = (name for name in voters if name != missing)
+            self._outbox.send_all(others, m.LivenessQuery(missing))
--- a/pebblepass/consensus/service.py
+++ b/pebblepass/consensus/service.py
@@ -1,186 +1,221 @@
-"""The agreement at work in a running router: links, the disk, timers. The thin shell; it decides nothing."""
+"""The replica at work in a running router: links, the disk, timers. A thin shell without decisions."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from concurrent.futures import ThreadPoolExecutor
 
 from msgspec import Struct
 
 from pebblepass.consensus import messages as m
-from pebblepass.consensus.member import Action, Conclude, InForce, Member, Note, Send, Setup, Write
+from pebblepass.consensus.actions import (
+    Action,
+    ChangeStep,
+    PolicyActivated,
+    ProposalConcluded,
+    Send,
+    Write,
+)
+from pebblepass.consensus.records import Record, read_record
+from pebblepass.consensus.replica import Replica
+from pebblepass.consensus.setup import ReplicaSetup
 from pebblepass.peers.links import Links
 from pebblepass.storage.disk import Disk
-from pebblepass.storage.frames import DurableError, Head
+from pebblepass.storage.frames import FileHeader, StorageError
 from pebblepass.storage.log import Log
 from pebblepass.wire.address import Address
 
 FORMAT, VERSION = "pebblepass-agreement", 1
 FILE = "agreement.log"
-RETRY_S = 0.1  # after a write that failed
-WAIT_S = 30.0  # for a proposal's end, at most
+WRITE_RETRY_S = 0.1  # after a write that failed
+PROPOSAL_TIMEOUT_S = 30.0
 
 log = logging.getLogger("pebblepass")
 
 
-class Told(Struct, frozen=True):
-    """What the service tells its router."""
+class ServiceCallbacks(Struct, frozen=True):
+    """What the service calls in its router."""
 
-    in_force: Callable[[InForce], None]
-    """Under what it may admit, and until when."""
-    step: Callable[[Note], None]
+    policy_activated: Callable[[PolicyActivated], None]
+    """The version under which the router may admit, and until when."""
+    change_step: Callable[[ChangeStep], None]
     """A step of a change, for the log."""
 
 
-def open_log(disk: Disk, fleet: str, name: str) -> tuple[Log, list[m.Record] | None]:
-    """A router's log and what it holds; raises DurableError in one plain line, or OSError."""
-    held = Log(disk, FILE, Head(FORMAT, VERSION, f"{fleet}/{name}"))
-    raw = held.open()
+class OpenLog(Struct, frozen=True):
+    """A router's log and its records."""
+
+    log: Log
+    records: Sequence[Record] | None
+    """None: there is no log yet."""
+
+
+def open_log(disk: Disk, fleet: str, name: str) -> OpenLog:
+    """Open a router's log; raises StorageError with a message of one line, or OSError."""
+    opened = Log(disk, FILE, FileHeader(FORMAT, VERSION, f"{fleet}/{name}"))
+    raw = opened.open()
     try:
-        return held, None if raw is None else [m.read_record(each) for each in raw]
+        return OpenLog(opened, None if raw is None else [read_record(record) for record in raw])
     except ValueError as error:
-        raise DurableError(f"{FILE}: a record that can't be read: {' '.join(str(error).split())}") from None
+        raise StorageError(f"{FILE}: a record that can't be read: {' '.join(str(error).split())}") from None
 
 
-class AgreementService:
-    """One router's member of the agreement, on its loop."""
+class ConsensusService:
+    """One router's replica, on its loop."""
 
-    member_class = Member
-    """The rules; a trial of a broken program puts others here."""
+    replica_class = Replica
+    """The rules; fault injection replaces them by a mutant."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         now: Callable[[], int],
-        setup: Setup,
+        setup: ReplicaSetup,
         fleet: str,
-        disk: tuple[Log, list[m.Record] | None] | None,
-        told: Told,
+        disk: OpenLog | None,
+        callbacks: ServiceCallbacks,
     ) -> None:
-        """`disk`: the log and what it holds; None: this router keeps none."""
-        self._loop, self._now, self._told = loop, now, told
-        self._log = disk[0] if disk is not None else None
-        records = disk[1] if disk is not None else None
-        self.member = self.member_class(setup, records, now())
+        """`disk`: the log and its records; None: this router keeps none."""
+        self._loop, self._now, self._callbacks = loop, now, callbacks
+        self._log = disk.log if disk is not None else None
+        records = disk.records if disk is not None else None
+        self.replica = self.replica_class(setup, records, now())
         if self._log is not None and records is None:
-            self._log.begin([m.encode(self.member.summary())])
-        self.links = Links(loop, fleet, setup.name, setup.boot, self._take, self._known, self._expected_links)
+            self._log.write_snapshot([m.encode(self.replica.snapshot())])
+        self.links = Links(
+            loop, fleet, setup.name, setup.boot_id, self._received, self._is_member, self._expected_links
+        )
         self.counts: Counter[str] = Counter()
         """Messages, writes and failed writes."""
         self._worker = ThreadPoolExecutor(1) if self._log is not None else None
-        self._waiting: list[Write] = []
+        self._pending_writes: list[Write] = []
         self._writing = False
         self._timer: asyncio.TimerHandle | None = None
-        self._asked: dict[str, list[asyncio.Future[m.Verdict]]] = {}
+        self._proposals: dict[str, list[asyncio.Future[m.Verdict]]] = {}
         self._dialled: dict[str, str] = {}
         self._closed = False
 
     async def start(self, listen: Address | None) -> None:
-        """Listen where this process is the one that does, and begin; raises OSError."""
+        """Listen, if this process is the one that does, and begin; raises OSError."""
         if listen is not None:
             await self.links.listen(listen)
-        self._carry_out(self.member.start(self._now()))
+        self._carry_out(self.replica.start(self._now()))
 
     def close(self) -> None:
-        """End; what is being written is written."""
+        """End, after the write that is under way."""
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
         self.links.close()
         if self._worker is not None:
             self._worker.shutdown(wait=True)
-        for futures in self._asked.values():
+        for futures in self._proposals.values():
             for future in futures:
                 future.cancel()
 
     async def propose(self, proposal: m.Proposal) -> m.Verdict:
-        """Propose, and wait for the end; asked again with the same id, it is the same proposal."""
+        """Propose, and wait for the verdict; a proposal with the same change id is the same proposal."""
         future: asyncio.Future[m.Verdict] = self._loop.create_future()
-        self._asked.setdefault(proposal.change, []).append(future)
-        if len(self._asked[proposal.change]) == 1:
-            self._carry_out(self.member.propose(proposal, self._now()))
+        change_id = proposal.change_id
+        self._proposals.setdefault(change_id, []).append(future)
+        if len(self._proposals[change_id]) == 1:
+            self._carry_out(self.replica.propose(proposal, self._now()))
         try:
-            async with asyncio.timeout(WAIT_S):
+            async with asyncio.timeout(PROPOSAL_TIMEOUT_S):
                 return await future
         except TimeoutError:
-            return m.Verdict(proposal.change, "open", 0, (f"open: no end within {WAIT_S:.0f} s",))
+            line = f"open: no end within {PROPOSAL_TIMEOUT_S:.0f} s"
+            return m.Verdict(change_id, "open", 0, (line,))
         finally:
-            waiting = self._asked.get(proposal.change, [])
-            if future in waiting:
-                waiting.remove(future)
-            if not waiting:
-                self._asked.pop(proposal.change, None)
+            self._forget_proposal(change_id, future)
+
+    def _forget_proposal(self, change_id: str, future: asyncio.Future[m.Verdict]) -> None:
+        futures = self._proposals.get(change_id, [])
+        if future in futures:
+            futures.remove(future)
+        if not futures:
+            self._proposals.pop(change_id, None)
 
-    def _known(self, name: str) -> bool:
-        return name in self.member.decided.fleet.members or name in self.member.setup.genesis.fleet.members
+    def _is_member(self, name: str) -> bool:
+        replica = self.replica
+        return name in replica.decided.fleet.members or name in replica.setup.genesis.fleet.members
 
     def _expected_links(self) -> int:
-        """How many routers dial this one: all others, if it is a voter."""
-        fleet = self.member.decided.fleet
-        voters = fleet.voters or self.member.setup.genesis.fleet.voters
-        return len(fleet.members) - 1 if self.member.name in voters else 0
+        """Return how many routers dial this one: all others, if it is a voter."""
+        fleet = self.replica.decided.fleet
+        voters = fleet.voters or self.replica.setup.genesis.fleet.voters
+        return len(fleet.members) - 1 if self.replica.name in voters else 0
 
-    def _take(self, name: str, data: bytes) -> None:
+    def _received(self, name: str, data: bytes) -> None:
         message = m.read_message(data)
         if message.sender.name != name:
             raise ValueError(f"{name} speaks for {message.sender.name}")
-        self._carry_out(self.member.received(message, self._now()))
+        self._carry_out(self.replica.received(message, self._now()))
 
     def _tick(self) -> None:
-        self._carry_out(self.member.tick(self._now()))
+        self._carry_out(self.replica.tick(self._now()))
 
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
-            match action:
-                case Send():
-                    self.counts["messages"] += 1
-                    self.links.send(action.to, m.encode(action.message), action.boot)
-                case Write():
-                    self._waiting.append(action)
-                case InForce():
-                    self._told.in_force(action)
-                case Conclude():
-                    for future in self._asked.pop(action.verdict.change, []):
-                        if not future.done():
-                            future.set_result(action.verdict)
-                case Note():
-                    self._told.step(action)
+            self._carry_out_one(action)
         self._write()
-        self._keep_links()
+        self._update_links()
+        self._set_timer()
+
+    def _carry_out_one(self, action: Action) -> None:
+        match action:
+            case Send():
+                self.counts["messages"] += 1
+                self.links.send(action.to, m.encode(action.message), action.boot_id)
+            case Write():
+                self._pending_writes.append(action)
+            case PolicyActivated():
+                self._callbacks.policy_activated(action)
+            case ProposalConcluded():
+                for future in self._proposals.pop(action.verdict.change_id, []):
+                    if not future.done():
+                        future.set_result(action.verdict)
+            case ChangeStep():
+                self._callbacks.change_step(action)
+
+    def _set_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
         if not self._closed:
             now = self._now()
-            wait = max(self.member.due(now) - now, 0) / 1e9
-            self._timer = self._loop.call_later(wait, self._tick)
-
-    def _keep_links(self) -> None:
-        fleet = self.member.decided.fleet
-        voters = {*fleet.voters, *self.member.decided.before}
-        # The router's own file goes before what the fleet says: it may reach another by a way of its own.
-        reached = {**fleet.members, **self.member.setup.genesis.fleet.members}
-        wanted = {name: reached[name] for name in voters if name in fleet.members}
-        if wanted != self._dialled:
-            self._dialled = wanted
-            self.links.dial(wanted)
+            delay_s = max(self.replica.due(now) - now, 0) / 1e9
+            self._timer = self._loop.call_later(delay_s, self._tick)
+
+    def _update_links(self) -> None:
+        decided = self.replica.decided
+        voters = {*decided.fleet.voters, *decided.previous_voters}
+        # The router's own file takes precedence over the fleet: it may reach another by a way of its own.
+        addresses = {**decided.fleet.members, **self.replica.setup.genesis.fleet.members}
+        dialled = {name: addresses[name] for name in voters if name in decided.fleet.members}
+        if dialled != self._dialled:
+            self._dialled = dialled
+            self.links.dial(dialled)
 
     def _write(self) -> None:
-        """All that waits goes in one sync, beside the loop; one is under way at a time."""
-        if self._writing or not self._waiting or self._log is None or self._worker is None or self._closed:
+        """Write all that is pending in one sync, in the worker; one sync is under way at a time."""
+        if self._writing or not self._pending_writes or self._closed:
+            return
+        if self._log is None or self._worker is None:
             return
         self._writing = True
-        batch, self._waiting = self._waiting, []
-        held, summary = self._log, m.encode(self.member.summary()) if self._log.wants_summary else None
+        batch, self._pending_writes = self._pending_writes, []
+        target = self._log
+        snapshot = m.encode(self.replica.snapshot()) if target.needs_snapshot else None
         records = [m.encode(record) for write in batch for record in write.records]
 
         def work() -> None:
-            if summary is not None:
-                held.begin([summary])
+            if snapshot is not None:
+                target.write_snapshot([snapshot])
             else:
-                held.write(records)
+                target.append(records)
 
         self.counts["writes"] += 1
         self._loop.run_in_executor(self._worker, work).add_done_callback(
@@ -192,15 +227,15 @@
             return
         error = done.exception()
         if error is not None:
-            # Nothing of it was promised: it is tried again, and until then this voter is one that is missing.
+            # Nothing of it was promised: it is retried, and until then this voter counts as missing.
             self.counts["failed writes"] += 1
             log.error("fleet: %s: %s; this router promises nothing until it can write", FILE, error)
-            self._waiting = batch + self._waiting
-            self._loop.call_later(RETRY_S, self._again)
+            self._pending_writes = batch + self._pending_writes
+            self._loop.call_later(WRITE_RETRY_S, self._retry_write)
             return
         self._writing = False
-        self._carry_out(self.member.written(batch[-1].token, self._now()))
+        self._carry_out(self.replica.written(batch[-1].token, self._now()))
 
-    def _again(self) -> None:
+    def _retry_write(self) -> None:
         self._writing = False
         self._write()
--- a/pebblepass/daemon/__main__.py
+++ b/pebblepass/daemon/__main__.py
@@ -86,10 +86,10 @@
         listens = MOST_CONNECTIONS if ledger.listen else 0
         taken += descriptors.figures(listens, bool(ledger.directory), bool(ledger.webhook))
     if section is not None:
-        from pebblepass.peers.links import STRANGERS
+        from pebblepass.peers.links import MAX_UNIDENTIFIED
 
         coming = len(section.members) - 1 if name in section.voters else 0
-        taken += descriptors.fleet(len(section.voters), coming, STRANGERS, bool(section.directory))
+        taken += descriptors.fleet(len(section.voters), coming, MAX_UNIDENTIFIED, bool(section.directory))
     return taken
 
 
--- a/pebblepass/daemon/fleet.py
+++ b/pebblepass/daemon/fleet.py
@@ -12,16 +12,18 @@
 import msgspec
 
 from pebblepass.consensus import messages as m
-from pebblepass.consensus.leases import Terms
-from pebblepass.consensus.member import InForce, Note, Setup, genesis
-from pebblepass.consensus.policy import Ground, PolicyError, held, read_policy
-from pebblepass.consensus.service import AgreementService, Told, open_log
+from pebblepass.consensus.actions import ChangeStep, PolicyActivated
+from pebblepass.consensus.leases import LeaseTerms
+from pebblepass.consensus.policy import PolicyChecker, PolicyError, fleet_policy, read_policy
+from pebblepass.consensus.reports import history, status
+from pebblepass.consensus.service import ConsensusService, ServiceCallbacks, open_log
+from pebblepass.consensus.setup import ReplicaSetup, genesis
 from pebblepass.control.shell import Page
 from pebblepass.daemon.config import ConfigError
 from pebblepass.decisions import PolicyChanged, Settings
 from pebblepass.operator_config import FleetSection
-from pebblepass.storage.disk import Folder
-from pebblepass.storage.frames import DurableError
+from pebblepass.storage.disk import Directory
+from pebblepass.storage.frames import StorageError
 from pebblepass.wire.address import parse_address
 
 CALLS = "/control/policy/"
@@ -62,7 +64,7 @@
 class FleetPart:
     """What joins a running router to its fleet."""
 
-    service_class: type[AgreementService] = AgreementService
+    service_class: type[ConsensusService] = ConsensusService
     """A trial of a broken program puts another here."""
 
     def __init__(
@@ -79,17 +81,17 @@
             parse_address(f"fleet.members.{name}", address)
         if self.name in section.voters and not section.directory:
             raise ConfigError(f"fleet.directory: {self.name} is a voter, and has to keep its promises")
-        self._folder = Folder(section.directory) if section.directory else None
+        self._folder = Directory(section.directory) if section.directory else None
         try:
             # In an upgrade the process that is there holds it: two must not vote for one.
             self.alone = self._folder is None or self._folder.lock()
             disk = open_log(self._folder, section.id, self.name) if self._folder and self.alone else None
-        except (OSError, DurableError) as error:
+        except (OSError, StorageError) as error:
             raise ConfigError(f"fleet.directory {section.directory}: {error}") from None
         boot = os.urandom(6).hex()
-        terms = Terms(section.lease_ms * 1_000_000, section.drift)
-        ground = Ground(host.settings)
-        setup = Setup(
+        terms = LeaseTerms(section.lease_ms * 1_000_000, section.drift)
+        ground = PolicyChecker(host.settings)
+        setup = ReplicaSetup(
             self.name,
             boot,
             terms,
@@ -103,7 +105,7 @@
         self._setup = setup
         self._ready_at = host.now() + int(section.alone_after_s * 1e9)
         self._was_ready = False
-        self._told = Told(self._in_force, self._step)
+        self._told = ServiceCallbacks(self._in_force, self._step)
         self.steps: Counter[str] = Counter()
         """Steps of changes so far, by name."""
         self.service = self.service_class(loop, host.now, setup, section.id, disk, self._told)
@@ -123,7 +125,7 @@
                 disk = open_log(self._folder, self._section.id, self.name)
                 self.service.close()
                 boot = os.urandom(6).hex()  # what it asked before counts for another run
-                fresh = msgspec.structs.replace(self._setup, boot=boot, fresh=f"{self.name}.{boot}")
+                fresh = msgspec.structs.replace(self._setup, boot_id=boot, new_disk_id=f"{self.name}.{boot}")
                 self.service = self.service_class(
                     self._loop, self._host.now, fresh, self._section.id, disk, self._told
                 )
@@ -131,7 +133,7 @@
                 self._lock_timer = None
                 self._starting = self._loop.create_task(self.service.start(self._listen))
                 return
-        except (OSError, DurableError) as error:
+        except (OSError, StorageError) as error:
             log.error("fleet.directory %s: %s", self._section.directory, error)
         self._lock_timer = self._loop.call_later(LOCK_STEP_S, self._succeed)
 
@@ -147,14 +149,14 @@
         """Whether it has held a lease since its start, or has waited for one for as long as it is to."""
         if not self._was_ready:
             now = self._host.now()
-            self._was_ready = self.service.member.may_admit(now) or now >= self._ready_at
+            self._was_ready = self.service.replica.may_admit(now) or now >= self._ready_at
         return self._was_ready
 
-    def _in_force(self, action: InForce) -> None:
-        policy = held(action.value.version, action.value.policy)
-        self._host.tell(PolicyChanged(policy, action.until, action.shares, action.shares_until))
+    def _in_force(self, action: PolicyActivated) -> None:
+        policy = fleet_policy(action.value.version, action.value.policy)
+        self._host.tell(PolicyChanged(policy, action.until, action.quota_leases, action.quota_leases_until))
 
-    def _step(self, note: Note) -> None:
+    def _step(self, note: ChangeStep) -> None:
         self.steps[note.event] += 1
         told = {"event": note.event, "version": note.version, "peer": note.peer, "cause": note.cause}
         log.info("fleet: %s", msgspec.json.encode({k: v for k, v in told.items() if v}).decode())
@@ -166,8 +168,8 @@
         if not path.startswith(CALLS):
             return None
         calls: dict[str, tuple[str, Callable[[], Any]]] = {
-            "status": ("GET", lambda: self.service.member.status(self._host.now())),
-            "history": ("GET", lambda: self.service.member.told_history()),
+            "status": ("GET", lambda: status(self.service.replica, self._host.now())),
+            "history": ("GET", lambda: history(self.service.replica)),
         }
         call, _, argument = path.removeprefix(CALLS).partition("/")
         if call in calls and method == calls[call][0]:
@@ -184,14 +186,14 @@
         return Page(404, b"no such call\n")
 
     def _metrics(self) -> Page:
-        from pebblepass.consensus.metrics import CONTENT_TYPE, Counted, exposition
-
-        member, now = self.service.member, self._host.now()
-        others = [name for name in member.decided.fleet.members if name != self.name]
-        told = Counted(
-            member.decided.version,
-            member.may_admit(now),
-            sum(member.view.alive(name, now) for name in others),
+        from pebblepass.consensus.metrics import CONTENT_TYPE, FleetMetrics, exposition
+
+        replica, now = self.service.replica, self._host.now()
+        others = [name for name in replica.decided.fleet.members if name != self.name]
+        told = FleetMetrics(
+            replica.decided.version,
+            replica.may_admit(now),
+            sum(replica.peers.is_alive(name, now) for name in others),
             self.steps,
             self.service.counts,
             self.service.links.closed,
@@ -201,17 +203,25 @@
     def _proposal(self, call: str, change: str, body: bytes) -> m.Proposal:
         if call == "withdraw":
             who = body.decode("utf-8", "replace")[:200]
-            return m.Proposal(f"withdraw.{change}", who, f"{change} withdrawn", withdraw=change)
+            return m.Proposal(f"withdraw.{change}", who, f"{change} withdrawn", withdrawn_change_id=change)
         told = read_policy("policy", body)
-        for name, address in told.add.items():
+        for name, address in told.added_members.items():
             try:
                 parse_address(f"add.{name}", address)
             except ValueError as error:
                 raise PolicyError(f"policy: {error}") from None
-        fleet_only = told.policy() == type(told.policy())() and bool(told.add or told.retire or told.voters)
+        fleet_only = told.policy() == type(told.policy())() and bool(
+            told.added_members or told.removed_members or told.voters
+        )
         policy = None if fleet_only else told.policy()
         return m.Proposal(
-            change or os.urandom(6).hex(), told.who, told.why, policy, told.add, told.retire, told.voters
+            change or os.urandom(6).hex(),
+            told.author,
+            told.reason,
+            policy,
+            told.added_members,
+            told.removed_members,
+            told.voters,
         )
 
 
--- a/pebblepass/fault_injection/broken.py
+++ b/pebblepass/fault_injection/broken.py
@@ -2,14 +2,22 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
 from typing import Any
 
 from pebblepass.consensus import messages as m
-from pebblepass.consensus.member import InForce, Member
-from pebblepass.consensus.shares import Allocator, Pool, Rows, ShareHolder
+from pebblepass.consensus.actions import PolicyActivated
+from pebblepass.consensus.disk_identity import DiskIdentity
+from pebblepass.consensus.lease_server import LeaseServer
+from pebblepass.consensus.leases import LeaseTerms, ProcessId
+from pebblepass.consensus.outbox import Outbox
+from pebblepass.consensus.proposer import Proposer
+from pebblepass.consensus.quota_allocator import QuotaAllocator, QuotaPool, Rates
+from pebblepass.consensus.quota_leases import QuotaLeaseHolder
+from pebblepass.consensus.records import Record, read_record
+from pebblepass.consensus.replica import Replica
 from pebblepass.fault_injection.disk import PowerDisk
-from pebblepass.storage.log import Log
+from pebblepass.storage.log import Log, decode_batch
 
 
 class Variant:
@@ -17,7 +25,7 @@
 
     name = ""
 
-    def member(self, sound: type[Member]) -> type[Member]:
+    def replica(self, sound: type[Replica]) -> type[Replica]:
         """The rules."""
         return sound
 
@@ -33,16 +41,21 @@
         """What else befalls the routers' disks; not what is broken."""
 
 
+class _HastyOutbox(Outbox):
+    def send_after_write(self, record: Record, to: str, body: m.Body) -> None:
+        """Send at once."""
+        self.write(record)
+        self.send(to, body)
+
+
 class _NoSync(Variant):
     """Promises leave before they last."""
 
     name = "no-sync"
 
-    def member(self, sound: type[Member]) -> type[Member]:
+    def replica(self, sound: type[Replica]) -> type[Replica]:
         class Hasty(sound):  # type: ignore[valid-type, misc]
-            def _once_lasting(self, record: m.Record, to: str, body: m.Body) -> None:
-                self._write(record)
-                self._send(to, body)
+            outbox_class = _HastyOutbox
 
         return Hasty
 
@@ -52,40 +65,53 @@
 
     name = "promise-forgotten"
 
-    def member(self, sound: type[Member]) -> type[Member]:
+    def replica(self, sound: type[Replica]) -> type[Replica]:
         class Forgetful(sound):  # type: ignore[valid-type, misc]
-            def _restore(self, record: m.Record) -> None:
-                super()._restore(record)
-                self.acceptor.over()
+            def restore(self, record: Record) -> None:
+                super().restore(record)
+                self.acceptor.reset()
 
         return Forgetful
 
 
+class _BoldDisk(DiskIdentity):
+    def can_vote(self, voters: Mapping[str, str]) -> bool:
+        """Vote with any disk."""
+        return self._name in voters and bool(self.disk_id)
+
+
+class _AnyDiskProposer(Proposer):
+    def begin(self, value: m.Value, takeover: bool) -> None:
+        """Count votes from any disk."""
+        super().begin(value, takeover)
+        if self.change is not None:
+            self.change.round.any_disk = True
+
+
+class _AnyDiskLeaseServer(LeaseServer):
+    def has_released(self, name: str, disk_id: str, version: int) -> bool:
+        """Believe any disk."""
+        state = self._peers.state(name)
+        return super().has_released(name, disk_id, version) or (
+            state is not None and state.released_version >= version
+        )
+
+
 class _AnyDisk(Variant):
     """A router with an empty disk votes as if it remembered."""
 
     name = "empty-disk-votes"
 
-    def member(self, sound: type[Member]) -> type[Member]:
+    def replica(self, sound: type[Replica]) -> type[Replica]:
         class Bold(sound):  # type: ignore[valid-type, misc]
-            @property
-            def votes(self) -> bool:
-                return self.name in self.voters and bool(self.incarnation)
-
-            def _carry(self, value: m.Value, takeover: bool) -> None:
-                super()._carry(value, takeover)
-                if self.change is not None:
-                    self.change.round._forming = True  # any disk counts
-
-            def _is_clear(self, name: str, incarnation: str, version: int) -> bool:
-                heard = self._heard.get(name)
-                return super()._is_clear(name, incarnation, version) or (
-                    heard is not None and heard.clear >= version
-                )
+            disk_identity_class = _BoldDisk
+            proposer_class = _AnyDiskProposer
+            lease_server_class = _AnyDiskLeaseServer
 
             def _take(self, message: m.Message) -> None:
-                if isinstance(message.body, m.Grant) and message.sender.name in self.voters:
-                    self.holder.granted(message.sender.name, message.body.seq, message.body.version)
+                sender, body = message.sender, message.body
+                if isinstance(body, m.LeaseGrant) and sender.name in self.learner.voters:
+                    self.lease_client.count_grant(sender.name, body)
                 super()._take(message)
 
         return Bold
@@ -105,19 +131,20 @@
         return Wall
 
 
+class _OneTermProposer(Proposer):
+    def new_ballot(self, number: int) -> m.Ballot:
+        """Leave out who proposes."""
+        return (number, "")
+
+
 class _OneTerm(Variant):
     """Two that carry a change may have the same ballot."""
 
     name = "two-coordinators-in-one-term"
 
-    def member(self, sound: type[Member]) -> type[Member]:
+    def replica(self, sound: type[Replica]) -> type[Replica]:
         class Equal(sound):  # type: ignore[valid-type, misc]
-            def _send_all(self, names: Any, body: m.Body) -> None:
-                if isinstance(body, m.Prepare):
-                    body = m.Prepare(body.version, (body.ballot[0], ""))
-                    if self.change is not None:
-                        self.change.round.ballot = body.ballot
-                super()._send_all(names, body)
+            proposer_class = _OneTermProposer
 
             def _vote(self, sender: m.Sender, body: m.Prepare | m.Accept) -> None:
                 if isinstance(body, m.Prepare) and body.ballot == self.acceptor.promised:
@@ -150,7 +177,7 @@
 
     def admitter(self, sound: Any) -> Any:
         class Going(sound):  # type: ignore[misc]
-            def told(self, action: InForce) -> None:
+            def told(self, action: PolicyActivated) -> None:
                 if action.until:
                     super().told(action)
 
@@ -160,17 +187,22 @@
         return Going
 
 
+class _EagerProposer(Proposer):
+    def begin(self, value: m.Value, takeover: bool) -> None:
+        """Take two votes for a quorum."""
+        super().begin(value, takeover)
+        if self.change is not None and not self._learner.is_forming:
+            self.change.round.needed = 2
+
+
 class _Early(Variant):
     """A change is told decided before a quorum has accepted it."""
 
     name = "commit-before-quorum"
 
-    def member(self, sound: type[Member]) -> type[Member]:
+    def replica(self, sound: type[Replica]) -> type[Replica]:
         class Eager(sound):  # type: ignore[valid-type, misc]
-            def _carry(self, value: m.Value, takeover: bool) -> None:
-                super()._carry(value, takeover)
-                if self.change is not None and not self.forming:
-                    self.change.round.needed = 2
+            proposer_class = _EagerProposer
 
         return Eager
 
@@ -178,8 +210,6 @@
 class _BelievingLog(Log):
     def open(self) -> list[bytes] | None:
         """Read whatever has a size, whole or not."""
-        from pebblepass.storage.log import _records
-
         data = self._disk.read(self._name)
         if data is None:
             return None
@@ -192,9 +222,9 @@
             at += 8 + size
         self._size = min(at, len(data))
         kept = []
-        for record in (each for batch in found[1:] for each in _records(batch)):
+        for record in (each for batch in found[1:] for each in decode_batch(batch)):
             try:
-                m.read_record(record)
+                read_record(record)
             except ValueError:
                 continue
             kept.append(record)
@@ -210,33 +240,42 @@
         return _BelievingLog
 
 
+class _NewVotersProposer(Proposer):
+    def begin(self, value: m.Value, takeover: bool) -> None:
+        """Count the votes of the voters that the change brings."""
+        super().begin(value, takeover)
+        if self.change is not None and value.kind == "members":
+            self.change.round.voters = value.fleet.voters
+            self.change.round.needed = len(value.fleet.voters) // 2 + 1
+
+
 class _NewVoters(Variant):
     """A change of the voters is decided by the new ones."""
 
     name = "members-changed-at-once"
 
-    def member(self, sound: type[Member]) -> type[Member]:
+    def replica(self, sound: type[Replica]) -> type[Replica]:
         class AtOnce(sound):  # type: ignore[valid-type, misc]
-            def _carry(self, value: m.Value, takeover: bool) -> None:
-                super()._carry(value, takeover)
-                change = self.change
-                if change is not None and value.kind == "members":
-                    change.round._voters = value.fleet.voters
-                    change.round.needed = len(value.fleet.voters) // 2 + 1
+            proposer_class = _NewVotersProposer
 
         return AtOnce
 
 
+class _QuickLeaseServer(LeaseServer):
+    def settle(self) -> None:
+        """Take every version before the durable one for closed."""
+        self.closed_version = max(self.closed_version, self._learner.durable_version - 1)
+        super().settle()
+
+
 class _NotClosed(Variant):
     """A voter grants a version while leases on the one before are out elsewhere."""
 
     name = "granted-before-closed"
 
-    def member(self, sound: type[Member]) -> type[Member]:
+    def replica(self, sound: type[Replica]) -> type[Replica]:
         class Quick(sound):  # type: ignore[valid-type, misc]
-            def _settle(self) -> None:
-                self.closed: int = max(self.closed, self.lasting - 1)
-                super()._settle()
+            lease_server_class = _QuickLeaseServer
 
         return Quick
 
@@ -246,10 +285,10 @@
 
     name = "grants-forgotten-at-restart"
 
-    def member(self, sound: type[Member]) -> type[Member]:
+    def replica(self, sound: type[Replica]) -> type[Replica]:
         class Blank(sound):  # type: ignore[valid-type, misc]
             def start(self, now: int) -> list[Any]:
-                self.granter.quiet_from = now
+                self.lease_server.granter.quiet_until = now
                 return list(super().start(now))
 
         return Blank
@@ -270,14 +309,14 @@
 
     name = "share-counted-by-its-last-grant"
 
-    def member(self, sound: type[Member]) -> type[Member]:
-        class Last(Allocator):
-            def grant(self, who: tuple[str, str], seq: int, now: int) -> Rows:
-                client = self._clients.get(who)
+    def replica(self, sound: type[Replica]) -> type[Replica]:
+        class Last(QuotaAllocator):
+            def grant(self, process: ProcessId, sequence: int, now: int) -> Rates:
+                client = self._clients.get(process)
                 if client is not None:
                     client.grants.clear()
-                    self._count(client)
-                return super().grant(who, seq, now)
+                    self._recount(client)
+                return super().grant(process, sequence, now)
 
         return _with(sound, Last)
 
@@ -287,13 +326,15 @@
 
     name = "share-freed-at-the-answer"
 
-    def member(self, sound: type[Member]) -> type[Member]:
-        class Hopeful(Allocator):
-            def asked(self, who: Any, version: int, applied: int, demand: Any, now: int) -> None:
-                client = self._clients.get(who)
+    def replica(self, sound: type[Replica]) -> type[Replica]:
+        class Hopeful(QuotaAllocator):
+            def request(
+                self, process: ProcessId, version: int, applied_sequence: int, demand: Any, now: int
+            ) -> None:
+                client = self._clients.get(process)
                 if client is not None and client.grants and version == self.version:
-                    applied = client.grants[-1][0]
-                super().asked(who, version, applied, demand, now)
+                    applied_sequence = client.grants[-1].sequence
+                super().request(process, version, applied_sequence, demand, now)
 
         return _with(sound, Hopeful)
 
@@ -303,9 +344,9 @@
 
     name = "shares-forgotten-at-restart"
 
-    def member(self, sound: type[Member]) -> type[Member]:
-        class Blank(Allocator):
-            def __init__(self, terms: Any, now: int, restarted: bool) -> None:
+    def replica(self, sound: type[Replica]) -> type[Replica]:
+        class Blank(QuotaAllocator):
+            def __init__(self, terms: LeaseTerms, now: int, restarted: bool) -> None:
                 super().__init__(terms, now, restarted=False)
 
         return _with(sound, Blank)
@@ -316,11 +357,11 @@
 
     name = "floors-not-set-aside"
 
-    def member(self, sound: type[Member]) -> type[Member]:
-        class Whole(Allocator):
+    def replica(self, sound: type[Replica]) -> type[Replica]:
+        class Whole(QuotaAllocator):
             def begin(self, version: int, pools: Any, voters: int) -> None:
-                whole = {n: Pool(p.shared * 4 / 3, p.floor) for n, p in pools.items()}
-                super().begin(version, whole, voters)
+                quotas = {n: QuotaPool(p.shared * 4 / 3, p.floor) for n, p in pools.items()}
+                super().begin(version, quotas, voters)
 
         return _with(sound, Whole)
 
@@ -330,8 +371,8 @@
 
     name = "share-kept-over-a-version"
 
-    def member(self, sound: type[Member]) -> type[Member]:
-        class Keeping(ShareHolder):
+    def replica(self, sound: type[Replica]) -> type[Replica]:
+        class Keeping(QuotaLeaseHolder):
             def begin(self) -> None:
                 pass
 
@@ -359,28 +400,29 @@
 
     name = "share-by-wall-clock"
 
-    def member(self, sound: type[Member]) -> type[Member]:
-        class Wall(Allocator):
-            def grant(self, who: Any, seq: int, now: int) -> Rows:
-                return super().grant(who, seq, now + (now // 1_000_000_000 % 2) * 2_000_000_000)
+    def replica(self, sound: type[Replica]) -> type[Replica]:
+        class Wall(QuotaAllocator):
+            def grant(self, process: ProcessId, sequence: int, now: int) -> Rates:
+                stepped = now + (now // 1_000_000_000 % 2) * 2_000_000_000
+                return super().grant(process, sequence, stepped)
 
-            def applied(self, who: Any, version: int, applied: int, now: int) -> None:
+            def applied(self, process: ProcessId, version: int, applied_sequence: int, now: int) -> None:
                 stepped = now + (now // 1_000_000_000 % 2) * 2_000_000_000
-                super().applied(who, version, applied, stepped)
+                super().applied(process, version, applied_sequence, stepped)
 
         return _with(sound, Wall)
 
 
 def _with(
-    sound: type[Member],
-    allocator: type[Allocator] = Allocator,
-    holder: type[ShareHolder] = ShareHolder,
-) -> type[Member]:
-    """The rules with other shares."""
+    sound: type[Replica],
+    allocator: type[QuotaAllocator] = QuotaAllocator,
+    holder: type[QuotaLeaseHolder] = QuotaLeaseHolder,
+) -> type[Replica]:
+    """The rules with other quota leases."""
 
     class Other(sound):  # type: ignore[valid-type, misc]
-        allocator_class = allocator
-        share_holder_class = holder
+        quota_allocator_class = allocator
+        quota_holder_class = holder
 
     return Other
 
--- a/pebblepass/fault_injection/disk.py
+++ b/pebblepass/fault_injection/disk.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from pebblepass.storage.frames import SECTOR
+from pebblepass.storage.frames import SECTOR_BYTES
 
 
 @dataclass(slots=True, eq=False)
@@ -19,7 +19,7 @@
 
 
 class PowerDisk:
-    """A `durable.disk.Disk` in memory."""
+    """A `storage.disk.Disk` in memory."""
 
     def __init__(self, before: Callable[[str], None] = lambda _: None) -> None:
         """`before` is called with each step's name before it; it may raise OSError, or cut the power."""
@@ -58,9 +58,9 @@
         self._step("create")
         self._names.setdefault(name, _File()).data = data
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         """See Disk."""
-        self._step("cut")
+        self._step("truncate")
         self._held(name).data = self._held(name).data[:size]
 
     def sync(self, name: str) -> None:
@@ -75,9 +75,9 @@
         self._step("rename")
         self._names[onto] = self._names.pop(name)
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         """See Disk."""
-        self._step("sync_names")
+        self._step("sync_directory")
         if not self.lies:
             self._lasting = dict(self._names)
 
@@ -104,7 +104,7 @@
     kept = bytearray(data[: rng.randint(synced, len(data))] if rng.random() < 0.5 else data)
     at = synced
     while at < len(kept):
-        after = min((at // SECTOR + 1) * SECTOR, len(kept))
+        after = min((at // SECTOR_BYTES + 1) * SECTOR_BYTES, len(kept))
         if rng.random() < 0.3:
             kept[at:after] = bytes(after - at)
         at = after
--- a/pebblepass/fault_injection/explore.py
+++ b/pebblepass/fault_injection/explore.py
@@ -1,8 +1,8 @@
 """Every order of what can happen to a small fleet: messages, losses, repeats, syncs, crashes and time.
 
-The state is the routers' own rules (`agreement.member`), what their disks hold, and what is under way. From a
-fleet that has formed each step that is possible is taken, and from each state that was not seen before again.
-States that differ only in the order of a table's entries count as one.
+The state is the routers' own rules (`consensus.replica`), what their disks hold, and what is under way. From
+a fleet that has formed each step that is possible is taken, and from each state that is new again. States
+that differ only in the order of a table's entries count as one.
 
 What is not taken in every order: leases' questions and answers, checks and welcomes. They are delivered at
 once, in the order of their sending, as they decide nothing; the votes, what is learned, syncs, crashes and
@@ -21,14 +21,27 @@
 import msgspec
 
 from pebblepass.consensus import messages as m
-from pebblepass.consensus.leases import Terms
-from pebblepass.consensus.member import Action, InForce, Member, Send, Setup, Write, genesis
+from pebblepass.consensus.actions import Action, PolicyActivated, Send, Write
+from pebblepass.consensus.leases import LeaseTerms
 from pebblepass.consensus.policy import Policy, StorePolicy
+from pebblepass.consensus.records import Record
+from pebblepass.consensus.replica import Replica
+from pebblepass.consensus.setup import ReplicaSetup, genesis
 from pebblepass.fault_injection.broken import Variant
 
 LEASE = 1_000_000_000
 STEP = LEASE // 3 + 1
-AT_ONCE = (m.Renew, m.Grant, m.Applied, m.State, m.Welcome, m.Check, m.Checked, m.Ask, m.Heard)
+AT_ONCE = (
+    m.LeaseRequest,
+    m.LeaseGrant,
+    m.QuotaLeaseApplied,
+    m.Heartbeat,
+    m.StartConfirmed,
+    m.PolicyCheck,
+    m.PolicyCheckResult,
+    m.LivenessQuery,
+    m.LivenessReport,
+)
 
 
 class Bounds(msgspec.Struct, frozen=True):
@@ -76,13 +89,13 @@
 class Small:
     """One state: routers, disks, messages under way, and what may happen still."""
 
-    def __init__(self, bounds: Bounds, kind: type[Member]) -> None:
+    def __init__(self, bounds: Bounds, kind: type[Replica]) -> None:
         self.kind, self.now = kind, 10 * LEASE
         self.left = {"change": bounds.changes, "crash": bounds.crashes, "lose": bounds.losses}
         self.left |= {"repeat": bounds.repeats, "time": bounds.times}
         self.names = [f"r{number}" for number in range(bounds.routers)]
-        self.members: dict[str, Member | None] = {}
-        self.disks: dict[str, list[m.Record]] = {name: [] for name in self.names}
+        self.replicas: dict[str, Replica | None] = {}
+        self.disks: dict[str, list[Record]] = {name: [] for name in self.names}
         self.waiting: dict[str, list[Write]] = {name: [] for name in self.names}
         self.sent: list[tuple[str, m.Message]] = []
         self.at_once: deque[tuple[str, m.Message]] = deque()
@@ -97,11 +110,12 @@
         """Start a router from what its disk holds."""
         self.boots += 1
         first = genesis(dict.fromkeys(self.names, "x:1"), self.names)
-        setup = Setup(name, f"b{self.boots}", Terms(LEASE, 0.1), first, usable, f"{name}.{self.boots}")
-        member = self.kind(setup, list(self.disks[name]) or None, self.now)
-        member.rng = Even()  # type: ignore[assignment]
-        self.members[name] = member
-        self.carry(name, member.start(self.now))
+        setup = ReplicaSetup(
+            name, f"b{self.boots}", LeaseTerms(LEASE, 0.1), first, usable, f"{name}.{self.boots}"
+        )
+        replica = self.kind(setup, list(self.disks[name]) or None, self.now, Even())
+        self.replicas[name] = replica
+        self.carry(name, replica.start(self.now))
 
     def carry(self, name: str, actions: list[Action]) -> None:
         """Carry out what a router wants; what is taken at once arrives before this returns."""
@@ -113,25 +127,25 @@
                     self.sent.append((action.to, action.message))
                 case Write():
                     self.waiting[name].append(action)
-                case InForce():
+                case PolicyActivated():
                     value = action.value
-                    if self.decided.setdefault(value.version, value.change) != value.change:
+                    if self.decided.setdefault(value.version, value.change_id) != value.change_id:
                         self.wrong = (
-                            f"version {value.version} is {self.decided[value.version]} and {value.change}"
+                            f"version {value.version} is {self.decided[value.version]} and {value.change_id}"
                         )
 
     def deliver_at_once(self) -> None:
         """Deliver what is not taken in every order."""
         while self.at_once:
             to, message = self.at_once.popleft()
-            member = self.members.get(to)
-            if member is not None:
-                self.carry(to, member.received(message, self.now))
+            replica = self.replicas.get(to)
+            if replica is not None:
+                self.carry(to, replica.received(message, self.now))
 
     def check(self) -> str:
         """What does not hold in this state; empty: all does."""
-        held = [member for member in self.members.values() if member and member.may_admit(self.now)]
-        versions = [member.decided.version for member in held]
+        held = [replica for replica in self.replicas.values() if replica and replica.may_admit(self.now)]
+        versions = [replica.decided.version for replica in held]
         if versions and min(versions) < self.admitted:
             self.wrong = f"admits under {min(versions)} after {self.admitted}"
         self.admitted = max([self.admitted, *versions])
@@ -143,9 +157,9 @@
         """The disk has synced all that waited."""
         writes, self.waiting[name] = self.waiting[name], []
         self.disks[name] += [record for write in writes for record in write.records]
-        member = self.members[name]
-        if member is not None and writes:
-            self.carry(name, member.written(writes[-1].token, self.now))
+        replica = self.replicas[name]
+        if replica is not None and writes:
+            self.carry(name, replica.written(writes[-1].token, self.now))
 
     def steps(self) -> Iterator[tuple[str, ...]]:
         """All that can happen now."""
@@ -160,7 +174,7 @@
                 if self.left["repeat"]:
                     yield ("repeat", str(at))
         for name in self.names:
-            if self.members[name] is None:
+            if self.replicas[name] is None:
                 yield ("start", name)
                 continue
             if self.waiting[name]:
@@ -170,7 +184,7 @@
         if self.left["change"]:
             # The routers are alike: whoever proposes first is the first of them, the next one the second.
             proposer = self.names[self.left["change"] % len(self.names)]
-            if self.members[proposer] is not None:
+            if self.replicas[proposer] is not None:
                 yield ("change", proposer)
         if self.left["time"]:
             yield ("time",)
@@ -183,51 +197,60 @@
         if what in ("deliver", "repeat", "lose"):
             at = int(step[1])
             to, message = self.sent[at] if what == "repeat" else self.sent.pop(at)
-            member = self.members[to]
-            if what != "lose" and member is not None:
-                self.carry(to, member.received(message, self.now))
+            replica = self.replicas[to]
+            if what != "lose" and replica is not None:
+                self.carry(to, replica.received(message, self.now))
         elif what == "sync":
             self.settle(step[1])
         elif what == "crash":
-            self.members[step[1]], self.waiting[step[1]] = None, []
+            self.replicas[step[1]], self.waiting[step[1]] = None, []
         elif what == "start":
             self.start(step[1])
         elif what == "change":
             number = self.left["change"]
             wanted = m.Proposal(f"c{number}", "", "", Policy(StorePolicy(rate_per_s=1.0 + number)))
-            member = self.members[step[1]]
-            assert member is not None
-            self.carry(step[1], member.propose(wanted, self.now))
+            replica = self.replicas[step[1]]
+            assert replica is not None
+            self.carry(step[1], replica.propose(wanted, self.now))
         else:
             self.now += STEP
-            for name, member in self.members.items():
-                if member is not None:
-                    self.carry(name, member.tick(self.now))
+            for name, replica in self.replicas.items():
+                if replica is not None:
+                    self.carry(name, replica.tick(self.now))
         self.deliver_at_once()
 
     def fingerprint(self) -> bytes:
         """Equal for states from which the same follows."""
         told = [self.now, sorted(self.left.items()), self.disks, self.waiting, self.admitted]
-        told += [_plain(self.members[name]) for name in self.names]
+        told += [_plain(self.replicas[name]) for name in self.names]
         messages = sorted(to.encode() + m.encode(message) for to, message in self.sent)
         return blake2b(repr(_plain(told)).encode() + b"".join(messages), digest_size=16).digest()
 
 
-def _plain(value: Any) -> Any:
+def _plain(value: Any, places: dict[int, int] | None = None) -> Any:
+    """Plain data that is equal for equal states; an object that several refer to is written out once."""
+    places = {} if places is None else places
     if isinstance(value, dict):
-        return sorted((repr(key), _plain(inner)) for key, inner in value.items())
+        # Sorted first: the places of shared objects must not depend on the order of entries.
+        rows = sorted(value.items(), key=lambda row: repr(row[0]))
+        return [(repr(key), _plain(inner, places)) for key, inner in rows]
     if isinstance(value, set):
         return sorted(value)
     if isinstance(value, list | tuple | deque):
-        return [_plain(inner) for inner in value]
+        return [_plain(inner, places) for inner in value]
+    is_shared = isinstance(value, ReplicaSetup) or hasattr(value, "__dict__")
+    if is_shared and id(value) in places:
+        return places[id(value)]
+    if is_shared:
+        places[id(value)] = len(places)
     if isinstance(value, msgspec.Struct | Enum | type):
         return repr(value)
-    if hasattr(value, "__dict__"):
-        return [(key, _plain(inner)) for key, inner in sorted(vars(value).items()) if key != "rng"]
+    if is_shared:
+        return [(key, _plain(inner, places)) for key, inner in sorted(vars(value).items())]
     return repr(value)
 
 
-def formed(bounds: Bounds, kind: type[Member]) -> Small:
+def formed(bounds: Bounds, kind: type[Replica]) -> Small:
     """A fleet that has formed, with nothing under way."""
     state = Small(bounds, kind)
     for _ in range(60):
@@ -235,23 +258,23 @@
             state.settle(name)
         while state.sent:
             to, message = state.sent.pop(0)
-            member = state.members[to]
-            assert member is not None
-            state.carry(to, member.received(message, state.now))
+            replica = state.replicas[to]
+            assert replica is not None
+            state.carry(to, replica.received(message, state.now))
             state.deliver_at_once()
         state.now += STEP // 4
-        for name, member in state.members.items():
-            if member is not None:
-                state.carry(name, member.tick(state.now))
+        for name, replica in state.replicas.items():
+            if replica is not None:
+                state.carry(name, replica.tick(state.now))
         state.deliver_at_once()
-    assert all(member and member.may_admit(state.now) for member in state.members.values())
+    assert all(replica and replica.may_admit(state.now) for replica in state.replicas.values())
     return state
 
 
 def explore(bounds: Bounds, variant: Variant) -> Report:
     """Take every step from every state, the shortest paths first."""
-    kind = variant.member(Member)
-    if kind is not Member:  # a state is kept as a pickle, which finds a class by its name
+    kind = variant.replica(Replica)
+    if kind is not Replica:  # a state is kept as a pickle, which finds a class by its name
         kind.__module__, kind.__qualname__ = __name__, "Explored"
         globals()["Explored"] = kind
     first = formed(bounds, kind)
--- a/pebblepass/fault_injection/router.py
+++ b/pebblepass/fault_injection/router.py
@@ -23,8 +23,9 @@
 from msgspec.structs import replace
 
 from pebblepass.consensus import messages as m
-from pebblepass.consensus.member import Action, InForce, Member, Send, Write
-from pebblepass.consensus.service import AgreementService
+from pebblepass.consensus.actions import Action, PolicyActivated, Send, Write
+from pebblepass.consensus.replica import Replica
+from pebblepass.consensus.service import ConsensusService
 from pebblepass.daemon import __main__ as daemon_main
 from pebblepass.daemon import deadline_propagation, fleet
 from pebblepass.daemon.attempts import Attempt
@@ -79,11 +80,11 @@
 
 
 def _steps(action: Action) -> list[str]:
-    """The names of the steps that an action is."""
+    """The names of the steps that an action is: the tags of its message or records."""
     if isinstance(action, Send):
-        return [type(action.message.body).__name__.lower()]
+        return [m.tag_of(action.message.body)]
     if isinstance(action, Write):
-        return [type(record).__name__.lower() for record in action.records]
+        return [m.tag_of(record) for record in action.records]
     return []
 
 
@@ -171,10 +172,10 @@
         super()._carry_out(action)
 
 
-class RecordingService(AgreementService):
+class RecordingService(ConsensusService):
     """Writes down what is promised and what is decided."""
 
-    member_class = VARIANT.member(Member)
+    replica_class = VARIANT.replica(Replica)
     _seen = _taken = 0
     _armed = False
 
@@ -194,28 +195,28 @@
                     os.kill(os.getpid(), signal.SIGKILL)
             if isinstance(action, Send):
                 continue
-            if isinstance(action, InForce) and action.value.version > self._seen:
+            if isinstance(action, PolicyActivated) and action.value.version > self._seen:
                 self._seen = action.value.version
                 value = action.value
                 digest = f"{crc32c(m.encode(value)):08x}"
-                now, name = self._now(), self.member.name
+                now, name = self._now(), self.replica.name
                 whole = self._beyond_the_floors(value)
-                record(Event(now, name, "decided", value.version, value.change, digest, amount=whole))
+                record(Event(now, name, "decided", value.version, value.change_id, digest, amount=whole))
         super()._carry_out(actions)
 
     def _beyond_the_floors(self, value: m.Value) -> float:
-        policy = replace(value.policy, store=replace(value.policy.store, shares=True))
-        pools = self.member.setup.pools(policy, len(value.fleet.members))
+        policy = replace(value.policy, store=replace(value.policy.store, uses_leases=True))
+        pools = self.replica.setup.quota_pools(policy, len(value.fleet.members))
         return sum(pool.shared for pool in pools.values())
 
     def _record_vote(self, message: m.Message) -> None:
-        body, disk, name = message.body, message.sender.incarnation, self.member.name
+        body, disk, name = message.body, message.sender.disk_id, self.replica.name
         if isinstance(body, m.Promise):
-            told = body.value.change if body.value is not None else ""
+            told = body.value.change_id if body.value is not None else ""
             record(Event(self._now(), name, "promised", body.version, "", told, body.ballot, disk))
         elif isinstance(body, m.Accepted):
-            value = self.member.acceptor.value
-            change = value.change if value is not None else ""
+            value = self.replica.acceptor.value
+            change = value.change_id if value is not None else ""
             record(Event(self._now(), name, "accepted", body.version, change, "", body.ballot, disk))
 
 
--- a/pebblepass/fault_injection/schedule.py
+++ b/pebblepass/fault_injection/schedule.py
@@ -1,7 +1,7 @@
 """A fleet's agreement without sockets, on a virtual clock: delays, losses, pauses and power losses by a seed.
 
-The rules are the routers' own (`agreement.member`), the files theirs too (`durable.log`) on a disk that loses
-power. The same seed gives the same history to the byte.
+The rules are the routers' own (`consensus.replica`), the files theirs too (`storage.log`) on a disk that
+loses power. The same seed gives the same history to the byte.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 from crc32c import crc32c
 
 from pebblepass.consensus import messages as m
-from pebblepass.consensus.leases import Terms
-from pebblepass.consensus.member import (
+from pebblepass.consensus.actions import (
     Action,
-    Conclude,
-    InForce,
-    Member,
-    Note,
+    ChangeStep,
+    PolicyActivated,
+    ProposalConcluded,
     Send,
-    Setup,
     Write,
-    genesis,
 )
+from pebblepass.consensus.leases import LeaseTerms
 from pebblepass.consensus.policy import Policy, StorePolicy
-from pebblepass.consensus.shares import Pool
+from pebblepass.consensus.quota_allocator import QuotaPool
+from pebblepass.consensus.records import read_record
+from pebblepass.consensus.replica import Replica
+from pebblepass.consensus.setup import ReplicaSetup, genesis
 from pebblepass.fault_injection.broken import Variant
 from pebblepass.fault_injection.disk import PowerDisk
 from pebblepass.fault_injection.history import Event
-from pebblepass.storage.frames import DurableError, Head
+from pebblepass.storage.frames import FileHeader, StorageError
 from pebblepass.storage.log import Log
 
 MS = 1_000_000
@@ -43,7 +43,7 @@
 TURN_S, WANTED = 3.0, 3.0  # after which others want the most; fetches a second for a weight of 1
 LOOK = 20 * MS  # from one look at what all routers may admit to the next
 START = 10_000_000_000  # a time that no clock starts from by chance
-HEAD = Head("trial", 1, "fleet")
+HEAD = FileHeader("trial", 1, "fleet")
 
 
 class Plan(msgspec.Struct, frozen=True):
@@ -90,11 +90,14 @@
         self.version = self.until = self.share_until = 0
         self.share = self.even = 0.0
 
-    def told(self, action: InForce) -> None:
+    def told(self, action: PolicyActivated) -> None:
         """A version, and until when."""
         self.version, self.until = action.value.version, action.until
-        self.share, self.share_until = dict(action.shares).get(NAMESPACE, 0.0), action.shares_until
-        shares = action.value.policy.store.shares
+        self.share, self.share_until = (
+            dict(action.quota_leases).get(NAMESPACE, 0.0),
+            action.quota_leases_until,
+        )
+        shares = action.value.policy.store.uses_leases
         self.even = 0.0 if shares else shared(action.value) / len(action.value.fleet.members)
 
     def beyond(self, now: int) -> tuple[int, float]:
@@ -124,7 +127,7 @@
         self.world, self.name, self.rate = world, name, rate
         self.disk = PowerDisk()
         self.images: list[PowerDisk] = []
-        self.member: Member | None = None
+        self.replica: Replica | None = None
         self.admitter: Any = None
         self.paused_until = 0
         self.boots = 0
@@ -151,11 +154,11 @@
         self._log = world.variant.log(Log)(self.disk, "agreement", HEAD)
         try:
             raw = self._log.open()
-        except DurableError as error:
+        except StorageError as error:
             world.record(self, "note", told=f"refused its log: {error}")
             return
-        records = None if raw is None else [m.read_record(each) for each in raw]
-        setup = Setup(
+        records = None if raw is None else [read_record(each) for each in raw]
+        setup = ReplicaSetup(
             self.name,
             boot,
             world.terms,
@@ -168,13 +171,13 @@
             partial(world.pools, self.name),
             self.demand,
         )
-        self.member = world.variant.member(Member)(setup, records, self.now())
-        world.record(self, "started", disk=self.member.incarnation)
-        if self.member.decided.version:
-            self._record_decided(self.member.decided)
+        self.replica = world.variant.replica(Replica)(setup, records, self.now())
+        world.record(self, "started", disk=self.replica.disk.disk_id)
+        if self.replica.decided.version:
+            self._record_decided(self.replica.decided)
         if raw is None:
-            self._log.begin([m.encode(self.member.summary())])
-        self._carry_out(self.member.start(self.now()))
+            self._log.write_snapshot([m.encode(self.replica.snapshot())])
+        self._carry_out(self.replica.start(self.now()))
 
     def demand(self) -> dict[str, int]:
         """The fetches that it has wanted so far, by the world's clock."""
@@ -187,10 +190,10 @@
                 # On its way to the disk: some of it may be there, and some not.
                 self.disk.lies = True
                 with suppress(OSError):
-                    self._log.write(self._under_way)
+                    self._log.append(self._under_way)
                 self.disk.lies = False
             self.disk.lose_power(self.world.rng)
-        self.member = None
+        self.replica = None
 
     def pause(self, until: int) -> None:
         """SIGSTOP, until a time of the world's clock."""
@@ -199,19 +202,19 @@
     @property
     def runs(self) -> bool:
         """Whether the process does anything now."""
-        return self.member is not None and self.world.now >= self.paused_until
+        return self.replica is not None and self.world.now >= self.paused_until
 
-    def do(self, work: Callable[[Member], list[Action]]) -> None:
-        """Give the member an event, now or once the process goes on."""
-        member = self.member
-        if member is None:
+    def do(self, work: Callable[[Replica], list[Action]]) -> None:
+        """Give the replica an event, now or once the process goes on."""
+        replica = self.replica
+        if replica is None:
             return
         if not self.runs:
             self._backlog.append(lambda: self.do(work))
             if len(self._backlog) == 1:
                 self.world.at(self.paused_until, self._go_on)
             return
-        self._carry_out(work(member))
+        self._carry_out(work(replica))
 
     def _go_on(self) -> None:
         backlog, self._backlog = self._backlog, []
@@ -220,15 +223,15 @@
 
     def admit(self) -> None:
         """A request comes that the policy governs."""
-        if self.runs and self.member is not None:
+        if self.runs and self.replica is not None:
             version = self.admitter.admits(self.now())
             self.world.record(self, "admit" if version else "floor", version=version)
 
     def propose(self, proposal: m.Proposal) -> None:
         """A person proposes here."""
         if self.runs:
-            self.world.record(self, "proposed", change=proposal.change)
-            self.do(lambda member: member.propose(proposal, self.now()))
+            self.world.record(self, "proposed", change=proposal.change_id)
+            self.do(lambda replica: replica.propose(proposal, self.now()))
 
     def _carry_out(self, actions: list[Action]) -> None:
         world = self.world
@@ -237,88 +240,90 @@
                 case Send():
                     self._record_vote(action.message)
                     world.send(self, action.to, action.message)
-                    if isinstance(action.message.body, m.Promise | m.Accepted | m.Accept | m.Learn):
+                    if isinstance(action.message.body, m.Promise | m.Accepted | m.Accept | m.VersionDecided):
                         world.trip(self)
-                        if self.member is None:
+                        if self.replica is None:
                             return
                 case Write():
                     self._waiting.append(action)
                     self._write()
-                case InForce():
+                case PolicyActivated():
                     self.admitter.told(action)
-                case Conclude():
+                case ProposalConcluded():
                     verdict = action.verdict
                     world.record(
-                        self, "verdict", version=verdict.version, change=verdict.change, told=verdict.state
+                        self, "verdict", version=verdict.version, change=verdict.change_id, told=verdict.state
                     )
-                case Note():
-                    if action.event == "learned" and self.member is not None:
-                        self._record_decided(self.member.decided)
+                case ChangeStep():
+                    if action.event == "learned" and self.replica is not None:
+                        self._record_decided(self.replica.decided)
         self._set_tick()
 
     def _record_decided(self, value: m.Value) -> None:
         digest = f"{crc32c(m.encode(value)):08x}"
         facts = {"amount": shared(value)} if self.world.plan.shares else {}
-        self.world.record(self, "decided", version=value.version, change=value.change, told=digest, **facts)
+        self.world.record(
+            self, "decided", version=value.version, change=value.change_id, told=digest, **facts
+        )
 
     def _record_vote(self, message: m.Message) -> None:
-        body, disk = message.body, message.sender.incarnation
+        body, disk = message.body, message.sender.disk_id
         if isinstance(body, m.Promise):
-            told = body.value.change if body.value is not None else ""
+            told = body.value.change_id if body.value is not None else ""
             self.world.record(
                 self, "promised", version=body.version, ballot=body.ballot, disk=disk, told=told
             )
         elif isinstance(body, m.Accepted):
-            change = self.member.acceptor.value if self.member is not None else None
-            told = change.change if change is not None else ""
+            change = self.replica.acceptor.value if self.replica is not None else None
+            told = change.change_id if change is not None else ""
             self.world.record(
                 self, "accepted", version=body.version, ballot=body.ballot, disk=disk, change=told
             )
 
     def _set_tick(self) -> None:
-        if self.member is None:
+        if self.replica is None:
             return
-        due = int(self.member.due(self.now()) / self.rate) + 1
+        due = int(self.replica.due(self.now()) / self.rate) + 1
         if self._tick_at <= self.world.now or due < self._tick_at:
             self._tick_at = max(due, self.world.now + 1)
-            at, member = self._tick_at, self.member
-            self.world.at(at, lambda: self._tick(at, member))
+            at, replica = self._tick_at, self.replica
+            self.world.at(at, lambda: self._tick(at, replica))
 
-    def _tick(self, at: int, member: Member) -> None:
-        if self.member is member and self._tick_at == at:
+    def _tick(self, at: int, replica: Replica) -> None:
+        if self.replica is replica and self._tick_at == at:
             self._tick_at = 0
-            self.do(lambda member: member.tick(self.now()))
+            self.do(lambda replica: replica.tick(self.now()))
 
     def _write(self) -> None:
         """As the routers' shell: all that waits goes in one sync, and one is under way at a time."""
-        if self._writing or not self._waiting or self._log is None or self.member is None:
+        if self._writing or not self._waiting or self._log is None or self.replica is None:
             return
         self._writing = True
         batch, self._waiting = self._waiting, []
-        log, member = self._log, self.member
-        summary = m.encode(member.summary()) if log.wants_summary else None
+        log, replica = self._log, self.replica
+        snapshot = m.encode(replica.snapshot()) if log.needs_snapshot else None
         took = self.world.sync_time()
         self._under_way = [m.encode(record) for write in batch for record in write.records]
         records = self._under_way
 
         def done() -> None:
-            if self.member is not member:
+            if self.replica is not replica:
                 return
             try:
-                if summary is not None:
-                    log.begin([summary])
+                if snapshot is not None:
+                    log.write_snapshot([snapshot])
                 else:
-                    log.write(records)
+                    log.append(records)
             except OSError:
                 self._waiting = batch + self._waiting
                 self.world.at(self.world.now + 100 * MS, retry)
                 return
             self._writing, self._under_way = False, []
-            self.do(lambda member: member.written(batch[-1].token, self.now()))
+            self.do(lambda replica: replica.written(batch[-1].token, self.now()))
             self._write()
 
         def retry() -> None:
-            if self.member is member:
+            if self.replica is replica:
                 self._writing = False
                 self._write()
 
@@ -333,7 +338,7 @@
         self.plan, self.seed, self.variant = plan, seed, variant
         self.rng = random.Random(f"schedule {seed}")
         self.now = START
-        self.terms = Terms(int(plan.lease_s * 1e9), plan.drift)
+        self.terms = LeaseTerms(int(plan.lease_s * 1e9), plan.drift)
         self.events: list[Event] = []
         self.messages = 0
         self._queue: list[tuple[int, int, Callable[[], None]]] = []
@@ -341,7 +346,7 @@
         names = [f"r{number}" for number in range(plan.routers)]
         self.genesis = genesis({name: name for name in names}, names[: plan.voters])
         if plan.shares:
-            policy = Policy(StorePolicy(shares=True))
+            policy = Policy(StorePolicy(uses_leases=True))
             self.genesis = msgspec.structs.replace(self.genesis, policy=policy)
         self.refuses: set[str] = set()
         self.cut: set[tuple[str, str]] = set()
@@ -351,14 +356,14 @@
             name: Router(self, name, 1 + self.rng.uniform(-plan.skew, plan.skew)) for name in names
         }
 
-    def pools(self, name: str, policy: Policy, members: int) -> dict[str, Pool]:
-        """What there is to share; the floors are set aside for every member."""
-        if not policy.store.shares:
+    def pools(self, name: str, policy: Policy, members: int) -> dict[str, QuotaPool]:
+        """What there is to share; the floors are set aside for every replica."""
+        if not policy.store.uses_leases:
             return {}
         rate = policy.store.rate_per_s
         quota = QUOTA if rate is None else min(QUOTA, rate)
         floor = QUOTA * FLOOR_SHARE / self.plan.routers
-        return {NAMESPACE: Pool(quota - floor * members, floor)}
+        return {NAMESPACE: QuotaPool(quota - floor * members, floor)}
 
     def wanted(self, name: str) -> float:
         """A router's fetches so far: some want far more than others, and who does changes now and then."""
@@ -399,7 +404,7 @@
 
         def arrive() -> None:
             if (source.name, to) not in self.cut:
-                router.do(lambda member: member.received(message, router.now()))
+                router.do(lambda replica: replica.received(message, router.now()))
 
         self.at(self.now + delay, arrive)
 
@@ -438,7 +443,7 @@
 
 def shared_proposal(number: int, rng: random.Random, share: float) -> m.Proposal:
     """A change of the store's rate, most of them with shares."""
-    store = StorePolicy(rate_per_s=rng.choice((60.0, 80.0, 100.0)), shares=rng.random() < share)
+    store = StorePolicy(rate_per_s=rng.choice((60.0, 80.0, 100.0)), uses_leases=rng.random() < share)
     return m.Proposal(f"c{number}", "trial", f"trial {number}", Policy(store))
 
 
@@ -479,7 +484,7 @@
 
 
 def _kill(world: World, router: Router, disk: str) -> None:
-    if router.member is None:
+    if router.replica is None:
         return
     world.record(router, "fault", told=f"killed, disk {disk or 'kept'}")
     router.images.append(router.disk.copy())
@@ -499,7 +504,7 @@
 
 
 def _pause(world: World, router: Router) -> None:
-    length = int(world.rng.uniform(0.2, 3.0) * world.terms.lease)
+    length = int(world.rng.uniform(0.2, 3.0) * world.terms.duration)
     world.record(router, "fault", told=f"paused for {length / 1e6:.0f} ms")
     router.pause(world.now + length)
 
@@ -512,7 +517,7 @@
     def mend() -> None:
         world.cut -= links
 
-    world.at(world.now + int(world.rng.uniform(0.5, 2.0) * world.terms.lease), mend)
+    world.at(world.now + int(world.rng.uniform(0.5, 2.0) * world.terms.duration), mend)
 
 
 def _cut(world: World) -> None:
@@ -529,7 +534,7 @@
     def mend() -> None:
         world.cut -= links
 
-    world.at(world.now + int(rng.uniform(0.3, 3.0) * world.terms.lease), mend)
+    world.at(world.now + int(rng.uniform(0.3, 3.0) * world.terms.duration), mend)
 
 
 class Result(msgspec.Struct):
@@ -564,12 +569,12 @@
 def _stuck(world: World) -> str:
     """Whether all routers that are up hold a lease on one version at the end."""
     held: dict[str, int] = {}
-    newest = max((r.member.decided.version for r in world.routers.values() if r.member), default=0)
+    newest = max((r.replica.decided.version for r in world.routers.values() if r.replica), default=0)
     for name, router in world.routers.items():
-        if router.member is not None and router.runs:
-            held[name] = router.member.decided.version if router.member.may_admit(router.now()) else 0
-            if router.member.acceptor.value is not None:
-                return f"{name} still holds {router.member.acceptor.value.change} open"
+        if router.replica is not None and router.runs:
+            held[name] = router.replica.decided.version if router.replica.may_admit(router.now()) else 0
+            if router.replica.acceptor.value is not None:
+                return f"{name} still holds {router.replica.acceptor.value.change_id} open"
     lacking = sorted(name for name, version in held.items() if version != newest)
     if lacking:
         return f"{', '.join(lacking)} not under version {newest} at the end"
@@ -579,12 +584,12 @@
 
 def _has_its_share(router: Router) -> bool:
     """Whether every voter grants it a share, where the policy has such, and it has one if it wants any."""
-    member = router.member
-    if member is None or not member.decided.policy.store.shares:
+    replica = router.replica
+    if replica is None or not replica.decided.policy.store.uses_leases:
         return True
-    holding = member.share_holder.granting(router.now())
-    if not holding >= member.voters.keys():
+    holding = replica.lease_client.quota_holder.granting_voters(router.now())
+    if not holding >= replica.learner.voters.keys():
         return False
     floor = QUOTA * FLOOR_SHARE / router.world.plan.routers
-    wants = dict(member.demand.told()).get(NAMESPACE, 0.0) > floor
+    wants = dict(replica.lease_client.demand.rates()).get(NAMESPACE, 0.0) > floor
     return not wants or router.admitter.beyond(router.now())[1] > 0
--- a/pebblepass/scale/hollow.py
+++ b/pebblepass/scale/hollow.py
@@ -24,9 +24,9 @@
 from msgspec import Struct
 
 from pebblepass.consensus import messages as m
-from pebblepass.consensus.member import Action, Send
+from pebblepass.consensus.actions import Action, Send
 from pebblepass.consensus.policy import Policy, StorePolicy
-from pebblepass.consensus.service import AgreementService
+from pebblepass.consensus.service import ConsensusService
 from pebblepass.daemon.__main__ import GC_THRESHOLD
 from pebblepass.daemon.fleet import FleetPart
 from pebblepass.daemon.loop import DaemonLoop
@@ -116,7 +116,7 @@
         return {}
 
 
-class CountingService(AgreementService):
+class CountingService(ConsensusService):
     """The service of a control machine, with a count of what it is sent and what it sends, by router."""
 
     def __init__(self, *given: Any) -> None:
@@ -129,22 +129,22 @@
         """Messages sent, by kind and by the first letter of the router's name: of what sort it is."""
         sound = self.links.send
 
-        def send(name: str, message: bytes, boot: str = "") -> None:
+        def send(name: str, message: bytes, boot_id: str = "") -> None:
             self.messages_out[name] += 1
             self.bytes_out[name] += len(message) + FRAME
-            sound(name, message, boot)
+            sound(name, message, boot_id)
 
         self.links.send = send  # type: ignore[method-assign]
 
-    def _take(self, name: str, data: bytes) -> None:
+    def _received(self, name: str, data: bytes) -> None:
         self.messages_in[name] += 1
         self.bytes_in[name] += len(data) + FRAME
-        super()._take(name, data)
+        super()._received(name, data)
 
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
-                self.kinds[f"{type(action.message.body).__name__} {action.to[0]}"] += 1
+                self.kinds[f"{m.tag_of(action.message.body).capitalize()} {action.to[0]}"] += 1
         super()._carry_out(actions)
 
 
@@ -235,7 +235,7 @@
     def _figures(self) -> dict[str, Any]:
         now = self._loop.time_ns()
         told: dict[str, Any] = {
-            "holding": [name for name, part in self._parts.items() if part.service.member.may_admit(now)]
+            "holding": [name for name, part in self._parts.items() if part.service.replica.may_admit(now)]
         }
         for part in self._parts.values():
             service = part.service
@@ -244,7 +244,7 @@
                 told["bytes_in"], told["bytes_out"] = service.bytes_in, service.bytes_out
                 told["kinds"], told["closed"] = service.kinds, service.links.closed
                 told["connections"] = len(os.listdir("/proc/self/fd"))
-                told["value_bytes"] = len(m.encode(service.member.decided))
+                told["value_bytes"] = len(m.encode(service.replica.decided))
         return told
 
     def end(self) -> None:
--- a/pebblepass/storage/__init__.py
+++ b/pebblepass/storage/__init__.py
@@ -1,4 +1,4 @@
-"""The one way to write a file that lasts: framed, checksummed, versioned; logs, whole files, recovery.
+"""Files that last: framed, checksummed and versioned logs, atomic replacement of files, recovery.
 
-Nothing here knows what is written. A disk is an interface, so that a trial can lose power.
+The content is opaque here. A disk is an interface, so that fault injection can lose power.
 """
--- a/pebblepass/storage/disk.py
+++ b/pebblepass/storage/disk.py
@@ -1,8 +1,8 @@
-"""The disk as everything durable sees it, and the folder of a real one.
+"""The disk as an interface, and the directory of a real one.
 
-What has been written lasts once it is synced, a name once its folder is. Nothing else is promised: a file
-that was not synced may come back in part, with whole sectors as zeros, and a name that was not synced may
-come back as it was before.
+What has been written is durable once it is synced, a name once its directory is. Nothing else is promised: a
+file that was not synced may come back in part, with whole sectors as zeros, and a name that was not synced
+may come back as it was before.
 """
 
 from __future__ import annotations
@@ -15,55 +15,55 @@
 
 
 class Disk(Protocol):
-    """Files in one folder, by name; each call raises OSError where the disk will not."""
+    """Files in one directory, by name; each call raises OSError where the disk fails."""
 
     def read(self, name: str) -> bytes | None:
-        """The whole file; None: there is none."""
+        """Return the content of a file; None: there is none."""
 
     def append(self, name: str, data: bytes) -> None:
-        """Write behind what is there; the file is made where there is none. It lasts after `sync` only."""
+        """Append to a file, which is created where there is none. Durable after `sync` only."""
 
-    def cut(self, name: str, size: int) -> None:
-        """Keep the first bytes only; lasts after `sync`."""
+    def truncate(self, name: str, size: int) -> None:
+        """Keep the first `size` bytes; durable after `sync`."""
 
     def create(self, name: str, data: bytes) -> None:
-        """Make the file anew with these bytes; lasts after `sync`."""
+        """Create or overwrite a file with these bytes; durable after `sync`."""
 
     def sync(self, name: str) -> None:
-        """Return once all that was written to the file lasts."""
+        """Return once all that was written to the file is durable."""
 
-    def rename(self, name: str, onto: str) -> None:
-        """Give the file another's name, in one step; lasts after `sync_names`."""
+    def rename(self, name: str, target: str) -> None:
+        """Rename a file target another, atomically; durable after `sync_directory`."""
 
-    def sync_names(self) -> None:
-        """Return once all names last."""
+    def sync_directory(self) -> None:
+        """Return once all names are durable."""
 
 
-class Folder:
-    """A real folder."""
+class Directory:
+    """A real directory."""
 
     def __init__(self, path: str | Path) -> None:
         self._path = Path(path)
         self._lock: int | None = None
 
     def lock(self) -> bool:
-        """Hold the folder alone, until `unlock` or the end of the process; False: another process has it."""
+        """Lock the directory until `unlock` or the end of the process; False: another process holds it."""
         if self._lock is not None:
             return True
-        held = os.open(self._path / "lock", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
+        descriptor = os.open(self._path / "lock", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
         try:
-            fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            os.close(held)
+            os.close(descriptor)
             return False
         except OSError:
-            os.close(held)
+            os.close(descriptor)
             raise
-        self._lock = held
+        self._lock = descriptor
         return True
 
     def unlock(self) -> None:
-        """Let another process have it."""
+        """Release the lock."""
         if self._lock is not None:
             os.close(self._lock)
             self._lock = None
@@ -83,7 +83,7 @@
         """See Disk."""
         self._write(name, os.O_TRUNC, data)
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         """See Disk."""
         os.truncate(self._path / name, size)
 
@@ -91,39 +91,39 @@
         """See Disk."""
         self._sync(self._path / name)
 
-    def rename(self, name: str, onto: str) -> None:
+    def rename(self, name: str, target: str) -> None:
         """See Disk."""
-        os.replace(self._path / name, self._path / onto)
+        os.replace(self._path / name, self._path / target)
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         """See Disk."""
         self._sync(self._path)
 
-    def _write(self, name: str, how: int, data: bytes) -> None:
-        held = os.open(self._path / name, os.O_CREAT | os.O_WRONLY | os.O_CLOEXEC | how, 0o600)
+    def _write(self, name: str, mode: int, data: bytes) -> None:
+        descriptor = os.open(self._path / name, os.O_CREAT | os.O_WRONLY | os.O_CLOEXEC | mode, 0o600)
         try:
             left = memoryview(data)
             while left:
-                left = left[os.write(held, left) :]
+                left = left[os.write(descriptor, left) :]
         finally:
-            os.close(held)
+            os.close(descriptor)
 
     def _sync(self, path: Path) -> None:
-        held = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
+        descriptor = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
         try:
-            os.fsync(held)
+            os.fsync(descriptor)
         finally:
-            os.close(held)
+            os.close(descriptor)
 
 
-def replace_whole(disk: Disk, name: str, data: bytes) -> None:
-    """Write a file so that a reader sees the old or the new one, never a part, and the new one lasts.
+def replace_file(disk: Disk, name: str, data: bytes) -> None:
+    """Replace a file atomically: a reader sees the old or the new one, and the new one is durable.
 
-    Raises OSError; the old one stands then.
+    Raises OSError; the old file is unchanged then.
     """
-    fresh = name + ".new"
-    disk.create(fresh, data)
-    disk.sync(fresh)
-    disk.rename(fresh, name)
-    with suppress(OSError):  # the new one is in place; a folder that can't be synced may lose it, not tear it
-        disk.sync_names()
+    temporary = name + ".new"
+    disk.create(temporary, data)
+    disk.sync(temporary)
+    disk.rename(temporary, name)
+    with suppress(OSError):  # the new one is in place; without the sync it may be lost, and not torn
+        disk.sync_directory()
--- a/pebblepass/storage/frames.py
+++ b/pebblepass/storage/frames.py
@@ -1,12 +1,12 @@
-"""Frames: what a durable file is made of. No I/O.
+"""Frames, of which a durable file consists. No I/O.
 
-A file is a head and frames. The head names the format, its version and whose it is. A frame is its size and
+A file is a header and frames. The header names the format, its version and the owner. A frame is its size and
 the checksum (CRC-32C) of size and content, both four bytes, little-endian, and the content. One frame is what
 is synced at once: a power loss can tear the last one only.
 
-A torn frame is cut: it ends behind the file's end, or whole sectors of it read as zeros, as nothing of it was
-ever promised. One that is there in full and does not match its checksum is damaged, and so is whatever stands
-before a whole frame: then the file is refused, since what it held may have been promised.
+A torn frame is cut off: it ends behind the file's end, or whole sectors of it read as zeros, as nothing of it
+was ever promised. One that is complete and does not match its checksum is damaged, and so is whatever stands
+before a complete frame: then the file is refused, since what it held may have been promised.
 """
 
 from __future__ import annotations
@@ -16,92 +16,103 @@
 import msgspec
 from crc32c import crc32c
 
-MOST_BYTES = 16 << 20  # of one frame: a size beyond it is no size
-SECTOR = 512  # what a disk writes at once or not at all
-_HEAD = struct.Struct("<II")
+MAX_FRAME_BYTES = 16 << 20  # a larger size is taken for damage
+SECTOR_BYTES = 512  # what a disk writes at once or not at all
+_PREFIX = struct.Struct("<II")
+_SIZE = struct.Struct("<I")
 
 
-class DurableError(ValueError):
-    """A file can't be used; the text is one plain line."""
+class StorageError(ValueError):
+    """A file can't be used: its content is at fault, not the disk. The message is one line."""
 
 
-class Head(msgspec.Struct, frozen=True):
-    """The first frame's content: what the file is."""
+class FileHeader(msgspec.Struct, frozen=True):
+    """The content of the first frame."""
 
     format: str
     version: int
     owner: str
-    """Whose it is: a fleet and a router, say."""
+    """Whose the file is: a fleet and a router, for example."""
 
 
-def frame(content: bytes) -> bytes:
-    """One frame's bytes; raises DurableError where the content is too long."""
-    if len(content) > MOST_BYTES:
-        raise DurableError(f"a record of {len(content)} bytes, of {MOST_BYTES} at most")
-    size = struct.pack("<I", len(content))
-    return size + struct.pack("<I", crc32c(content, crc32c(size))) + content
+class Frames(msgspec.Struct, frozen=True):
+    """The complete frames of a file."""
 
+    contents: list[bytes]
+    size: int
+    """The bytes that they take; what stands behind is torn, to be truncated."""
 
-def head_frame(head: Head) -> bytes:
-    """The head's bytes, with which a file begins."""
-    return frame(msgspec.json.encode(head))
 
+def encode_frame(content: bytes) -> bytes:
+    """Return one frame's bytes; raises StorageError where the content is too long."""
+    if len(content) > MAX_FRAME_BYTES:
+        raise StorageError(f"a record of {len(content)} bytes, of {MAX_FRAME_BYTES} at most")
+    size = _SIZE.pack(len(content))
+    return size + _SIZE.pack(crc32c(content, crc32c(size))) + content
 
-def scan(data: bytes) -> tuple[list[bytes], int]:
-    """The contents of all frames, and the bytes that they take; what stands behind is torn, to be cut.
 
-    Raises DurableError where something before the end is damaged.
-    """
-    found, at = [], 0
-    while at < len(data):
-        content = _whole(data, at)
+def encode_header(header: FileHeader) -> bytes:
+    """Return the bytes with which a file begins."""
+    return encode_frame(msgspec.json.encode(header))
+
+
+def read_frames(data: bytes) -> Frames:
+    """Return all complete frames; raises StorageError where something before the end is damaged."""
+    contents, offset = [], 0
+    while offset < len(data):
+        content = _complete_frame(data, offset)
         if content is None:
-            if not _torn(data, at):
-                raise DurableError(f"damaged at byte {at}")
+            if not _is_torn(data, offset):
+                raise StorageError(f"damaged at byte {offset}")
             break
-        found.append(content)
-        at += _HEAD.size + len(content)
-    return found, at
+        contents.append(content)
+        offset += _PREFIX.size + len(content)
+    return Frames(contents, offset)
 
 
-def read_head(content: bytes, expected: Head) -> None:
-    """Check that a file is what is expected; raises DurableError."""
+def check_header(content: bytes, expected: FileHeader) -> None:
+    """Check that a file is the expected one; raises StorageError."""
     try:
-        head = msgspec.json.decode(content, type=Head)
+        header = msgspec.json.decode(content, type=FileHeader)
     except (msgspec.DecodeError, UnicodeDecodeError):
-        raise DurableError("no head") from None
-    if head.format != expected.format:
-        raise DurableError(f"of another form: {head.format}")
-    if head.version != expected.version:
-        raise DurableError(f"of version {head.version}, this program writes {expected.version}")
-    if head.owner != expected.owner:
-        raise DurableError(f"of another owner: {head.owner}, not {expected.owner}")
-
-
-def _whole(data: bytes, at: int) -> bytes | None:
-    if at + _HEAD.size > len(data):
+        raise StorageError("no head") from None
+    if header.format != expected.format:
+        raise StorageError(f"of another form: {header.format}")
+    if header.version != expected.version:
+        raise StorageError(f"of version {header.version}, this program writes {expected.version}")
+    if header.owner != expected.owner:
+        raise StorageError(f"of another owner: {header.owner}, not {expected.owner}")
+
+
+def _complete_frame(data: bytes, offset: int) -> bytes | None:
+    """Return the content of the frame at an offset; None: it is not complete, or its checksum differs."""
+    start = offset + _PREFIX.size
+    if start > len(data):
         return None
-    size, checksum = _HEAD.unpack_from(data, at)
-    content = data[at + _HEAD.size : at + _HEAD.size + size]
-    if size > MOST_BYTES or len(content) < size or crc32c(content, crc32c(data[at : at + 4])) != checksum:
+    size, checksum = _PREFIX.unpack_from(data, offset)
+    content = data[start : start + size]
+    if size > MAX_FRAME_BYTES or len(content) < size:
         return None
-    return content
+    size_bytes = data[offset : offset + _SIZE.size]
+    return content if crc32c(content, crc32c(size_bytes)) == checksum else None
 
 
-def _torn(data: bytes, at: int) -> bool:
-    """Whether the frame that begins here can be the one that was being written when the power went."""
-    if any(_whole(data, later) is not None for later in range(at + 1, len(data) - _HEAD.size)):
+def _is_torn(data: bytes, offset: int) -> bool:
+    """Whether the frame that begins here can be the one that was being written at a power loss."""
+    later_offsets = range(offset + 1, len(data) - _PREFIX.size)
+    if any(_complete_frame(data, later) is not None for later in later_offsets):
         return False  # it was synced before that was written
-    if at + _HEAD.size > len(data) or at + _HEAD.size + _HEAD.unpack_from(data, at)[0] > len(data):
+    start = offset + _PREFIX.size
+    if start > len(data) or start + _SIZE.unpack_from(data, offset)[0] > len(data):
         return True
-    return _lost_sector(data, at)
+    return _has_lost_sector(data, offset)
 
 
-def _lost_sector(data: bytes, at: int) -> bool:
+def _has_lost_sector(data: bytes, offset: int) -> bool:
     """Whether a sector, or what the frame has of one, reads as zeros."""
-    while at < len(data):
-        after = min((at // SECTOR + 1) * SECTOR, len(data))
-        if not any(data[at:after]):
+    while offset < len(data):
+        end = min((offset // SECTOR_BYTES + 1) * SECTOR_BYTES, len(data))
+        if not any(data[offset:end]):
             return True
-        at = after
+        offset = end
     return False
--- a/pebblepass/storage/log.py
+++ b/pebblepass/storage/log.py
@@ -1,91 +1,113 @@
-"""A log that lasts: records behind one another, and now and then one that stands for all before it."""
+"""A durable log: records appended one after another, and now and then a snapshot that replaces them.
+
+| state | event | guard | next |
+| --- | --- | --- | --- |
+| open | append | synced | open |
+| open | append | the write or its sync fails | failed |
+| failed | append | - | failed: refused |
+| open, failed | write snapshot | the new file is in place, and its name synced | open |
+"""
 
 from __future__ import annotations
 
 import errno
 import struct
 
-from pebblepass.storage.disk import Disk, replace_whole
-from pebblepass.storage.frames import DurableError, Head, frame, head_frame, read_head, scan
+from pebblepass.storage.disk import Disk, replace_file
+from pebblepass.storage.frames import (
+    FileHeader,
+    StorageError,
+    check_header,
+    encode_frame,
+    encode_header,
+    read_frames,
+)
 
-COMPACT_BYTES = 64 << 10  # of records since the last summary: about a hundred changes
+COMPACTION_BYTES = 64 << 10  # of records since the last snapshot: about a hundred changes
+_RECORD_SIZE = struct.Struct("<I")
 
 
 class Log:
-    """One log file. Its owner says when to sync: a promise holds from the return of `write` on.
+    """One log file. A record is durable once `append` has returned.
 
-    `write` may run in another thread, one call at a time.
+    `append` may run in another thread, one call at a time.
     """
 
-    def __init__(self, disk: Disk, name: str, head: Head) -> None:
-        self._disk, self._name, self._head = disk, name, head
-        self._size = self._base = 0
-        self._unsure = False
-        self.cut_bytes = 0
+    def __init__(self, disk: Disk, name: str, header: FileHeader) -> None:
+        self._disk, self._name, self._header = disk, name, header
+        self._size = self._snapshot_size = 0
+        self._failed = False
+        self.truncated_bytes = 0
         """Bytes of a torn tail that the last `open` has cut off."""
 
     def open(self) -> list[bytes] | None:
-        """The records since the last summary, that one first; None: there is no log yet.
+        """Return the records since the last snapshot, which is the first; None: there is no log yet.
 
-        A torn tail is cut, durably. Raises DurableError in one plain line where the log is damaged or
-        another's, OSError where the disk will not.
+        A torn tail is truncated, durably. Raises StorageError with a message of one line where the log is
+        damaged or another owner's, OSError where the disk fails.
         """
         data = self._disk.read(self._name)
         if data is None:
             return None
         try:
-            frames, good = scan(data)
-            if not frames:
-                # The head is written whole and renamed into place: a log without one has lost it.
-                raise DurableError("no head")
-            read_head(frames[0], self._head)
-            records = [record for each in frames[1:] for record in _records(each)]
-        except DurableError as error:
-            raise DurableError(f"{self._name}: {error}") from None
-        self.cut_bytes = len(data) - good
-        if self.cut_bytes:
-            self._disk.cut(self._name, good)
+            frames = read_frames(data)
+            if not frames.contents:
+                # The header is written in full and renamed into place: a log without one has lost it.
+                raise StorageError("no head")
+            check_header(frames.contents[0], self._header)
+            records = [record for batch in frames.contents[1:] for record in decode_batch(batch)]
+        except StorageError as error:
+            raise StorageError(f"{self._name}: {error}") from None
+        self.truncated_bytes = len(data) - frames.size
+        if self.truncated_bytes:
+            self._disk.truncate(self._name, frames.size)
             self._disk.sync(self._name)
-        self._size, self._base = good, 0
+        self._size, self._snapshot_size = frames.size, 0
         return records
 
-    def begin(self, records: list[bytes]) -> None:
-        """Make the log anew, with these records; they last on return. Raises OSError."""
-        data = head_frame(self._head) + frame(_batch(records))
-        replace_whole(self._disk, self._name, data)
-        # Danger: a log whose name does not last may be gone after a power loss, with all that it promised.
-        self._disk.sync_names()
-        self._size = self._base = len(data)
-        self._unsure = False
+    def write_snapshot(self, records: list[bytes]) -> None:
+        """Replace the log by one with these records; they are durable on return. Raises OSError."""
+        data = encode_header(self._header) + encode_frame(encode_batch(records))
+        replace_file(self._disk, self._name, data)
+        # Danger: a log whose name is not durable may be gone after a power loss, with all that it promised.
+        self._disk.sync_directory()
+        self._size = self._snapshot_size = len(data)
+        self._failed = False
 
     @property
-    def wants_summary(self) -> bool:
-        """Whether the log has to be begun anew: so much was written since, or a write has failed."""
-        return self._unsure or self._size - self._base > COMPACT_BYTES
+    def needs_snapshot(self) -> bool:
+        """Whether a snapshot is due: so much was appended since the last one, or a write has failed."""
+        return self._failed or self._size - self._snapshot_size > COMPACTION_BYTES
+
+    def append(self, records: list[bytes]) -> None:
+        """Append records, all or none; they are durable on return.
 
-    def write(self, records: list[bytes]) -> None:
-        """Add records, all or none; they last on return. Raises OSError: then only `begin` goes on."""
-        if self._unsure:
+        Raises OSError: then only `write_snapshot` goes on.
+        """
+        if self._failed:
             raise OSError(errno.EIO, "not written since a write failed; it has to be begun anew")
-        data = frame(_batch(records))
+        data = encode_frame(encode_batch(records))
         try:
             self._disk.append(self._name, data)
             self._disk.sync(self._name)
         except OSError:
-            # Danger: a part may stand there, and what a failed sync has lost no later sync tells of.
-            self._unsure = True
+            # Danger: a part may be there, and what a failed sync has lost no later sync reports.
+            self._failed = True
             raise
         self._size += len(data)
 
 
-def _batch(records: list[bytes]) -> bytes:
-    return b"".join(struct.pack("<I", len(record)) + record for record in records)
+def encode_batch(records: list[bytes]) -> bytes:
+    """Return the content of one frame: records, each after its size."""
+    return b"".join(_RECORD_SIZE.pack(len(record)) + record for record in records)
 
 
-def _records(batch: bytes) -> list[bytes]:
-    found, at = [], 0
-    while at < len(batch):
-        size = struct.unpack_from("<I", batch, at)[0]
-        found.append(batch[at + 4 : at + 4 + size])
-        at += 4 + size
-    return found
+def decode_batch(batch: bytes) -> list[bytes]:
+    """Return the records of one frame."""
+    records, offset = [], 0
+    while offset < len(batch):
+        size = _RECORD_SIZE.unpack_from(batch, offset)[0]
+        start = offset + _RECORD_SIZE.size
+        records.append(batch[start : start + size])
+        offset = start + size
+    return records
--- a/tests/compatibility/forms.py
+++ b/tests/compatibility/forms.py
@@ -21,13 +21,22 @@
 from pebblepass.accounting.ledger import Breach, BreachKind, Ledger
 from pebblepass.accounting.service import FiguresService, make_ledger
 from pebblepass.adapter import Adapter
-from pebblepass.consensus import messages
+from pebblepass.consensus import messages, records
 from pebblepass.consensus import metrics as consensus_metrics
-from pebblepass.consensus.leases import Terms
-from pebblepass.consensus.member import Conclude, Member, Note, Send, Setup, Write, genesis
-from pebblepass.consensus.policy import Ground, NamespacePolicy, Policy, PolicyFile, StorePolicy, read_policy
-from pebblepass.consensus.service import FILE, FORMAT, VERSION, open_log
-from pebblepass.consensus.service import Told as ServiceTold
+from pebblepass.consensus.actions import ChangeStep, ProposalConcluded, Send, Write
+from pebblepass.consensus.leases import LeaseTerms
+from pebblepass.consensus.policy import (
+    NamespacePolicy,
+    Policy,
+    PolicyChecker,
+    PolicyFile,
+    StorePolicy,
+    read_policy,
+)
+from pebblepass.consensus.replica import Replica
+from pebblepass.consensus.reports import history, status
+from pebblepass.consensus.service import FILE, FORMAT, VERSION, ServiceCallbacks, open_log
+from pebblepass.consensus.setup import ReplicaSetup, genesis
 from pebblepass.control.counters import Counters
 from pebblepass.control.operations import ControlAddress, Told
 from pebblepass.daemon.config import load_config
@@ -49,15 +58,15 @@
 from pebblepass.simulation.report import as_json, compare
 from pebblepass.simulation.runner import rehearse
 from pebblepass.simulation.scenario import load_scenario
-from pebblepass.storage.disk import Folder
-from pebblepass.storage.frames import DurableError, Head, frame, scan
+from pebblepass.storage.disk import Directory
+from pebblepass.storage.frames import FileHeader, StorageError, encode_frame, read_frames
 from pebblepass.storage.log import Log
 from tests.compatibility.checks import Form
 
 # Messages between routers, and records of the consensus log
 
 MESSAGE_BODIES: tuple[type[msgspec.Struct], ...] = get_args(messages.Body)
-RECORDS: tuple[type[msgspec.Struct], ...] = get_args(messages.Record)
+RECORDS: tuple[type[msgspec.Struct], ...] = get_args(records.Record)
 MESSAGE_PARTS: tuple[type[msgspec.Struct], ...] = (
     messages.Sender,
     messages.Value,
@@ -69,7 +78,7 @@
     NamespacePolicy,
 )
 MESSAGE = Form(messages.read_message, messages.encode)
-RECORD = Form(messages.read_record, messages.encode)
+RECORD = Form(records.read_record, messages.encode)
 HELLO_TYPE: type[msgspec.Struct] = links.Hello
 LINK_VERSION = links.VERSION
 
@@ -114,9 +123,9 @@
 async def counted_kinds(frozen: list[bytes]) -> list[str]:
     """The kinds under which the runs of scale count these messages in their figures."""
     loop, origin = asyncio.get_running_loop(), genesis({"r1": "127.0.0.1:1"}, ["r1"])
-    setup = Setup("r2", "boot-2", Terms(10**9, 0.1), origin, lambda *_: "", "")
+    setup = ReplicaSetup("r2", "boot-2", LeaseTerms(10**9, 0.1), origin, lambda *_: "", "")
     service = CountingService(
-        loop, lambda: NOW, setup, "fleet-1", None, ServiceTold(lambda _: None, lambda _: None)
+        loop, lambda: NOW, setup, "fleet-1", None, ServiceCallbacks(lambda _: None, lambda _: None)
     )
     service._carry_out([Send("r1", MESSAGE.read(data)) for data in frozen])
     service.close()
@@ -125,40 +134,40 @@
 
 # Logs
 
-LOG_HEAD = Head(FORMAT, VERSION, "fleet-1/router-2")
+LOG_HEAD = FileHeader(FORMAT, VERSION, "fleet-1/router-2")
 LOG_FILE = FILE
-LogError = DurableError
+LogError = StorageError
 
 
 def open_raw_log(folder: Path) -> tuple[list[bytes], int]:
     """The records of a folder's log, and the bytes that were cut off its end; raises LogError."""
-    log = Log(Folder(folder), LOG_FILE, LOG_HEAD)
+    log = Log(Directory(folder), LOG_FILE, LOG_HEAD)
     records = log.open()
     assert records is not None
-    return records, log.cut_bytes
+    return records, log.truncated_bytes
 
 
 def write_raw_log(folder: Path, batches: list[list[bytes]]) -> None:
     """Begin a log with the first batch of records, and add the others."""
-    log = Log(Folder(folder), LOG_FILE, LOG_HEAD)
-    log.begin(batches[0])
+    log = Log(Directory(folder), LOG_FILE, LOG_HEAD)
+    log.write_snapshot(batches[0])
     for batch in batches[1:]:
-        log.write(batch)
+        log.append(batch)
 
 
 def log_frames(data: bytes) -> list[bytes]:
     """The contents of a log's frames."""
-    return scan(data)[0]
+    return read_frames(data).contents
 
 
 def framed(content: bytes) -> bytes:
     """A frame with this content, and the checksum that belongs to it."""
-    return frame(content)
+    return encode_frame(content)
 
 
 def open_voters_log(folder: Path) -> list[bytes]:
     """The records of a voter's folder, each of them decoded and encoded again."""
-    _, records = open_log(Folder(folder), "fleet-1", "router-2")
+    records = open_log(Directory(folder), "fleet-1", "router-2").records
     return [RECORD.write(record) for record in records or []]
 
 
@@ -357,7 +366,7 @@
 
 def fleet_exposition() -> str:
     """The page of metrics of a router in a fleet."""
-    told = consensus_metrics.Counted(3, True, 2, {"decided": 5}, {"messages": 7}, {"no hello": 9})
+    told = consensus_metrics.FleetMetrics(3, True, 2, {"decided": 5}, {"messages": 7}, {"no hello": 9})
     return consensus_metrics.exposition(told).decode()
 
 
@@ -365,40 +374,40 @@
     """A fleet of one router, moved by hand until a proposed policy is in force."""
 
     def __init__(self, proposal: bytes) -> None:
-        ground = Ground(settings())
+        checker = PolicyChecker(settings())
         origin = genesis({"r1": "127.0.0.1:1"}, ["r1"])
-        terms = Terms(1_000_000_000, 0.1)
-        setup = Setup("r1", "boot-1", terms, origin, ground.check, "disk-1", 1, ground.pools, dict)
+        terms = LeaseTerms(1_000_000_000, 0.1)
+        setup = ReplicaSetup("r1", "boot-1", terms, origin, checker.check, "disk-1", 1, checker.pools, dict)
         self.now, self.concluded = NOW, False
         self.steps: dict[str, None] = {}
-        self._member = Member(setup, None, self.now)
-        self._carry_out(self._member.start(self.now))
+        self._replica = Replica(setup, None, self.now)
+        self._carry_out(self._replica.start(self.now))
         self._run()
         wanted = msgspec.msgpack.decode(proposal, type=messages.Proposal)
-        self._carry_out(self._member.propose(wanted, self.now))
+        self._carry_out(self._replica.propose(wanted, self.now))
         self._run()
 
     def _run(self) -> None:
         for _ in range(200):
-            self.now = max(self._member.due(self.now), self.now + 1)
-            self._carry_out(self._member.tick(self.now))
+            self.now = max(self._replica.due(self.now), self.now + 1)
+            self._carry_out(self._replica.tick(self.now))
 
     def _carry_out(self, actions: list[Any]) -> None:
         for action in actions:
             if isinstance(action, Write):
-                self._carry_out(self._member.written(action.token, self.now))
-            elif isinstance(action, Conclude):
+                self._carry_out(self._replica.written(action.token, self.now))
+            elif isinstance(action, ProposalConcluded):
                 self.concluded = True
-            elif isinstance(action, Note):
+            elif isinstance(action, ChangeStep):
                 self.steps[action.event] = None
 
     def status(self) -> dict[str, Any]:
         """What operators are told of it."""
-        return self._member.status(self.now)
+        return status(self._replica, self.now)
 
     def history(self) -> list[dict[str, Any]]:
         """Its versions."""
-        return self._member.told_history()
+        return history(self._replica)
 
 
 # The control address
--- a/tests/connection_limits/test_descriptors.py
+++ b/tests/connection_limits/test_descriptors.py
@@ -21,7 +21,7 @@
 )
 from pebblepass.control.operations import CALLERS
 from pebblepass.handover.states import Shares
-from pebblepass.peers.links import STRANGERS
+from pebblepass.peers.links import MAX_UNIDENTIFIED
 
 LIMITS = [80, 128, 160, 256, 512, 1024, 4096]
 
@@ -108,11 +108,11 @@
 @pytest.mark.parametrize("limit", [256, 1024])
 def test_the_operators_sections_take_none_of_anybody_elses(limit: int) -> None:
     ledger = figures(MOST_CONNECTIONS, writes=True, posts=True)
-    voter = fleet(voters=3, coming=29, strangers=STRANGERS, writes=True)
+    voter = fleet(voters=3, coming=29, strangers=MAX_UNIDENTIFIED, writes=True)
     control = callers(limit, CALLERS)
     dealt = split(limit, own(control, False, ledger + voter))
     at_ledger = 1 + MOST_CONNECTIONS + 2 + 3 + 1  # listener, callers, newcomers, files, webhook
-    at_fleet = 1 + 3 + 29 + STRANGERS + 2 + 3  # listener, dialled, came, strangers, newcomers, files
+    at_fleet = 1 + 3 + 29 + MAX_UNIDENTIFIED + 2 + 3  # listener, dialled, came, strangers, newcomers, files
     assert worst(dealt, control, False) + at_ledger + at_fleet <= limit
     assert worst(split(limit, own(control, False)), control, False) + at_ledger + at_fleet > limit
     assert figures(0, writes=False, posts=False) == 0
--- a/tests/consensus/test_policy.py
+++ b/tests/consensus/test_policy.py
@@ -4,7 +4,14 @@
 
 import pytest
 
-from pebblepass.consensus.policy import Ground, Policy, PolicyError, difference, held, read_policy
+from pebblepass.consensus.policy import (
+    Policy,
+    PolicyChecker,
+    PolicyError,
+    difference,
+    fleet_policy,
+    read_policy,
+)
 from pebblepass.decisions import RequestClass, Settings, Tenant
 
 SETTINGS = Settings(
@@ -44,16 +51,16 @@
     ],
 )
 def test_a_policy_is_checked_against_what_the_router_knows(text: str, said: str) -> None:
-    assert Ground(SETTINGS).check(Policy(), told(text)) == said
+    assert PolicyChecker(SETTINGS).check(Policy(), told(text)) == said
 
 
 def test_no_later_version_admits_less_than_the_floor_of_one_before() -> None:
     """What lets a router that is cut off hold the floor it knows: it is never looser than the rest."""
-    ground, before = Ground(SETTINGS), told("floor_share = 0.5")
-    assert ground.check(Policy(), before) == ""
+    checker, before = PolicyChecker(SETTINGS), told("floor_share = 0.5")
+    assert checker.check(Policy(), before) == ""
     for quota in (14, 29, 30, 60):
         after = told(f"floor_share = 0.5\n[namespaces.public]\nquota_per_s = {quota}")
-        assert (ground.check(before, after) == "") == (quota >= 30)
+        assert (checker.check(before, after) == "") == (quota >= 30)
 
 
 def test_the_difference_names_each_key() -> None:
@@ -62,4 +69,4 @@
         "namespaces.public.quota_per_s: as before -> 30.0",
         "held_out: as before -> n3",
     ]
-    assert held(4, after).cordoned == ("n3",)
+    assert fleet_policy(4, after).cordoned == ("n3",)
--- a/tests/control/test_bounds.py
+++ b/tests/control/test_bounds.py
@@ -30,7 +30,7 @@
     taken: list[int] = []
 
     async def fleet(method: str, path: str, body: bytes) -> Page | None:
-        taken.append(len(read_policy("policy", body).add))
+        taken.append(len(read_policy("policy", body).added_members))
         return Page(200, b"{}")
 
     async def play(_: VirtualLoop) -> int:
--- a/tests/fault_injection/test_schedules.py
+++ b/tests/fault_injection/test_schedules.py
@@ -7,8 +7,9 @@
 
 import pytest
 
-from pebblepass.consensus.member import Member
-from pebblepass.consensus.shares import Allocator, Rows
+from pebblepass.consensus.leases import ProcessId
+from pebblepass.consensus.quota_allocator import QuotaAllocator, Rates
+from pebblepass.consensus.replica import Replica
 from pebblepass.fault_injection.broken import SOUND, VARIANTS, Variant
 from pebblepass.fault_injection.checkers import (
     check_all,
@@ -68,14 +69,14 @@
 
 
 def test_a_fleet_whose_voters_grant_no_shares_is_told_stuck_at_the_floor() -> None:
-    class Mean(Allocator):
-        def grant(self, who: tuple[str, str], seq: int, now: int) -> Rows:
+    class Mean(QuotaAllocator):
+        def grant(self, process: ProcessId, sequence: int, now: int) -> Rates:
             return ()
 
     class Miser(Variant):
-        def member(self, sound: type[Member]) -> type[Member]:
+        def replica(self, sound: type[Replica]) -> type[Replica]:
             class Other(sound):  # type: ignore[valid-type, misc]
-                allocator_class = Mean
+                quota_allocator_class = Mean
 
             return Other
 
--- a/tests/peers/test_bounds.py
+++ b/tests/peers/test_bounds.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from pebblepass.consensus.leases import Terms
-from pebblepass.consensus.member import Setup, genesis
-from pebblepass.consensus.service import AgreementService, Told
-from pebblepass.peers.links import STRANGERS, VERSION, Hello, Link, Links, framed
+from pebblepass.consensus.leases import LeaseTerms
+from pebblepass.consensus.service import ConsensusService, ServiceCallbacks
+from pebblepass.consensus.setup import ReplicaSetup, genesis
+from pebblepass.peers.links import MAX_UNIDENTIFIED, VERSION, Hello, Link, Links, framed
 
 ROUTERS = 1100
 BACKLOG_AT = 28  # tcpi_sacked in the kernel's tcp_info: of a listening socket the length of its queue
@@ -62,7 +62,7 @@
     for number, (link, _) in enumerate(come):
         link.data_received(hello(f"r{number}"))
     assert at.closed == {}
-    assert len(at._came) == ROUTERS
+    assert len(at._accepted) == ROUTERS
     assert not any(wire.ended for _, wire in come)
     at.close()
 
@@ -75,8 +75,8 @@
     at = links(asyncio.get_running_loop(), ROUTERS)
     for number, (link, _) in enumerate(dialled(at, ROUTERS)):
         link.data_received(hello(f"r{number}"))
-    strangers = dialled(at, STRANGERS + 1)
-    assert [wire.ended for _, wire in strangers] == [False] * STRANGERS + [True]
+    strangers = dialled(at, MAX_UNIDENTIFIED + 1)
+    assert [wire.ended for _, wire in strangers] == [False] * MAX_UNIDENTIFIED + [True]
     assert at.closed == {"too many strangers": 1}
     at.close()
 
@@ -101,9 +101,9 @@
 async def expected_at(name: str) -> int:
     members = {f"r{number}": "127.0.0.1:9" for number in range(ROUTERS)}
     first = genesis(members, ["r0", "r1", "r2"])
-    setup = Setup(name, "boot", Terms(10**9, 0.1), first, lambda *_: "", "")
-    told = Told(lambda _: None, lambda _: None)
-    service = AgreementService(asyncio.get_running_loop(), lambda: 0, setup, "sofia", None, told)
+    setup = ReplicaSetup(name, "boot", LeaseTerms(10**9, 0.1), first, lambda *_: "", "")
+    told = ServiceCallbacks(lambda _: None, lambda _: None)
+    service = ConsensusService(asyncio.get_running_loop(), lambda: 0, setup, "sofia", None, told)
     expected = service.links.expected()
     service.close()
     return expected
