--- a/tests/peers/test_links.py
+++ b/tests/peers/test_links.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 
-from pebblepass.peers.links import MOST_BYTES, VERSION, Hello, Links, framed
+from pebblepass.peers.links import MAX_MESSAGE_BYTES, VERSION, Hello, Links, framed
 from pebblepass.simulation.clock import VirtualLoop
 from tests.virtual import played
 
@@ -46,17 +46,17 @@
         one, two = End(loop, "r0"), End(loop, "r1")
         port = await one.listen()
         two.links.dial({"r0": f"127.0.0.1:{port}"})
-        await until(lambda: "r1" in one.links._came and "r0" in two.links._dialled)
+        await until(lambda: "r1" in one.links._accepted and "r0" in two.links._dialled)
         two.links.send("r0", b"up")
         one.links.send("r1", b"down" * 50_000)
         await until(lambda: one.came and two.came)
         assert one.came == [("r1", b"up")]
         assert two.came == [("r0", b"down" * 50_000)]
-        first = one.links._came["r1"]
+        first = one.links._accepted["r1"]
         first.close()
-        await until(lambda: one.links._came.get("r1") not in (None, first))
+        await until(lambda: one.links._accepted.get("r1") not in (None, first))
         two.links.dial({})  # a voter no longer
-        await until(lambda: not one.links._came)
+        await until(lambda: not one.links._accepted)
         for end in (one, two):
             end.links.close()
 
@@ -76,7 +76,7 @@
         ),
         (framed(msgspec.msgpack.encode(Hello("sofia", VERSION, "r7", "b"))), "a stranger"),
         (framed(b"\x80\x04K\x01."), "no hello"),
-        (struct.pack("<I", MOST_BYTES + 1), "a message too long"),
+        (struct.pack("<I", MAX_MESSAGE_BYTES + 1), "a message too long"),
         (b"GET / HTTP/1.1\r\n\r\n", "a message too long"),
         (
             framed(msgspec.msgpack.encode(Hello("sofia", VERSION, "r1", "b"))) + framed(b"broken"),
@@ -109,7 +109,7 @@
         ports = {name: await end.listen() for name, end in ends.items()}
         for name, end in ends.items():
             end.links.dial({other: f"127.0.0.1:{port}" for other, port in ports.items() if other != name})
-        await until(lambda: all(end.links._dialled and end.links._came for end in ends.values()))
+        await until(lambda: all(end.links._dialled and end.links._accepted for end in ends.values()))
         for source, to in (("r0", "r1"), ("r1", "r0")):
             for number in range(100):
                 ends[source].links.send(to, b"%d" % number, f"{to}.1" if number % 2 else "")
