--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -20,7 +20,7 @@
 from figures import WARM, batch
 from stand import ROOT, Case, Process, Site, settings
 
-from pebblepass.consensus.commands import NoAnswerError, ask
+from pebblepass.consensus.commands import NoAnswerError, request
 from pebblepass.daemon.loop import DaemonLoop
 from pebblepass.emulators.ports import take_port
 
@@ -99,7 +99,7 @@
 def in_force(ops: int) -> bool:
     """Whether a companion holds its lease."""
     try:
-        return bool(ask(f"127.0.0.1:{ops}", "GET", "status")[1]["in_force"])
+        return bool(request(f"127.0.0.1:{ops}", "GET", "status").content["in_force"])
     except NoAnswerError:
         return False
 
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -32,7 +32,7 @@
 
 from pebblepass.consensus import messages as m
 from pebblepass.consensus.demand import DemandEstimator
-from pebblepass.consensus.leases import LeaseTerms
+from pebblepass.consensus.leases import LeaseTerms, ProcessId
 from pebblepass.consensus.quota_allocator import QuotaAllocator, QuotaPool, allocate
 from pebblepass.consensus.quota_leases import QuotaLeaseHolder
 from pebblepass.decisions.interface import NS_PER_S, FleetPolicy, Tenant
@@ -98,17 +98,17 @@
     def ask(self, router: int, now: int, seconds: float) -> None:
         """A router's question to every voter and their answers, 1 ms later; releases at once."""
         self.seqs[router] += 1
-        seq, holder, who = self.seqs[router], self.holders[router], (str(router), "b")
-        rows = self.demands[router].rows({NAME: self.guards[router].demand}, now)
+        seq, holder, who = self.seqs[router], self.holders[router], ProcessId(str(router), "b")
+        rows = self.demands[router].update({NAME: self.guards[router].demand}, now)
         for number, voter in enumerate(self.voters):
             if seconds >= SHIFT_S and number < self.dead:
                 continue
-            voter.asked(who, 1, holder.applied(str(number)), rows, now)
+            voter.request(who, 1, holder.applied_sequence(str(number)), rows, now)
             share = voter.grant(who, seq, now)
-            self.most_out = max(self.most_out, voter.out(NAME) / (self.pool.shared / VOTERS))
+            self.most_out = max(self.most_out, voter.outstanding(NAME) / (self.pool.shared / VOTERS))
             if holder.granted(str(number), seq, now, share):
                 voter.applied(who, 1, seq, now)
-        self.hold(router, dict(holder.held(now).rates).get(NAME, 0.0), now)
+        self.hold(router, dict(holder.total(now).rates).get(NAME, 0.0), now)
 
     def fetch(self, router: int, now: int, seconds: float) -> None:
         """One is wanted."""
@@ -148,7 +148,9 @@
                 heapify(queue)
             elif kind == 1:
                 self.ask(router, now, seconds)
-                heappush(queue, (seconds + TERMS.renewal / 1e9 * self.rng.uniform(0.8, 1.0), 1, router))
+                heappush(
+                    queue, (seconds + TERMS.renewal_interval / 1e9 * self.rng.uniform(0.8, 1.0), 1, router)
+                )
             else:
                 self.fetch(router, now, seconds)
                 heappush(queue, (seconds + self.rng.expovariate(means[router]), 0, router))
@@ -162,13 +164,13 @@
 
 def cost(routers: int) -> None:
     """Bytes of questions and answers, and what the rules take of a core, at a voter and at a router."""
-    questions = 1 / (TERMS.renewal / 1e9 * 0.9)  # a second, of a router to a voter
+    questions = 1 / (TERMS.renewal_interval / 1e9 * 0.9)  # a second, of a router to a voter
     sender = m.Sender("sofia-r0123", "0123456789ab", "", 0, 7, 7, 6, 6, 7, True)
     voter_says = m.Sender("sofia-c1", "0123456789ab", "sofia-c1.0123456789ab", 12, 7, 7, 6, 6, 7, True)
     for names in (0, 1, 10):
         rows = tuple((f"namespace{number:02d}", 12.345678) for number in range(names))
         asked = len(m.encode(m.Message(sender, m.LeaseRequest(4711, 7, 4710 if names else 0, rows))))
-        granted = len(m.encode(m.Message(voter_says, m.LeaseGrant(4711, 7, sender.boot, rows))))
+        granted = len(m.encode(m.Message(voter_says, m.LeaseGrant(4711, 7, sender.boot_id, rows))))
         applied = len(m.encode(m.Message(sender, m.QuotaLeaseApplied(4711, 7)))) if names else 0
         each = asked + granted + 8  # with the sizes of both frames
         most = each + (applied + 4 if names else 0)  # where every grant takes much away
@@ -191,13 +193,14 @@
             now, router = number * gap, number % routers
             begun = time.process_time()
             counts = {name: int(now / 1e9 * rng.uniform(5, 6)) for name, _ in rows}
-            told = demands[router].rows(counts, now)
+            told = demands[router].update(counts, now)
             asking = time.process_time()
-            voter.asked((str(router), "b"), 1, holders[router].applied("v"), told, now)
-            share = voter.grant((str(router), "b"), number + 1, now)
+            who = ProcessId(str(router), "b")
+            voter.request(who, 1, holders[router].applied_sequence("v"), told, now)
+            share = voter.grant(who, number + 1, now)
             granting = time.process_time()
             holders[router].granted("v", number + 1, now, share)
-            holders[router].held(now)
+            holders[router].total(now)
             at_router += time.process_time() - granting + asking - begun
             at_voter += granting - asking
         seconds = rounds * gap / 1e9
--- a/pebblepass/consensus/acceptor.py
+++ b/pebblepass/consensus/acceptor.py
@@ -30,7 +30,7 @@
 from pebblepass.consensus.records import AcceptRecord, PromiseRecord
 
 NO_BALLOT: Ballot = (0, "")
-TAKEOVER_DELAY = 0.25  # fraction of a lease without news, until another voter proposes an accepted value
+TAKEOVER_DELAY = 0.25  # fraction of a lease until another voter proposes an accepted value
 
 
 class Vote(Struct, frozen=True):
@@ -47,7 +47,7 @@
         self.promised: Ballot = NO_BALLOT
         self.accepted: Ballot | None = None
         self.value: Value | None = None
-        self._last_news_at = now
+        self._last_progress_at = now
 
     def restore(self, promised: Ballot, accepted: Ballot | None, value: Value | None) -> None:
         """Restore what a record holds."""
@@ -63,7 +63,7 @@
 
     def accept(self, request: Accept, now: int) -> Vote:
         """Vote on a value for the open version."""
-        self._last_news_at = now
+        self._last_progress_at = now
         if request.ballot < self.promised:
             return Vote(Rejected(request.version, request.ballot, self.promised[0]))
         self.promised = self.accepted = request.ballot
@@ -76,12 +76,12 @@
         self.promised, self.accepted, self.value = NO_BALLOT, None, None
 
     def version_decided(self, now: int) -> None:
-        """Open the next version, and note the time of the news."""
+        """Open the next version, and note the time of its decision."""
         self.reset()
-        self._last_news_at = now
+        self._last_progress_at = now
 
     def takeover_at(self, name: str, voters: Mapping[str, str], lease_ns: int) -> int | None:
-        """When this voter proposes the accepted value itself, without further news; None: there is none.
+        """When this voter proposes the accepted value, if its proposer does not; None: there is none.
 
         The voters' delays differ, in the order of their names, so that they do not compete.
         """
@@ -89,7 +89,7 @@
             return None
         order = sorted(voters)
         fraction = TAKEOVER_DELAY * (1 + order.index(name) / len(order))
-        return self._last_news_at + int(lease_ns * fraction)
+        return self._last_progress_at + int(lease_ns * fraction)
 
 
 def quorum(voters: Mapping[str, str], forming: bool) -> int:
--- a/pebblepass/consensus/change.py
+++ b/pebblepass/consensus/change.py
@@ -92,7 +92,7 @@
         self.may_be_accepted = takeover
         """Whether the value has been sent to be accepted: from then on it may be decided by any proposer."""
         self.check_requested: dict[str, None] = {}
-        """Routers that were asked to check the policy."""
+        """Routers to which a policy check was sent."""
         self.check_results: dict[str, str] = {}
         """Problem by router, empty where there is none."""
         self.due = started_at
@@ -113,5 +113,5 @@
         return next((f"{name}: {problem}" for name, problem in problems if problem), "")
 
     def is_checked(self) -> bool:
-        """Whether all routers that were asked have answered."""
+        """Whether all policy checks have been answered."""
         return self.check_requested.keys() <= self.check_results.keys()
--- a/pebblepass/consensus/commands.py
+++ b/pebblepass/consensus/commands.py
@@ -1,4 +1,4 @@
-"""`pebblepass policy`: propose, withdraw, and what a fleet holds, asked of any one router."""
+"""`pebblepass policy`: propose, withdraw, and what a fleet holds, requested from any one router."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import sys
 import tomllib
 from pathlib import Path
-from typing import Any
+from typing import Any, NoReturn
 
 import click
 import msgspec
@@ -16,43 +16,59 @@
 from pebblepass.wire.address import parse_address
 
 EXIT_REFUSED, EXIT_USAGE, EXIT_OPEN = 1, 2, 3
-PATIENCE_S = 40.0  # a router answers within 30
+EXIT_CODES = {"in force": 0, "refused": EXIT_REFUSED}
+TIMEOUT_S = 40.0  # a router answers within 30
+NOT_FOUND = 404
 
 
 class NoAnswerError(Exception):
-    """The router could not be asked; the text is one plain line."""
+    """The router gave no answer: it, or the way to it, is at fault. The text is one line."""
 
 
-def ask(router: str, method: str, call: str, body: bytes = b"") -> tuple[int, Any]:
-    """One call of a router's control address: the status and what it told; raises NoAnswerError."""
+class Answer(msgspec.Struct, frozen=True):
+    """A router's answer."""
+
+    status: int
+    """Of HTTP."""
+    content: Any
+    """The decoded JSON; None: the router has no such call."""
+
+
+def request(router: str, method: str, call: str, body: bytes = b"") -> Answer:
+    """Make one call of a router's control address; raises NoAnswerError, or ValueError for the address."""
     host, port = parse_address("--router", router)
-    connection = http.client.HTTPConnection(host, port, timeout=PATIENCE_S)
+    connection = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
     try:
         connection.request(method, f"/control/policy/{call}", body)
-        answer = connection.getresponse()
-        data = answer.read()
-        return answer.status, msgspec.json.decode(data) if answer.status != 404 else None
+        response = connection.getresponse()
+        data = response.read()
+        content = msgspec.json.decode(data) if response.status != NOT_FOUND else None
+        return Answer(response.status, content)
     except (OSError, http.client.HTTPException, msgspec.DecodeError) as error:
         raise NoAnswerError(f"{router}: {error or type(error).__name__}") from None
     finally:
         connection.close()
 
 
-def _asked(router: str, method: str, call: str, body: bytes = b"") -> tuple[int, Any]:
+def _request_or_exit(router: str, method: str, call: str, body: bytes = b"") -> Any:
     try:
-        status, told = ask(router, method, call, body)
+        answer = request(router, method, call, body)
     except (NoAnswerError, ValueError) as error:
-        _stop(str(error))
-    if told is None:
-        _stop(f"{router} belongs to no fleet: it has no [fleet] section")
-    return status, told
+        _exit(str(error))
+    if answer.content is None:
+        _exit(f"{router} belongs to no fleet: it has no [fleet] section")
+    return answer.content
 
 
-def _stop(line: str) -> Any:
+def _exit(line: str) -> NoReturn:
     click.echo(f"pebblepass: {line}", err=True)
     sys.exit(EXIT_USAGE)
 
 
+def _echo_json(content: Any) -> None:
+    click.echo(msgspec.json.encode(content).decode())
+
+
 _router = click.option("--router", required=True, help="HOST:PORT of a router's control address.")
 _json = click.option("--json", "as_json", is_flag=True, help="As JSON.")
 
@@ -62,15 +78,15 @@
     """What all routers of a fleet hold alike."""
 
 
-def _conclude(told: dict[str, Any], as_json: bool) -> None:
+def _exit_with_verdict(verdict: dict[str, Any], as_json: bool) -> NoReturn:
     if as_json:
-        click.echo(msgspec.json.encode(told).decode())
+        _echo_json(verdict)
     else:
-        for line in told["lines"]:
+        for line in verdict["lines"]:
             click.echo(line)
-        if told["state"] != "in force" and "change" in told:
-            click.echo(f"change {told['change']}")
-    sys.exit({"in force": 0, "refused": EXIT_REFUSED}.get(told["state"], EXIT_OPEN))
+        if verdict["state"] != "in force" and "change" in verdict:
+            click.echo(f"change {verdict['change']}")
+    sys.exit(EXIT_CODES.get(verdict["state"], EXIT_OPEN))
 
 
 @policy.command()
@@ -84,10 +100,11 @@
         data = file.read_bytes()
         read_policy(str(file), data)
     except OSError as error:
-        _stop(f"{file}: {error.strerror}")
+        _exit(f"{file}: {error.strerror}")
     except (PolicyError, tomllib.TOMLDecodeError) as error:
-        _stop(str(error))
-    _conclude(_asked(router, "POST", f"propose/{change or os.urandom(6).hex()}", data)[1], as_json)
+        _exit(str(error))
+    call = f"propose/{change or os.urandom(6).hex()}"
+    _exit_with_verdict(_request_or_exit(router, "POST", call, data), as_json)
 
 
 @policy.command()
@@ -97,7 +114,8 @@
 @_json
 def withdraw(change: str, router: str, who: str, as_json: bool) -> None:
     """Withdraw CHANGE, if it is not decided yet. Exit codes as with `propose`."""
-    _conclude(_asked(router, "POST", f"withdraw/{change}", who.encode())[1], as_json)
+    verdict = _request_or_exit(router, "POST", f"withdraw/{change}", who.encode())
+    _exit_with_verdict(verdict, as_json)
 
 
 @policy.command()
@@ -105,40 +123,44 @@
 @_json
 def status(router: str, as_json: bool) -> None:
     """What a router holds, and the others as it sees them."""
-    told = _asked(router, "GET", "status")[1]
+    report = _request_or_exit(router, "GET", "status")
     if as_json:
-        click.echo(msgspec.json.encode(told).decode())
+        _echo_json(report)
         return
-    lease = f"in force for {told['lease_ms']} ms" if told["in_force"] else "not in force here: at the floor"
-    click.echo(f"{told['router']}: version {told['version']}, {lease}")
-    shares = told.get("shares", {})
-    if shares.get("on"):
-        held = ", ".join(f"{name} {amount:.4g} a second" for name, amount in shares["per_s"].items())
-        click.echo(
-            f"beyond its floors: {held or 'nothing'}" + (f"; {shares['why']}" if shares["why"] else "")
-        )
-    if told["problem"]:
-        click.echo(f"it can't be used here: {told['problem']}")
-    if told["open"]:
-        click.echo(f"open: change {told['open']}")
-    click.echo(f"voters: {', '.join(told['voters'])}; {told['needed']} decide")
-    for name, row in told["routers"].items():
+    lease = f"in force for {report['lease_ms']} ms"
+    if not report["in_force"]:
+        lease = "not in force here: at the floor"
+    click.echo(f"{report['router']}: version {report['version']}, {lease}")
+    _echo_quota_leases(report.get("shares", {}))
+    if report["problem"]:
+        click.echo(f"it can't be used here: {report['problem']}")
+    if report["open"]:
+        click.echo(f"open: change {report['open']}")
+    click.echo(f"voters: {', '.join(report['voters'])}; {report['needed']} decide")
+    for name, row in report["routers"].items():
         age = "" if row.get("age_ms", 0) <= 0 else f", heard {row['age_ms']} ms ago"
         click.echo(f"{name}: {row.get('state', 'unknown')}, under version {row['version']}{age}")
 
 
+def _echo_quota_leases(report: dict[str, Any]) -> None:
+    if not report.get("on"):
+        return
+    rates = ", ".join(f"{name} {rate:.4g} a second" for name, rate in report["per_s"].items())
+    reason = f"; {report['why']}" if report["why"] else ""
+    click.echo(f"beyond its floors: {rates or 'nothing'}{reason}")
+
+
 @policy.command()
 @_router
 @_json
 def history(router: str, as_json: bool) -> None:
     """The last versions, the newest first: who, why, and what changed."""
-    told = _asked(router, "GET", "history")[1]
+    rows = _request_or_exit(router, "GET", "history")
     if as_json:
-        click.echo(msgspec.json.encode(told).decode())
+        _echo_json(rows)
         return
-    for row in told:
-        click.echo(
-            f"{row['version']}: {row['kind']} by {row['who'] or 'nobody'} at {row['by']}: {row['why']}"
-        )
+    for row in rows:
+        author = row["who"] or "nobody"
+        click.echo(f"{row['version']}: {row['kind']} by {author} at {row['by']}: {row['why']}")
         for line in row["difference"]:
             click.echo(f"    {line}")
--- a/pebblepass/consensus/disk_identity.py
+++ b/pebblepass/consensus/disk_identity.py
@@ -13,7 +13,7 @@
 | state of another voter's disk | event | guard | next |
 | --- | --- | --- | --- |
 | any | message | another disk id, a later start, or the same run | known start |
-| known start | message | fewer starts, or as many by another run | stale: reported to it, and not heard |
+| known start | message | fewer starts, or as many by another run | stale: reported, and granted no lease |
 | known start | message | another run, and less synced than was known | stale likewise |
 """
 
--- a/pebblepass/consensus/errors.py
+++ b/pebblepass/consensus/errors.py
@@ -12,8 +12,8 @@
     """The fleet has not formed yet."""
     NO_STORAGE = auto()
     """A proposed voter keeps no disk; the subject is its name."""
-    NEVER_HEARD = auto()
-    """A proposed voter was never heard; the subject is its name."""
+    NEVER_CONNECTED = auto()
+    """No message of a proposed voter has arrived yet; the subject is its name."""
     NO_VOTERS = auto()
     """No voter would be left."""
     ALREADY_DECIDED = auto()
--- a/pebblepass/consensus/learner.py
+++ b/pebblepass/consensus/learner.py
@@ -22,7 +22,7 @@
 from pebblepass.consensus.records import DecisionRecord
 
 HISTORY_VERSIONS = 32
-REPEATS_PER_LEASE = 4  # how often a router is told the same at most
+REPEATS_PER_LEASE = 4  # how often the same is announced to a router at most
 REMEMBERED_ANNOUNCEMENTS = 4096
 NEVER = -(1 << 62)
 
@@ -92,6 +92,14 @@
         self.history.append(value)
         self.decided_changes[value.version] = value.change_id
 
+    def restore_history(
+        self, decided: m.Value, history: Iterable[m.Value], changes: Iterable[tuple[int, str]]
+    ) -> None:
+        """Restore the versions that a snapshot holds."""
+        self.decided = decided
+        self.history.extend(history)
+        self.decided_changes = dict(changes)
+
     def restored(self) -> None:
         """Finish the recovery: all that was restored is on the disk."""
         self.durable_version = self.decided.version
@@ -132,7 +140,7 @@
         return m.VersionDecided(self.decided, tuple(sorted(self.decided_changes.items())))
 
     def catch_up(self, sender: m.Sender, interval_ns: int) -> None:
-        """Announce the decided version to a sender that is behind; ask one that is ahead for its own.
+        """Announce the decided version to a sender that is behind; request that of one that is ahead.
 
         The same is sent to one run of a process once an interval at most.
         """
--- a/pebblepass/consensus/lease_client.py
+++ b/pebblepass/consensus/lease_client.py
@@ -21,14 +21,14 @@
 from pebblepass.consensus.learner import Learner
 from pebblepass.consensus.leases import LeaseHolder
 from pebblepass.consensus.outbox import Outbox
-from pebblepass.consensus.quota_leases import NO_QUOTA, HeldQuota, QuotaLeaseHolder
+from pebblepass.consensus.quota_leases import NO_QUOTA, Quota, QuotaLeaseHolder
 from pebblepass.consensus.setup import RandomSource, ReplicaSetup
 
 LEAST_RENEWAL, MOST_RENEWAL = 0.8, 1.0  # fractions of the renewal interval; keeps routers out of step
 
 
 class _Release(Struct, frozen=True):
-    """A message that frees what a router held before its new quota lease."""
+    """A message that frees what exceeds a router's new quota lease."""
 
     name: str
     boot_id: str
@@ -55,7 +55,7 @@
         """Until when the router may admit under the decided version, in nanoseconds of its clock."""
         self.renew_at = outbox.now
         """When the leases are requested next."""
-        self._quota: HeldQuota = NO_QUOTA
+        self._quota: Quota = NO_QUOTA
         self._releases: list[_Release] = []
         self._last_leased_version = 0
 
@@ -67,9 +67,9 @@
         """Return the version that it holds a lease on; 0: none."""
         return self._learner.version if self.may_admit(now) else 0
 
-    def held_quota(self, now: int) -> HeldQuota:
+    def current_quota(self, now: int) -> Quota:
         """Return what it may fetch beyond its floors."""
-        return self.quota_holder.held(now) if self.may_admit(now) else NO_QUOTA
+        return self.quota_holder.total(now) if self.may_admit(now) else NO_QUOTA
 
     def begin(self) -> None:
         """Begin the version that has just been decided, and release all on the one before."""
@@ -125,7 +125,7 @@
         until = self._holder.until(learner.voters, learner.quorum_size) if learner.version else 0
         if learner.problem:
             until = 0
-        quota = self.quota_holder.held(now) if until else NO_QUOTA
+        quota = self.quota_holder.total(now) if until else NO_QUOTA
         if until == self.until and quota == self._quota:
             return
         self._note_quota(quota)
@@ -140,7 +140,7 @@
             first_leased()
         self._outbox.emit(PolicyActivated(learner.decided, until, quota.rates, quota.until))
 
-    def _note_quota(self, quota: HeldQuota) -> None:
+    def _note_quota(self, quota: Quota) -> None:
         before, self._quota = self._quota, quota
         if bool(before.rates) != bool(quota.rates):
             event = "shares" if quota.rates else "no shares"
@@ -148,7 +148,7 @@
             self._outbox.note(event, self._learner.version, cause=amounts)
 
     def send_releases(self) -> bool:
-        """Free what was held before smaller quota leases; return whether there was any.
+        """Free what exceeds the new quota leases; return whether there was any.
 
         Danger: to be called after the policy is activated. Freed before, another router could get what this
         one still admits by.
--- a/pebblepass/consensus/lease_server.py
+++ b/pebblepass/consensus/lease_server.py
@@ -116,7 +116,7 @@
         """Note that a version is closed."""
         self.closed_version = version
         if self._disk.disk_id:
-            # The voters of that version may be gone for good when this router restarts: nobody could tell it.
+            # The voters of that version may have left for good when this router restarts.
             self._outbox.write(ClosedRecord(version))
         self._outbox.note("closed", version)
 
--- a/pebblepass/consensus/messages.py
+++ b/pebblepass/consensus/messages.py
@@ -1,7 +1,7 @@
 """Messages between the routers of a fleet, and the values that they agree on. No I/O.
 
-The encoded names and tags are the wire form: stated here once, by `rename` and `tag`, and held by the frozen
-bytes in `tests/compatibility`. Records of the log are in `records`.
+The encoded names and tags are the wire form: defined here once, by `rename` and `tag`, and pinned by the
+frozen bytes in `tests/compatibility`. Records of the log are in `records`.
 """
 
 from __future__ import annotations
@@ -198,7 +198,7 @@
 
 
 class PolicyCheck(msgspec.Struct, frozen=True, tag="check"):
-    """Ask whether a router can use this value's policy."""
+    """Query whether a router can use this value's policy."""
 
     value: Value
 
@@ -230,7 +230,7 @@
 
 
 class Accept(msgspec.Struct, frozen=True, tag="accept"):
-    """Ask a voter to accept this value."""
+    """Propose this value to a voter for acceptance."""
 
     version: int
     ballot: Ballot
@@ -255,7 +255,7 @@
 
 
 class Rejoin(msgspec.Struct, frozen=True, tag="join"):
-    """A voter has another disk than the fleet knows, and asks to be admitted with it."""
+    """A voter has another disk than the fleet knows, and requests to be admitted with it."""
 
 
 class StaleDisk(msgspec.Struct, frozen=True, tag="stale", rename={"boot_id": "boot", "start_count": "boots"}):
@@ -278,13 +278,13 @@
 
 
 class LivenessQuery(msgspec.Struct, frozen=True, tag="ask"):
-    """Ask when a router was last heard."""
+    """Query when a router's last heartbeat arrived."""
 
     name: str
 
 
 class LivenessReport(msgspec.Struct, frozen=True, tag="heard", rename={"age_ns": "age"}):
-    """Report when a router was last heard."""
+    """Report when a router's last heartbeat arrived."""
 
     name: str
     age_ns: int
--- a/pebblepass/consensus/peer_table.py
+++ b/pebblepass/consensus/peer_table.py
@@ -20,15 +20,15 @@
         self._states[sender.name] = sender
 
     def state(self, name: str) -> m.Sender | None:
-        """Return the state that a router sent last; None: it was never heard."""
+        """Return the state that a router sent last; None: nothing was received from it."""
         return self._states.get(name)
 
     def is_alive(self, name: str, now: int) -> bool:
-        """Whether the router is heard."""
+        """Whether the router's heartbeats arrive."""
         return self.detector.is_alive(name, now)
 
     def alive(self, names: list[str], now: int) -> list[str]:
-        """Return those of these routers that are heard."""
+        """Return those of these routers that are alive."""
         return [name for name in names if self.detector.is_alive(name, now)]
 
     def leased_version(self, name: str) -> int:
--- a/pebblepass/consensus/policy.py
+++ b/pebblepass/consensus/policy.py
@@ -1,6 +1,6 @@
 """The policy that all routers of a fleet hold alike: its schema, its checks, and how two differ.
 
-The keys of the file are stated here once, by `rename`; error texts name those keys.
+The keys of the file are defined here once, by `rename`; error texts name those keys.
 """
 
 from __future__ import annotations
--- a/pebblepass/consensus/proposals.py
+++ b/pebblepass/consensus/proposals.py
@@ -3,8 +3,8 @@
 | event | guard | what follows |
 | --- | --- | --- |
 | proposal | its change has a final verdict, or is decided | the same verdict |
-| proposal | this router has no vote; a voter is heard | forwarded to a voter |
-| proposal | this router has no vote; none is heard, or it was forwarded here | refused |
+| proposal | this router has no vote; a voter is alive | forwarded to a voter |
+| proposal | this router has no vote; none is alive, or it was forwarded here | refused |
 | proposal | it withdraws the change under way, which can't have been accepted | that change is refused |
 | proposal | another change is under way, not decided | refused |
 | proposal | it can't become a version, or there is no quorum | refused |
@@ -62,7 +62,7 @@
         voters, now = self._learner.voters, self._outbox.now
         alive = self._peers.alive(sorted(voters), now)
         if self._verdicts.is_received(proposal.change_id) or not alive:
-            self._verdicts.refuse(proposal.change_id, texts.no_voter_heard(voters))
+            self._verdicts.refuse(proposal.change_id, texts.no_live_voter(voters))
             return
         until = now + 2 * self._proposer.conclusion_ns
         self._verdicts.forward(proposal, alive[self._rng.randrange(len(alive))], until)
@@ -137,7 +137,7 @@
             disk_id = self._disk.disk_id
         if name not in members or not disk_id:
             is_known = self._peers.state(name) is not None
-            reason = RejectionReason.NO_STORAGE if is_known else RejectionReason.NEVER_HEARD
+            reason = RejectionReason.NO_STORAGE if is_known else RejectionReason.NEVER_CONNECTED
             raise ProposalRejectedError(reason, name)
         return disk_id
 
--- a/pebblepass/consensus/proposer.py
+++ b/pebblepass/consensus/proposer.py
@@ -158,10 +158,10 @@
             timeout = self._terms.granter_duration + self._terms.renewal_interval
             change.due = change.deadline = self._outbox.now + timeout
         elif other is None and change.may_be_accepted:
-            # Danger: it may have been decided, and more after it, while this router heard nothing.
+            # Danger: it may have been decided, and more after it, while this router received nothing.
             self.change = None
             if not change.takeover:
-                lines = (texts.version_unheard(version),)
+                lines = (texts.version_missed(version),)
                 self._verdicts.conclude(m.Verdict(change_id, "open", version, lines))
         else:
             author = decided.author if decided.version == version else None
--- a/pebblepass/consensus/quota_allocator.py
+++ b/pebblepass/consensus/quota_allocator.py
@@ -10,7 +10,7 @@
 | held | event | guard | next |
 | --- | --- | --- | --- |
 | nothing | request, version in force | not quiet, some of the part is not outstanding | grant k |
-| grants j..k, the largest counts | request | some of the part is free, beside these | grants j..k+1 |
+| grants j..k, the largest counts | request | some of the part is free besides | grants j..k+1 |
 | grants j..k | request or message that i was applied | j <= i <= k | grants i..k |
 | grants j..k | clock | j has expired | grants j+1..k |
 | grants j..k | request on a later version | - | nothing: the router has released them |
--- a/pebblepass/consensus/quota_leases.py
+++ b/pebblepass/consensus/quota_leases.py
@@ -21,7 +21,7 @@
 from pebblepass.consensus.leases import LeaseTerms
 from pebblepass.consensus.quota_allocator import Rates
 
-SIGNIFICANT_LOSS = 1 / 16  # fraction of what it held: a router that loses more reports the new lease at once
+SIGNIFICANT_LOSS = 1 / 16  # fraction of a quota lease; a router that loses more reports the new one at once
 EXPIRY_MARGIN = 1 / 8  # fraction of a lease; one that expires so soon is dropped before the others are
 
 
@@ -31,7 +31,7 @@
     rates: Rates
 
 
-class HeldQuota(Struct, frozen=True):
+class Quota(Struct, frozen=True):
     """What a router may fetch beyond its floors, and until when."""
 
     rates: Rates = ()
@@ -39,7 +39,7 @@
     """Nanoseconds of the router's clock."""
 
 
-NO_QUOTA = HeldQuota()
+NO_QUOTA = Quota()
 
 
 class QuotaLeaseHolder:
@@ -71,7 +71,7 @@
         """Return the request whose grant of this voter was applied last; 0: none."""
         return self._leases[voter].sequence if voter in self._leases else 0
 
-    def held(self, now: int) -> HeldQuota:
+    def total(self, now: int) -> Quota:
         """Sum up the leases; those that expire soon are left out."""
         earliest = now + int(self._terms.holder_duration * EXPIRY_MARGIN)
         valid = [lease for lease in self._leases.values() if lease.expires_at > earliest]
@@ -79,7 +79,7 @@
         for lease in valid:
             for name, amount in lease.rates:
                 total[name] = total.get(name, 0.0) + amount
-        return HeldQuota(tuple(sorted(total.items())), min((lease.expires_at for lease in valid), default=0))
+        return Quota(tuple(sorted(total.items())), min((lease.expires_at for lease in valid), default=0))
 
     def due(self, now: int) -> int | None:
         """When the next lease is left out; None: there is none."""
--- a/pebblepass/consensus/records.py
+++ b/pebblepass/consensus/records.py
@@ -1,7 +1,7 @@
 """Durable records of a router's consensus log. No I/O.
 
-The encoded names and tags are the form on disk. They are stated here once, by `rename` and `tag`, and held by
-the frozen bytes in `tests/compatibility`.
+The encoded names and tags are the form on disk: defined here once, by `rename` and `tag`, and pinned by the
+frozen bytes in `tests/compatibility`.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
     version: int
 
 
-class DiskStart(msgspec.Struct, frozen=True, array_like=True):
+class DiskStart(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     """A start of a process from a voter's disk; encoded as an array."""
 
     disk_id: str
--- a/pebblepass/consensus/replica.py
+++ b/pebblepass/consensus/replica.py
@@ -29,17 +29,8 @@
 from pebblepass.consensus.proposer import Proposer
 from pebblepass.consensus.quota_allocator import QuotaAllocator
 from pebblepass.consensus.quota_leases import QuotaLeaseHolder
-from pebblepass.consensus.records import (
-    AcceptRecord,
-    ClosedRecord,
-    DecisionRecord,
-    DiskStart,
-    PeerStartRecord,
-    PromiseRecord,
-    Record,
-    SnapshotRecord,
-    StartRecord,
-)
+from pebblepass.consensus.records import Record, SnapshotRecord
+from pebblepass.consensus.recovery import Recovery
 from pebblepass.consensus.setup import RandomSource, ReplicaSetup
 from pebblepass.consensus.verdicts import Verdicts
 
@@ -53,6 +44,7 @@
     lease_server_class = LeaseServer
     quota_allocator_class = QuotaAllocator
     quota_holder_class = QuotaLeaseHolder
+    recovery_class = Recovery
     """The parts; fault injection replaces one by a mutant."""
 
     def __init__(
@@ -64,41 +56,60 @@
     ) -> None:
         """`records`: what its disk holds; None: nothing, or there is no disk."""
         self.setup, self.name = setup, setup.name
-        random_source = rng or random.Random(f"{setup.seed} {setup.name} {setup.boot_id}")
-        self._outbox = outbox = self.outbox_class(setup.name, self._sender, now)
-        self.learner = learner = Learner(setup.name, setup.genesis, setup.check, outbox)
+        self._outbox = self.outbox_class(setup.name, self._sender, now)
+        self.learner = Learner(setup.name, setup.genesis, setup.check, self._outbox)
         self.acceptor = Acceptor(now)
-        self.disk = self.disk_identity_class(setup.name, setup.boot_id, setup.new_disk_id, outbox)
+        self.disk = self.disk_identity_class(setup.name, setup.boot_id, setup.new_disk_id, self._outbox)
         self.peers = PeerTable(setup.terms.renewal_interval, now)
-        self._verdicts = Verdicts(outbox)
-        restarted = bool(records)
-        allocator = self.quota_allocator_class(setup.terms, now, restarted=restarted)
-        self.lease_server = self.lease_server_class(
-            setup, learner, self.disk, self.peers, outbox, allocator, restarted
-        )
+        self._verdicts = Verdicts(self._outbox)
+        self.lease_server = self._create_lease_server(restarted=bool(records))
+        self._recovery = self.recovery_class(self.learner, self.acceptor, self.disk, self.lease_server)
         for record in records or ():
-            self.restore(record)
-        learner.restored()
+            self._recovery.restore(record)
+        self.learner.restored()
+        rng = rng or random.Random(f"{setup.seed} {setup.name} {setup.boot_id}")
         quota_holder = self.quota_holder_class(setup.terms)
-        self.lease_client = client = LeaseClient(setup, learner, outbox, random_source, quota_holder)
-        self.proposer = self.proposer_class(
-            setup,
-            learner,
+        self.lease_client = LeaseClient(setup, self.learner, self._outbox, rng, quota_holder)
+        self.proposer = self._create_proposer(rng)
+        self._proposals = self._create_proposals(rng)
+        self._membership = self._create_membership()
+        self.learner.check_decided(self.learner.decided)
+
+    def _create_lease_server(self, restarted: bool) -> LeaseServer:
+        allocator = self.quota_allocator_class(self.setup.terms, self._outbox.now, restarted=restarted)
+        return self.lease_server_class(
+            self.setup, self.learner, self.disk, self.peers, self._outbox, allocator, restarted
+        )
+
+    def _create_proposer(self, rng: RandomSource) -> Proposer:
+        return self.proposer_class(
+            self.setup,
+            self.learner,
             self.acceptor,
             self.lease_server,
-            client,
+            self.lease_client,
             self.peers,
             self._verdicts,
-            outbox,
-            random_source,
+            self._outbox,
+            rng,
         )
-        self._proposals = Proposals(
-            setup.name, learner, self.disk, self.peers, self.proposer, self._verdicts, outbox, random_source
+
+    def _create_proposals(self, rng: RandomSource) -> Proposals:
+        return Proposals(
+            self.name,
+            self.learner,
+            self.disk,
+            self.peers,
+            self.proposer,
+            self._verdicts,
+            self._outbox,
+            rng,
         )
-        self._membership = Membership(
-            setup, learner, self.disk, self.acceptor, self.peers, self.proposer, outbox
+
+    def _create_membership(self) -> Membership:
+        return Membership(
+            self.setup, self.learner, self.disk, self.acceptor, self.peers, self.proposer, self._outbox
         )
-        learner.check_decided(learner.decided)
 
     @property
     def decided(self) -> m.Value:
@@ -116,48 +127,7 @@
 
     def snapshot(self) -> SnapshotRecord:
         """Return all that the log has to hold, in one record."""
-        acceptor, learner = self.acceptor, self.learner
-        return SnapshotRecord(
-            self.disk.disk_id,
-            self.disk.start_count,
-            learner.decided,
-            acceptor.promised,
-            acceptor.accepted,
-            acceptor.value,
-            dict(self.disk.peer_starts),
-            tuple(learner.history),
-            self.lease_server.closed_version,
-            tuple(learner.decided_changes.items()),
-        )
-
-    def restore(self, record: Record) -> None:
-        """Restore the state that a record holds."""
-        match record:
-            case SnapshotRecord():
-                self._restore_snapshot(record)
-            case StartRecord():
-                self.disk.restore(record.disk_id, record.start_count)
-            case PromiseRecord():
-                self.acceptor.promised = record.ballot
-            case AcceptRecord():
-                self.acceptor.restore(record.ballot, record.ballot, record.value)
-            case DecisionRecord():
-                self.learner.restore_decision(record.value)
-                self.acceptor.reset()
-            case ClosedRecord():
-                self.lease_server.restore_closed(record.version)
-            case PeerStartRecord():
-                start = DiskStart(record.disk_id, record.start_count, record.boot_id)
-                self.disk.peer_starts[record.name] = start
-
-    def _restore_snapshot(self, record: SnapshotRecord) -> None:
-        self.disk.restore(record.disk_id, record.start_count)
-        self.disk.peer_starts = dict(record.peer_starts)
-        self.learner.decided = record.decided
-        self.learner.history.extend(record.history)
-        self.learner.decided_changes = dict(record.decided_changes)
-        self.acceptor.restore(record.promised or (0, ""), record.accepted, record.value)
-        self.lease_server.restore_closed(record.closed_version)
+        return self._recovery.snapshot()
 
     # Events
 
@@ -251,7 +221,7 @@
     def _take(self, message: m.Message) -> None:
         sender, body = message.sender, message.body
         if sender.name != self.name:
-            self._heard(sender)
+            self._update_peer(sender)
             is_renewal = isinstance(body, m.LeaseRequest | m.Heartbeat)
             if is_renewal and not (sender.start_confirmed or self.disk.is_stale(sender)):
                 self._outbox.send(sender.name, m.StartConfirmed(sender.boot_id), sender.boot_id)
@@ -259,7 +229,7 @@
             self._take_change_message(sender, body)
         self._settle()
 
-    def _heard(self, sender: m.Sender) -> None:
+    def _update_peer(self, sender: m.Sender) -> None:
         """Take the sender's state, which every message carries."""
         now, learner = self._outbox.now, self.learner
         if not self.peers.is_alive(sender.name, now):
--- a/pebblepass/consensus/reports.py
+++ b/pebblepass/consensus/reports.py
@@ -50,7 +50,7 @@
     if not replica.decided.policy.store.uses_leases:
         return {"on": False}
     client, server = replica.lease_client, replica.lease_server
-    quota = client.held_quota(now)
+    quota = client.current_quota(now)
     report: dict[str, object] = {
         "on": True,
         "per_s": dict(quota.rates),
--- a/pebblepass/consensus/texts.py
+++ b/pebblepass/consensus/texts.py
@@ -14,7 +14,7 @@
             return "the fleet has not formed yet: each of its voters has to be up once"
         case RejectionReason.NO_STORAGE:
             return f"{error.subject} can't be a voter: it keeps no disk"
-        case RejectionReason.NEVER_HEARD:
+        case RejectionReason.NEVER_CONNECTED:
             return f"{error.subject} can't be a voter: it was never heard"
         case RejectionReason.NO_VOTERS:
             return "no voter would be left"
@@ -29,13 +29,13 @@
     return f"{', '.join(missing)} can't be reached; {needed} of {voters} voters are needed"
 
 
-def no_voter_heard(voters: Iterable[str]) -> str:
-    """Return that no voter is heard."""
+def no_live_voter(voters: Iterable[str]) -> str:
+    """Return that no voter is alive."""
     return f"no voter is heard: {', '.join(sorted(voters))}"
 
 
 def missing_router(age_ns: int, is_alive: bool) -> str:
-    """Return why a router holds no lease on the decided version; `age_ns` below 0: it was never heard."""
+    """Return why a router holds no lease on the decided version; `age_ns` below 0: no heartbeat yet."""
     if is_alive:
         return "heard, and holds no lease on it yet"
     last = "never heard" if age_ns < 0 else f"not heard for {age_ns / 1e9:.1f} s"
@@ -47,8 +47,8 @@
     return f"open: {', '.join(missing)} have not answered; it ends once {needed} voters are back"
 
 
-def version_unheard(version: int) -> str:
-    """Return that a change's version was decided while this router heard nothing."""
+def version_missed(version: int) -> str:
+    """Return that a change's version was decided while this router received nothing."""
     return f"open: version {version} has gone by unheard; see the history"
 
 
--- a/pebblepass/fault_injection/broken.py
+++ b/pebblepass/fault_injection/broken.py
@@ -15,6 +15,7 @@
 from pebblepass.consensus.quota_allocator import QuotaAllocator, QuotaPool, Rates
 from pebblepass.consensus.quota_leases import QuotaLeaseHolder
 from pebblepass.consensus.records import Record, read_record
+from pebblepass.consensus.recovery import Recovery
 from pebblepass.consensus.replica import Replica
 from pebblepass.fault_injection.disk import PowerDisk
 from pebblepass.storage.log import Log, decode_batch
@@ -60,6 +61,13 @@
         return Hasty
 
 
+class _ForgetfulRecovery(Recovery):
+    def restore(self, record: Record) -> None:
+        """Leave out promises and what was accepted."""
+        super().restore(record)
+        self._acceptor.reset()
+
+
 class _Forgets(Variant):
     """What was promised is forgotten at a restart."""
 
@@ -67,9 +75,7 @@
 
     def replica(self, sound: type[Replica]) -> type[Replica]:
         class Forgetful(sound):  # type: ignore[valid-type, misc]
-            def restore(self, record: Record) -> None:
-                super().restore(record)
-                self.acceptor.reset()
+            recovery_class = _ForgetfulRecovery
 
         return Forgetful
 
--- a/pebblepass/peers/failure_detector.py
+++ b/pebblepass/peers/failure_detector.py
@@ -61,12 +61,12 @@
 
     def to_query(self, names: Iterable[str], now: int) -> list[str]:
         """Return those of these routers that others are to be queried about now, and note the query."""
-        patience = MISSED_HEARTBEATS * self._interval
+        timeout = MISSED_HEARTBEATS * self._interval
         found = []
         for name in names:
-            is_missing = not self.is_alive(name, now) and now - self._started_at > patience
-            # Repeated: it may be back where this router doesn't hear it.
-            if is_missing and now - self._queried_at.get(name, NEVER) > patience:
+            is_missing = not self.is_alive(name, now) and now - self._started_at > timeout
+            # Repeated: it may be back where its heartbeats don't reach this router.
+            if is_missing and now - self._queried_at.get(name, NEVER) > timeout:
                 self._queried_at[name] = now
                 found.append(name)
         return found
@@ -84,8 +84,8 @@
         return Liveness.DOWN
 
     def _is_query_open(self, name: str, queried_at: int, now: int) -> bool:
-        begun_at = max(queried_at, self._last_heartbeat.get(name, 0))
-        return now - begun_at <= QUERY_INTERVALS * self._interval
+        waiting_since = max(queried_at, self._last_heartbeat.get(name, 0))
+        return now - waiting_since <= QUERY_INTERVALS * self._interval
 
     def _is_long_missing(self, name: str, now: int) -> bool:
         """Whether an earlier query has already been answered by nobody."""
--- a/pebblepass/peers/links.py
+++ b/pebblepass/peers/links.py
@@ -32,7 +32,7 @@
 VERSION = 1  # of the messages between routers
 MAX_MESSAGE_BYTES = 4 << 20  # of one message
 MAX_QUEUED_BYTES = 1 << 20  # bytes that wait for a slow peer; what comes beyond is dropped, as a cut would
-HELLO_TIMEOUT_S = 2.0  # in which a newcomer says who it is
+HELLO_TIMEOUT_S = 2.0  # until a new connection has sent its hello
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 2.0
 MAX_UNIDENTIFIED = 32  # connections without a hello, beyond the places of members that are not connected
 BACKLOG = 2048  # connections that wait to be accepted: after a voter's start all of a fleet dial it at once
@@ -66,14 +66,14 @@
         """`expected`: the name of the router that was dialled."""
         self._links, self.expected = links, expected
         self.name = ""
-        """Who is on the other side; empty until it has said so."""
+        """The router on the other side; empty before its hello."""
         self.boot_id = ""
         self._transport: asyncio.Transport | None = None
         self._buffer = b""
         self._hello_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Say who we are."""
+        """Send the hello."""
         wire = self._transport = cast(asyncio.Transport, transport)
         self._hello_timer = self._links.loop.call_later(HELLO_TIMEOUT_S, self.close, "no hello")
         if not self._links.connected(self):
@@ -82,7 +82,7 @@
         wire.write(framed(_encode(Hello(self._links.fleet, VERSION, self._links.name, self._links.boot_id))))
 
     def data_received(self, data: bytes) -> None:
-        """Cut what came into messages."""
+        """Split the received bytes into messages."""
         self._buffer += data
         while len(self._buffer) >= 4 and self._transport is not None:
             size = struct.unpack_from("<I", self._buffer)[0]
@@ -127,7 +127,7 @@
         return True
 
     def close(self, reason: str = "") -> None:
-        """End it."""
+        """Close the link; `reason` is counted and logged."""
         if self._transport is not None and not self._transport.is_closing():
             if reason:
                 self._links.closed[reason.partition(":")[0]] += 1
@@ -137,7 +137,7 @@
             self._transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It is over."""
+        """Report the end of the link."""
         self._transport = None
         if self._hello_timer is not None:
             self._hello_timer.cancel()
@@ -212,22 +212,22 @@
             backoff = min(backoff * 2, MAX_BACKOFF_S)
 
     def connected(self, link: Link) -> bool:
-        """A connection is there; False: too many have not said who they are."""
+        """Take a new connection; return False if too many are not identified yet."""
         if link.expected:
             return True
         self._unidentified.add(link)
-        # All of a fleet may come before one of them is read: those that are missing have places of their own.
+        # All of a fleet may connect before one hello is read: absent members have slots reserved.
         missing = max(self.expected() - len(self._accepted), 0)
         return len(self._unidentified) <= MAX_UNIDENTIFIED + missing
 
     def identified(self, link: Link) -> None:
-        """The other side has said who it is; the newest link to a router counts."""
+        """Take a link's hello; the newest link to a router counts."""
         self._unidentified.discard(link)
         (self._dialled if link.expected else self._accepted)[link.name] = link
         self._by_run[link.name, link.boot_id] = link
 
     def disconnected(self, link: Link) -> None:
-        """A link is over."""
+        """Forget a link that is closed."""
         self._unidentified.discard(link)
         for table in (self._dialled, self._accepted):
             if table.get(link.name) is link:
@@ -256,7 +256,7 @@
             meant.send(message)
 
     def close(self) -> None:
-        """End all."""
+        """Close all links and stop dialling."""
         self.stop_listening()
         for task in self._dialling.values():
             task.cancel()
--- a/pebblepass/storage/log.py
+++ b/pebblepass/storage/log.py
@@ -69,7 +69,7 @@
         """Replace the log by one with these records; they are durable on return. Raises OSError."""
         data = encode_header(self._header) + encode_frame(encode_batch(records))
         replace_file(self._disk, self._name, data)
-        # Danger: a log whose name is not durable may be gone after a power loss, with all that it promised.
+        # Danger: a log whose name is not durable may be lost after a power loss, with all that it promised.
         self._disk.sync_directory()
         self._size = self._snapshot_size = len(data)
         self._failed = False
@@ -82,7 +82,7 @@
     def append(self, records: list[bytes]) -> None:
         """Append records, all or none; they are durable on return.
 
-        Raises OSError: then only `write_snapshot` goes on.
+        Raises OSError: then only `write_snapshot` can continue.
         """
         if self._failed:
             raise OSError(errno.EIO, "not written since a write failed; it has to be begun anew")
--- a/tests/consensus/test_quota_leases.py
+++ b/tests/consensus/test_quota_leases.py
@@ -15,7 +15,7 @@
 from pebblepass.consensus.leases import LeaseTerms, ProcessId
 from pebblepass.consensus.policy import NamespacePolicy, Policy, PolicyChecker, StorePolicy, read_policy
 from pebblepass.consensus.quota_allocator import QuotaAllocator, QuotaPool, allocate
-from pebblepass.consensus.quota_leases import HeldQuota, QuotaLeaseHolder
+from pebblepass.consensus.quota_leases import Quota, QuotaLeaseHolder
 from pebblepass.decisions.interface import RequestClass, Settings, Tenant
 
 SECOND = 1_000_000_000
@@ -102,7 +102,7 @@
     def held(self) -> dict[str, float]:
         total = dict.fromkeys(POOLS, 0.0)
         for router, holder in enumerate(self.holders):
-            quota = holder.held(self.clock(router))
+            quota = holder.total(self.clock(router))
             if self.clock(router) < quota.until:
                 for name, amount in quota.rates:
                     total[name] += amount
@@ -210,9 +210,9 @@
     voter.begin(1, POOLS, 1)
     voter.request(ProcessId("r1", "b"), 1, 0, (("acme", 50.0),), 0)
     holder.granted("v", 1, 0, voter.grant(ProcessId("r1", "b"), 1, 0))
-    assert holder.held(1).rates
+    assert holder.total(1).rates
     holder.begin()
-    assert holder.held(1) == HeldQuota((), 0)
+    assert holder.total(1) == Quota((), 0)
     voter.begin(2, POOLS, 1)
     assert voter.outstanding("acme") == 0
 
--- a/tests/fault_injection/site.py
+++ b/tests/fault_injection/site.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from pebblepass.consensus.commands import NoAnswerError, ask
+from pebblepass.consensus.commands import NoAnswerError, request
 from pebblepass.emulators.ports import take_port
 from pebblepass.fault_injection.checkers import check_all
 from pebblepass.fault_injection.history import Event, read_history
@@ -124,7 +124,7 @@
     def ask(self, name: str, method: str, call: str, body: bytes = b"") -> Any:
         """One call of a router's control address; None: it did not answer."""
         try:
-            return ask(f"127.0.0.1:{self.ports[name][1]}", method, call, body)[1]
+            return request(f"127.0.0.1:{self.ports[name][1]}", method, call, body).content
         except NoAnswerError:
             return None
 
