--- a/pebblepass/consensus/acceptor.py
+++ b/pebblepass/consensus/acceptor.py
@@ -19,6 +19,7 @@
 from msgspec import Struct
 
 from pebblepass.consensus.messages import (
+    NO_BALLOT,
     Accept,
     Accepted,
     Ballot,
@@ -29,7 +30,6 @@
 )
 from pebblepass.consensus.records import AcceptRecord, PromiseRecord
 
-NO_BALLOT: Ballot = (0, "")
 TAKEOVER_DELAY = 0.25  # fraction of a lease until another voter proposes an accepted value
 
 
@@ -56,7 +56,7 @@
     def prepare(self, request: Prepare) -> Vote:
         """Vote on a round for the open version."""
         if request.ballot <= self.promised:
-            return Vote(Rejected(request.version, request.ballot, self.promised[0]))
+            return Vote(Rejected(request.version, request.ballot, self.promised.number))
         self.promised = request.ballot
         answer = Promise(request.version, request.ballot, self.accepted, self.value)
         return Vote(answer, PromiseRecord(request.version, request.ballot))
@@ -65,7 +65,7 @@
         """Vote on a value for the open version."""
         self._last_progress_at = now
         if request.ballot < self.promised:
-            return Vote(Rejected(request.version, request.ballot, self.promised[0]))
+            return Vote(Rejected(request.version, request.ballot, self.promised.number))
         self.promised = self.accepted = request.ballot
         self.value = request.value
         record = AcceptRecord(request.version, request.ballot, request.value)
--- a/pebblepass/consensus/change.py
+++ b/pebblepass/consensus/change.py
@@ -22,8 +22,8 @@
 from collections.abc import Mapping
 from enum import Enum
 
-from pebblepass.consensus.acceptor import NO_BALLOT, quorum
-from pebblepass.consensus.messages import Ballot, Promise, Value
+from pebblepass.consensus.acceptor import quorum
+from pebblepass.consensus.messages import NO_BALLOT, Ballot, Promise, Value
 
 
 class Phase(Enum):
--- a/pebblepass/consensus/messages.py
+++ b/pebblepass/consensus/messages.py
@@ -13,8 +13,16 @@
 
 from pebblepass.consensus.policy import Policy
 
-Ballot = tuple[int, str]
-"""A round's number and the proposer that began it; the higher one takes precedence."""
+
+class Ballot(msgspec.Struct, frozen=True, order=True, array_like=True, forbid_unknown_fields=True):
+    """Identifies a round; the higher one takes precedence. Encoded as an array."""
+
+    number: int
+    proposer: str
+    """The run of a process that began the round."""
+
+
+NO_BALLOT = Ballot(0, "")
 
 
 class Fleet(msgspec.Struct, frozen=True):
--- a/pebblepass/consensus/proposer.py
+++ b/pebblepass/consensus/proposer.py
@@ -91,7 +91,7 @@
 
     def _prepare(self, change: Change) -> None:
         change.phase = Phase.PREPARING
-        number = max(change.round.ballot[0], self._acceptor.promised[0]) + 1
+        number = max(change.round.ballot.number, self._acceptor.promised.number) + 1
         change.round.begin(self.new_ballot(number))
         change.due = self._outbox.now + self._answer_timeout()
         prepare = m.Prepare(change.value.version, change.round.ballot)
@@ -102,7 +102,7 @@
 
         Danger: without the run of the process, one that forgot a round would begin another with its ballot.
         """
-        return (number, f"{self._name}.{self._boot_id}")
+        return m.Ballot(number, f"{self._name}.{self._boot_id}")
 
     def _answer_timeout(self) -> int:
         return int(self._terms.duration * ANSWER_FRACTION * self._rng.uniform(0.5, 1.0))
@@ -142,7 +142,8 @@
             return
         if change.phase in (Phase.PREPARING, Phase.ACCEPTING):
             change.phase = Phase.PREPARING
-            change.round.begin((max(change.round.ballot[0], message.promised_number), ""))
+            number = max(change.round.ballot.number, message.promised_number)
+            change.round.begin(m.Ballot(number, ""))
             delay = int(self._terms.duration / RETRY_DIVISOR * self._rng.uniform(0.1, 1.0))
             change.due = self._outbox.now + delay
 
--- a/pebblepass/consensus/recovery.py
+++ b/pebblepass/consensus/recovery.py
@@ -11,10 +11,11 @@
 
 from __future__ import annotations
 
-from pebblepass.consensus.acceptor import NO_BALLOT, Acceptor
+from pebblepass.consensus.acceptor import Acceptor
 from pebblepass.consensus.disk_identity import DiskIdentity
 from pebblepass.consensus.learner import Learner
 from pebblepass.consensus.lease_server import LeaseServer
+from pebblepass.consensus.messages import NO_BALLOT
 from pebblepass.consensus.records import (
     AcceptRecord,
     ClosedRecord,
--- a/pebblepass/consensus/replica.py
+++ b/pebblepass/consensus/replica.py
@@ -298,7 +298,7 @@
         if body.version != self.learner.version + 1 or not self.can_vote or not self._is_confirmed():
             return
         if self.lease_server.closed_version < body.version - 2:
-            rejection = m.Rejected(body.version, body.ballot, body.ballot[0] - 1)
+            rejection = m.Rejected(body.version, body.ballot, body.ballot.number - 1)
             self._outbox.send(sender.name, rejection, sender.boot_id)
             return
         if isinstance(body, m.Prepare):
--- a/pebblepass/fault_injection/broken.py
+++ b/pebblepass/fault_injection/broken.py
@@ -140,7 +140,7 @@
 class _OneTermProposer(Proposer):
     def new_ballot(self, number: int) -> m.Ballot:
         """Leave out who proposes."""
-        return (number, "")
+        return m.Ballot(number, "")
 
 
 class _OneTerm(Variant):
@@ -154,7 +154,7 @@
 
             def _vote(self, sender: m.Sender, body: m.Prepare | m.Accept) -> None:
                 if isinstance(body, m.Prepare) and body.ballot == self.acceptor.promised:
-                    self.acceptor.promised = (body.ballot[0] - 1, "")
+                    self.acceptor.promised = m.Ballot(body.ballot.number - 1, "")
                 super()._vote(sender, body)
 
         return Equal
--- a/pebblepass/fault_injection/router.py
+++ b/pebblepass/fault_injection/router.py
@@ -20,7 +20,7 @@
 
 import msgspec
 from crc32c import crc32c
-from msgspec.structs import replace
+from msgspec.structs import astuple, replace
 
 from pebblepass.consensus import messages as m
 from pebblepass.consensus.actions import Action, PolicyActivated, Send, Write
@@ -213,11 +213,11 @@
         body, disk, name = message.body, message.sender.disk_id, self.replica.name
         if isinstance(body, m.Promise):
             told = body.value.change_id if body.value is not None else ""
-            record(Event(self._now(), name, "promised", body.version, "", told, body.ballot, disk))
+            record(Event(self._now(), name, "promised", body.version, "", told, astuple(body.ballot), disk))
         elif isinstance(body, m.Accepted):
             value = self.replica.acceptor.value
             change = value.change_id if value is not None else ""
-            record(Event(self._now(), name, "accepted", body.version, change, "", body.ballot, disk))
+            record(Event(self._now(), name, "accepted", body.version, change, "", astuple(body.ballot), disk))
 
 
 class RecordingDaemon(Daemon):
--- a/pebblepass/fault_injection/schedule.py
+++ b/pebblepass/fault_injection/schedule.py
@@ -15,6 +15,7 @@
 
 import msgspec
 from crc32c import crc32c
+from msgspec.structs import astuple
 
 from pebblepass.consensus import messages as m
 from pebblepass.consensus.actions import (
@@ -271,13 +272,13 @@
         if isinstance(body, m.Promise):
             told = body.value.change_id if body.value is not None else ""
             self.world.record(
-                self, "promised", version=body.version, ballot=body.ballot, disk=disk, told=told
+                self, "promised", version=body.version, ballot=astuple(body.ballot), disk=disk, told=told
             )
         elif isinstance(body, m.Accepted):
             change = self.replica.acceptor.value if self.replica is not None else None
             told = change.change_id if change is not None else ""
             self.world.record(
-                self, "accepted", version=body.version, ballot=body.ballot, disk=disk, change=told
+                self, "accepted", version=body.version, ballot=astuple(body.ballot), disk=disk, change=told
             )
 
     def _set_tick(self) -> None:
--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -47,12 +47,12 @@
     replica = Replica(made, [SnapshotRecord("r0.disk", 1, decided, None, None, None, {}, (), 0, ())], 0)
     writes = [each for each in replica.start(0) if isinstance(each, Write)]
     sender = m.Sender("r1", "b", "r1.disk", 1, 1, 1, 0, 0, 1, True)
-    early = replica.received(m.Message(sender, m.Prepare(2, (1, "r1.b"))), 1)
-    assert replica.acceptor.promised == (0, "")  # nobody knows this start yet
+    early = replica.received(m.Message(sender, m.Prepare(2, m.Ballot(1, "r1.b"))), 1)
+    assert replica.acceptor.promised == m.Ballot(0, "")  # nobody knows this start yet
     writes += [each for each in early if isinstance(each, Write)]
     replica.written(writes[-1].token, 2)
     replica.received(m.Message(sender, m.StartConfirmed("boot")), 3)
-    actions = replica.received(m.Message(sender, m.Prepare(2, (1, "r1.b"))), 4)
+    actions = replica.received(m.Message(sender, m.Prepare(2, m.Ballot(1, "r1.b"))), 4)
     assert not any(isinstance(each, Send) and isinstance(each.message.body, m.Promise) for each in actions)
     write = next(
         each for each in actions if isinstance(each, Write) and isinstance(each.records[0], PromiseRecord)
@@ -60,7 +60,7 @@
     actions = replica.written(write.token, 5)
     assert any(isinstance(each, Send) and isinstance(each.message.body, m.Promise) for each in actions)
     # A lower round is rejected, at once and whatever the disk does.
-    told = replica.received(m.Message(sender, m.Prepare(2, (0, "r2.b"))), 6)
+    told = replica.received(m.Message(sender, m.Prepare(2, m.Ballot(0, "r2.b"))), 6)
     rejected = [
         e.message.body for e in told if isinstance(e, Send) and isinstance(e.message.body, m.Rejected)
     ]
