--- a/pebblepass/consensus/learner.py
+++ b/pebblepass/consensus/learner.py
@@ -86,6 +86,12 @@
         """Return the version that a change was decided as; 0: it is not known to be decided."""
         return next((version for version, change in self.decided_changes.items() if change == change_id), 0)
 
+    def known_changes(self) -> tuple[m.DecidedChange, ...]:
+        """Return the decided versions with their changes."""
+        return tuple(
+            m.DecidedChange(version, change_id) for version, change_id in self.decided_changes.items()
+        )
+
     def restore_decision(self, value: m.Value) -> None:
         """Restore a decided version from its record."""
         self.decided = value
@@ -93,20 +99,20 @@
         self.decided_changes[value.version] = value.change_id
 
     def restore_history(
-        self, decided: m.Value, history: Iterable[m.Value], changes: Iterable[tuple[int, str]]
+        self, decided: m.Value, history: Iterable[m.Value], changes: Iterable[m.DecidedChange]
     ) -> None:
         """Restore the versions that a snapshot holds."""
         self.decided = decided
         self.history.extend(history)
-        self.decided_changes = dict(changes)
+        self.decided_changes = {change.version: change.change_id for change in changes}
 
     def restored(self) -> None:
         """Finish the recovery: all that was restored is on the disk."""
         self.durable_version = self.decided.version
 
-    def learn(self, value: m.Value, changes: Iterable[tuple[int, str]], keeps_disk: bool) -> None:
+    def learn(self, value: m.Value, changes: Iterable[m.DecidedChange], keeps_disk: bool) -> None:
         """Take a decided version that is newer than the one known, and write it where there is a disk."""
-        self.decided_changes.update(changes)
+        self.decided_changes.update({change.version: change.change_id for change in changes})
         self.decided_changes[value.version] = value.change_id
         for version in sorted(self.decided_changes)[:-HISTORY_VERSIONS]:
             del self.decided_changes[version]
@@ -137,7 +143,8 @@
 
     def announcement(self) -> m.VersionDecided:
         """Return what a router that is behind lacks."""
-        return m.VersionDecided(self.decided, tuple(sorted(self.decided_changes.items())))
+        changes = sorted(self.known_changes(), key=lambda change: change.version)
+        return m.VersionDecided(self.decided, tuple(changes))
 
     def catch_up(self, sender: m.Sender, interval_ns: int) -> None:
         """Announce the decided version to a sender that is behind; request that of one that is ahead.
--- a/pebblepass/consensus/messages.py
+++ b/pebblepass/consensus/messages.py
@@ -34,6 +34,13 @@
     """Disk id by router name; the id is empty before the fleet has formed."""
 
 
+class DecidedChange(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """A decided version, and the change that it came from. Encoded as an array."""
+
+    version: int
+    change_id: str
+
+
 Kind = Literal["none", "form", "policy", "members", "withdrawn"]
 
 
@@ -201,8 +208,8 @@
     """Announce a decided version."""
 
     value: Value
-    decided_changes: tuple[tuple[int, str], ...] = ()
-    """Versions decided before it, each with the id of its change."""
+    decided_changes: tuple[DecidedChange, ...] = ()
+    """The versions decided before it, as far as they are known."""
 
 
 class PolicyCheck(msgspec.Struct, frozen=True, tag="check"):
--- a/pebblepass/consensus/records.py
+++ b/pebblepass/consensus/records.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from pebblepass.consensus.messages import Ballot, Value
+from pebblepass.consensus.messages import Ballot, DecidedChange, Value
 
 
 class StartRecord(
@@ -93,8 +93,7 @@
     peer_starts: dict[str, DiskStart]
     history: tuple[Value, ...]
     closed_version: int
-    decided_changes: tuple[tuple[int, str], ...]
-    """Versions decided, each with the id of its change."""
+    decided_changes: tuple[DecidedChange, ...]
 
 
 Record = (
--- a/pebblepass/consensus/recovery.py
+++ b/pebblepass/consensus/recovery.py
@@ -78,5 +78,5 @@
             dict(self._disk.peer_starts),
             tuple(learner.history),
             self._lease_server.closed_version,
-            tuple(learner.decided_changes.items()),
+            learner.known_changes(),
         )
--- a/pebblepass/consensus/replica.py
+++ b/pebblepass/consensus/replica.py
@@ -319,7 +319,7 @@
             self._learn(value, self.name)
             self._outbox.send_all(self.learner.peers(), self.learner.announcement())
 
-    def _learn(self, value: m.Value, source: str, changes: tuple[tuple[int, str], ...] = ()) -> None:
+    def _learn(self, value: m.Value, source: str, changes: Sequence[m.DecidedChange] = ()) -> None:
         """Take a decided version, and let each part begin it."""
         learner, outbox = self.learner, self._outbox
         if value.version <= learner.version:
