--- a/pebblepass/consensus/acceptor.py
+++ b/pebblepass/consensus/acceptor.py
@@ -3,13 +3,15 @@
 A promise is announced only once it is on the disk: each method returns the record to write, and the answer
 that may be sent once it is synced. In memory a promise holds from when it is made.
 
-| event | guard | what follows |
-| --- | --- | --- |
-| prepare(n, b) | n is the open version, b above what was promised | promise b; report what was accepted |
-| accept(n, b, v) | n likewise, b not below; v names the same voters where it forms the fleet | accept v |
-| either | n likewise, b too low | reject, and report the round that takes precedence |
-| either | the version before the decided one is not closed | reject: a lease on it may still be valid |
-| decided(n) | - | promises and what was accepted for n and before are dropped |
+Which requests reach it is up to `voter`.
+
+| state | event | guard | next |
+| --- | --- | --- | --- |
+| promised a | prepare(b) | b > a | promised b; report what was accepted |
+| promised a | prepare(b) | b <= a | promised a; reject, and report a |
+| promised a | accept(b, v) | b >= a | promised b, accepted v |
+| promised a | accept(b, v) | b < a | promised a; reject, and report a |
+| any | the version is decided | - | nothing promised or accepted, for the next version |
 """
 
 from __future__ import annotations
--- a/pebblepass/consensus/replica.py
+++ b/pebblepass/consensus/replica.py
@@ -6,7 +6,7 @@
 | message | peers, disk identity, catch-up; the part that its body names; leases; the change under way |
 | written | learner, waiting messages, leases, the change under way |
 | proposal | proposals |
-| tick | renewal, liveness queries, membership; the change under way or a takeover; leases |
+| tick | renewal, liveness queries, verdicts, membership; the change under way or a takeover; leases |
 | any | messages to itself; activation of the policy; releases of quota leases |
 """
 
@@ -22,6 +22,7 @@
 from pebblepass.consensus.learner import REPEATS_PER_LEASE, Learner
 from pebblepass.consensus.lease_client import LeaseClient
 from pebblepass.consensus.lease_server import LeaseServer
+from pebblepass.consensus.liveness import LivenessQueries
 from pebblepass.consensus.membership import Membership
 from pebblepass.consensus.outbox import Outbox
 from pebblepass.consensus.peer_table import PeerTable
@@ -33,6 +34,7 @@
 from pebblepass.consensus.recovery import Recovery
 from pebblepass.consensus.setup import RandomSource, ReplicaSetup
 from pebblepass.consensus.verdicts import Verdicts
+from pebblepass.consensus.voter import Voter
 
 
 class Replica:
@@ -40,6 +42,7 @@
 
     outbox_class = Outbox
     disk_identity_class = DiskIdentity
+    voter_class = Voter
     proposer_class = Proposer
     lease_server_class = LeaseServer
     quota_allocator_class = QuotaAllocator
@@ -63,6 +66,10 @@
         self.peers = PeerTable(setup.terms.renewal_interval, now)
         self._verdicts = Verdicts(self._outbox)
         self.lease_server = self._create_lease_server(restarted=bool(records))
+        self._voter = self.voter_class(
+            setup, self.learner, self.disk, self.acceptor, self.lease_server, self._outbox
+        )
+        self._liveness = LivenessQueries(self.learner, self._voter, self.peers, self._outbox)
         self._recovery = self.recovery_class(self.learner, self.acceptor, self.disk, self.lease_server)
         for record in records or ():
             self._recovery.restore(record)
@@ -72,7 +79,9 @@
         self.lease_client = LeaseClient(setup, self.learner, self._outbox, rng, quota_holder)
         self.proposer = self._create_proposer(rng)
         self._proposals = self._create_proposals(rng)
-        self._membership = self._create_membership()
+        self._membership = Membership(
+            setup, self.learner, self.disk, self.acceptor, self.peers, self.proposer, self._outbox
+        )
         self.learner.check_decided(self.learner.decided)
 
     def _create_lease_server(self, restarted: bool) -> LeaseServer:
@@ -106,11 +115,6 @@
             rng,
         )
 
-    def _create_membership(self) -> Membership:
-        return Membership(
-            self.setup, self.learner, self.disk, self.acceptor, self.peers, self.proposer, self._outbox
-        )
-
     @property
     def decided(self) -> m.Value:
         """The decided version."""
@@ -119,7 +123,7 @@
     @property
     def can_vote(self) -> bool:
         """Whether this router is a voter, on the disk with which it became one."""
-        return self.disk.can_vote(self.learner.voters)
+        return self._voter.can_vote
 
     def may_admit(self, now: int) -> bool:
         """Whether it holds a lease on the decided version."""
@@ -166,7 +170,7 @@
         self._outbox.begin(now)
         if now >= self.lease_client.renew_at:
             self.lease_client.renew()
-            self._query_liveness()
+            self._liveness.tick()
             self._verdicts.expire()
             self._membership.tick()
         if self.proposer.change is not None:
@@ -181,7 +185,7 @@
         times = [self.lease_client.due(now)]
         if self.proposer.change is not None:
             times.append(self.proposer.change.due)
-        elif (takeover_at := self._takeover_at()) is not None:
+        elif (takeover_at := self._voter.takeover_at()) is not None:
             times.append(takeover_at or now)
         if (release := self.lease_server.next_release(now)) is not None:
             times.append(release)
@@ -212,12 +216,9 @@
             self.lease_server.released_version,
             self.lease_server.closed_version,
             self.lease_client.leased_version(now),
-            self._is_confirmed(),
+            self._voter.is_confirmed,
         )
 
-    def _is_confirmed(self) -> bool:
-        return self.disk.is_confirmed(self.learner.voters, self.learner.quorum_size)
-
     def _take(self, message: m.Message) -> None:
         sender, body = message.sender, message.body
         if sender.name != self.name:
@@ -257,10 +258,9 @@
             case m.StaleDisk():
                 self.disk.reported_stale(body, self.learner.version)
             case m.LivenessQuery():
-                age = self.peers.detector.age(body.name, self._outbox.now)
-                self._outbox.send(sender.name, m.LivenessReport(body.name, age), sender.boot_id)
+                self._liveness.queried(sender, body)
             case m.LivenessReport():
-                self.peers.detector.reported(body.name, body.age_ns, self._outbox.now)
+                self._liveness.reported(body)
             case m.Heartbeat():
                 pass
             case _:
@@ -275,7 +275,7 @@
             case m.PolicyCheck():
                 self._outbox.send(sender.name, self.learner.check(body), sender.boot_id)
             case m.Prepare() | m.Accept():
-                self._vote(sender, body)
+                self._voter.vote(sender, body)
             case m.PolicyCheckResult():
                 self.proposer.checked(sender, body)
             case m.Promise():
@@ -294,25 +294,6 @@
 
     # Votes and decisions
 
-    def _vote(self, sender: m.Sender, body: m.Prepare | m.Accept) -> None:
-        if body.version != self.learner.version + 1 or not self.can_vote or not self._is_confirmed():
-            return
-        if self.lease_server.closed_version < body.version - 2:
-            rejection = m.Rejected(body.version, body.ballot, body.ballot.number - 1)
-            self._outbox.send(sender.name, rejection, sender.boot_id)
-            return
-        if isinstance(body, m.Prepare):
-            vote = self.acceptor.prepare(body)
-        else:
-            # Another disk than the value names may accept it: all others remember what this one has lost.
-            if self.learner.is_forming and body.value.fleet.voters.keys() != self.learner.voters.keys():
-                return  # it would form another fleet than this router's file names
-            vote = self.acceptor.accept(body, self._outbox.now)
-        if vote.record is None:
-            self._outbox.send(sender.name, vote.answer, sender.boot_id)
-        else:
-            self._outbox.send_after_write(vote.record, sender.name, vote.answer)
-
     def _accepted(self, sender: m.Sender, body: m.Accepted) -> None:
         value = self.proposer.accepted(sender, body)
         if value is not None:
@@ -334,14 +315,9 @@
         self.lease_client.renew()
         self.proposer.version_decided()
 
-    def _takeover_at(self) -> int | None:
-        if not self.can_vote:
-            return None
-        return self.acceptor.takeover_at(self.name, self.learner.voters, self.setup.terms.duration)
-
     def _take_over(self) -> None:
         """Propose an accepted value whose proposer sends nothing more."""
-        takeover_at, value = self._takeover_at(), self.acceptor.value
+        takeover_at, value = self._voter.takeover_at(), self.acceptor.value
         if takeover_at is not None and value is not None and self._outbox.now >= takeover_at:
             self.proposer.begin(value, takeover=True)
 
@@ -349,11 +325,3 @@
         self.lease_server.settle()
         self.proposer.resume()
         self.proposer.report_if_in_force()
-
-    def _query_liveness(self) -> None:
-        """Query the other voters about routers without a heartbeat."""
-        voters = self.learner.other_voters()
-        names = self.learner.peers() if self.can_vote else voters
-        for missing in self.peers.detector.to_query(names, self._outbox.now):
-            others = (name for name in voters if name != missing)
-            self._outbox.send_all(others, m.LivenessQuery(missing))
--- a/pebblepass/fault_injection/broken.py
+++ b/pebblepass/fault_injection/broken.py
@@ -17,6 +17,7 @@
 from pebblepass.consensus.records import Record, read_record
 from pebblepass.consensus.recovery import Recovery
 from pebblepass.consensus.replica import Replica
+from pebblepass.consensus.voter import Voter
 from pebblepass.fault_injection.disk import PowerDisk
 from pebblepass.storage.log import Log, decode_batch
 
@@ -143,6 +144,14 @@
         return m.Ballot(number, "")
 
 
+class _OneTermVoter(Voter):
+    def vote(self, sender: m.Sender, request: m.Prepare | m.Accept) -> None:
+        """Promise the same ballot twice."""
+        if isinstance(request, m.Prepare) and request.ballot == self._acceptor.promised:
+            self._acceptor.promised = m.Ballot(request.ballot.number - 1, "")
+        super().vote(sender, request)
+
+
 class _OneTerm(Variant):
     """Two that carry a change may have the same ballot."""
 
@@ -150,13 +159,9 @@
 
     def replica(self, sound: type[Replica]) -> type[Replica]:
         class Equal(sound):  # type: ignore[valid-type, misc]
+            voter_class = _OneTermVoter
             proposer_class = _OneTermProposer
 
-            def _vote(self, sender: m.Sender, body: m.Prepare | m.Accept) -> None:
-                if isinstance(body, m.Prepare) and body.ballot == self.acceptor.promised:
-                    self.acceptor.promised = m.Ballot(body.ballot.number - 1, "")
-                super()._vote(sender, body)
-
         return Equal
 
 
