--- a/pebblepass/decisions/settings.py
+++ b/pebblepass/decisions/settings.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import Mapping
+from typing import Any, TypeVar, cast
 
 from pebblepass.decisions import interface as api
 
@@ -15,23 +16,24 @@
 _TYPE_NAMES = {dict: "object", list: "array", str: "string", int: "integer", bool: "bool"}
 
 Fields = dict[str, Any]
+Value = TypeVar("Value")
 
 
 class WireError(Exception):
     """Malformed input, with one plain line saying what was wrong."""
 
 
-def typed(where: str, value: Any, kind: type) -> Any:
-    """Return `value` if it is of the kind; a bool is no integer."""
+def typed(where: str, value: object, kind: type[Value]) -> Value:
+    """Return `value` if it is of the kind; a bool is no integer. Raises WireError."""
     if not isinstance(value, kind) or (kind is int and isinstance(value, bool)):
         raise WireError(f"{where}: expected {_TYPE_NAMES[kind]}, got {type(value).__name__}")
     return value
 
 
-def choice(where: str, table: dict[Any, Any], value: Any) -> Any:
-    """Look a wire word up in its table."""
+def choice(where: str, table: Mapping[str, Value], value: object) -> Value:
+    """Look a word of the wire up in its table. Raises WireError."""
     try:
-        return table[value]
+        return table[cast("str", value)]
     except (KeyError, TypeError):
         raise WireError(f"{where}: unknown value {value!r}") from None
 
--- a/pebblepass/peers/links.py
+++ b/pebblepass/peers/links.py
@@ -136,7 +136,7 @@
                 )
             self._transport.abort()
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
         """Report the end of the link."""
         self._transport = None
         if self._hello_timer is not None:
--- a/pebblepass/storage/disk.py
+++ b/pebblepass/storage/disk.py
@@ -93,7 +93,7 @@
 
     def rename(self, name: str, target: str) -> None:
         """See Disk."""
-        os.replace(self._path / name, self._path / target)
+        (self._path / name).replace(self._path / target)
 
     def sync_directory(self) -> None:
         """See Disk."""
--- a/pebblepass/storage/log.py
+++ b/pebblepass/storage/log.py
@@ -16,6 +16,7 @@
 from pebblepass.storage.disk import Disk, replace_file
 from pebblepass.storage.frames import (
     FileHeader,
+    Frames,
     StorageError,
     check_header,
     encode_frame,
@@ -51,11 +52,7 @@
             return None
         try:
             frames = read_frames(data)
-            if not frames.contents:
-                # The header is written in full and renamed into place: a log without one has lost it.
-                raise StorageError("no head")
-            check_header(frames.contents[0], self._header)
-            records = [record for batch in frames.contents[1:] for record in decode_batch(batch)]
+            records = self._records_of(frames)
         except StorageError as error:
             raise StorageError(f"{self._name}: {error}") from None
         self.truncated_bytes = len(data) - frames.size
@@ -65,6 +62,13 @@
         self._size, self._snapshot_size = frames.size, 0
         return records
 
+    def _records_of(self, frames: Frames) -> list[bytes]:
+        if not frames.contents:
+            # The header is written in full and renamed into place: a log without one has lost it.
+            raise StorageError("no head")
+        check_header(frames.contents[0], self._header)
+        return [record for batch in frames.contents[1:] for record in decode_batch(batch)]
+
     def write_snapshot(self, records: list[bytes]) -> None:
         """Replace the log by one with these records; they are durable on return. Raises OSError."""
         data = encode_header(self._header) + encode_frame(encode_batch(records))
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -10,6 +10,8 @@
 import tomllib
 from pathlib import Path
 
+import pytest
+
 ROOT = Path(__file__).resolve().parent.parent
 
 
@@ -48,6 +50,58 @@
     return [node.name for node in functions if (node.end_lineno or 0) - node.lineno + 1 > limit]
 
 
+def lint_imports(root: Path) -> subprocess.CompletedProcess[str]:
+    """Check the import contracts of the project at this root."""
+    command = [str(Path(sys.executable).with_name("lint-imports")), "--no-cache"]
+    environ = os.environ | {"PYTHONPATH": str(root)}
+    return subprocess.run(command, cwd=root, env=environ, capture_output=True, text=True)
+
+
+@pytest.mark.parametrize(
+    ("module", "line", "contract"),
+    [
+        ("decisions/health.py", "import asyncio", "The decisions have no I/O, no clock and no event loop"),
+        (
+            "consensus/proposer.py",
+            "import time",
+            "The rules of consensus have no I/O, no clock and no event loop",
+        ),
+        ("wire/http.py", "import pebblepass.decisions.health", "Dependencies point down the layers"),
+        ("daemon/lag.py", "import pebblepass.emulators.core", "Dependencies point down the layers"),
+    ],
+)
+def test_an_import_that_breaks_a_contract_is_found(
+    tmp_path: Path, module: str, line: str, contract: str
+) -> None:
+    shutil.copytree(ROOT / "pebblepass", tmp_path / "pebblepass")
+    shutil.copy(ROOT / "pyproject.toml", tmp_path)
+    path = tmp_path / "pebblepass" / module
+    path.write_text(path.read_text() + f"\n{line}\n")
+    checked = lint_imports(tmp_path)
+    assert checked.returncode == 1
+    assert f"{contract} BROKEN" in checked.stdout
+
+
+def calls_of_shared_random(source: str) -> list[str]:
+    """Return the functions of the random module that are called, but for its generator class."""
+    called = [node.func for node in ast.walk(ast.parse(source)) if isinstance(node, ast.Call)]
+    return [
+        function.attr
+        for function in called
+        if isinstance(function, ast.Attribute)
+        and ast.unparse(function.value) == "random"
+        and function.attr != "Random"
+    ]
+
+
+def test_the_decisions_draw_from_their_own_generator_alone() -> None:
+    for path in (ROOT / "pebblepass/decisions").rglob("*.py"):
+        source = path.read_text()
+        assert calls_of_shared_random(source) == [], path.name
+        assert "from random import" not in source, path.name
+    assert calls_of_shared_random("x = random.Random(1).random() + random.uniform(0, 1)") == ["uniform"]
+
+
 def test_the_build_compiles_all_that_a_start_loads(tmp_path: Path) -> None:
     """Where a router runs it can write nothing: each start would compile what is not compiled."""
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
