--- a/pebblepass/decisions/health.py
+++ b/pebblepass/decisions/health.py
@@ -80,8 +80,9 @@
 class Node:
     """A ready server: this router's attempts in flight there, and its health.
 
-    Inputs: outcomes of attempts, whether they were late, and the clock (nanoseconds). Reason: a failing server
-    gets fewer requests by its send probability, and some soon again, which show whether it has recovered.
+    Inputs: outcomes of attempts, whether they were late, and the clock (nanoseconds). Reason: a failing
+    server gets fewer requests by its send probability, and some soon again, which show whether it has
+    recovered.
     """
 
     def __init__(self, entry: api.Server, weighted: bool) -> None:
--- a/pebblepass/decisions/origin_limits.py
+++ b/pebblepass/decisions/origin_limits.py
@@ -29,9 +29,9 @@
     """A fetch window, a write limit and the tenants' rates, tuned to what the origin can answer in time.
 
     Inputs: outcome and latency of each fetch and write, the class's latency target, and the attempts in
-    flight at the origin. Reason: the origin's capacity is not announced. Slow fetches narrow the window first, since
-    fewer in flight are answered faster; bad ones decrease the write limit and the rates; an outage decreases
-    nothing for good.
+    flight at the origin. Reason: the origin's capacity is not announced. Slow fetches narrow the window,
+    since fewer in flight are answered faster; bad ones decrease the write limit and the rates; an outage
+    decreases nothing for good.
     """
 
     def __init__(
--- a/pebblepass/decisions/slot_table.py
+++ b/pebblepass/decisions/slot_table.py
@@ -18,8 +18,8 @@
 class SlotTable:
     """Weighted rendezvous hashing of slots over the ready servers; rankings are cached by slot.
 
-    Inputs: the servers' ids, weights and starts. Reason: every router places a slot on the same server without
-    coordination, and a change of the list moves only the slots of the servers concerned.
+    Inputs: the servers' ids, weights and starts. Reason: every router places a slot on the same server
+    without coordination, and a change of the list moves only the slots of the servers concerned.
     """
 
     def __init__(self, settings: api.Settings) -> None:
