--- a/benchmarks/cold_starts.py
+++ b/benchmarks/cold_starts.py
@@ -122,7 +122,8 @@
     def chance(self, warmth: float, owners: int) -> float:
         """The best one's chance to be asked as one of several owners: by warmth, as if the others were warm.
 
-        `Router._draw` gives it less: nothing under a warmth of 0.6 while one of the others is idle and warm.
+        `ServerSelection._expected_wait` gives it less: nothing under a warmth of 0.6 while one of the others
+        is idle and warm.
         """
         return warmth / (warmth + owners - 1) if self.warm else 1 / owners
 
@@ -308,7 +309,7 @@
         return self.site.rules.warmth(came.age + off)
 
     def _known(self, cell: Cell, rate: float, came: Came) -> bool:
-        """Whether a router asks a cold server, by the requests that it has seen (`Router._candidates`)."""
+        """Whether a router asks a cold server, by the requests it has seen (`ServerSelection.candidates`)."""
         if not came.held.warm:
             return True
         spare = (self.site.rules.multiple - 1) * self.site.rules.warmth(came.age)
--- a/pebblepass/decisions/arrivals.py
+++ b/pebblepass/decisions/arrivals.py
@@ -48,7 +48,7 @@
         if event.retry:
             request.is_retry = True
         if request.is_write and self._has_origin:
-            self._origin_requests.fetch(request)
+            self._origin_requests.submit(request)
         else:
             request.popularity = self._popularity.add(request.slot)
             suppressor.record_usage(self._tenants.usage.add(event.tenant or ""))
--- a/pebblepass/decisions/origin_requests.py
+++ b/pebblepass/decisions/origin_requests.py
@@ -45,14 +45,14 @@
         if not self._flights.join(request):
             command = request.command
             if command is None or command.fetches < FETCHES_PER_COMMAND:
-                self.fetch(request)
+                self.submit(request)
                 return
             command.queued.append(request)
             request.in_command_queue = True
         self._wait(request, request.deadline - self._context.now)
 
-    def fetch(self, request: Request) -> None:
-        """Send a read or write to the origin if its limits admit it; else queue it or give it up."""
+    def submit(self, request: Request) -> None:
+        """Send a read's fetch or a write to the origin if its limits admit it; else queue or give it up."""
         request.is_waiting = False
         now = self._context.now
         origins = self._origins.rank(request.slot, now)
@@ -70,7 +70,7 @@
         elif request.is_waiting and self._context.now >= request.deadline:
             self._completion.give_up(request, Reason.DEADLINE)
         elif request.is_waiting and request.is_write:
-            self.fetch(request)
+            self.submit(request)
 
     def record_attempt(self, request: Request, node: Node, event: api.AttemptEnded) -> None:
         """Tune the limits by the end of a fetch or write, and start what waits for one to end."""
@@ -88,7 +88,7 @@
         lost = is_connection_failure(event, late) or (event.outcome is Outcome.TIMEOUT and not late)
         if lost and not request.is_refetch:
             request.is_refetch = True
-            self.fetch(request)
+            self.submit(request)
             return
         pause = int(self._limits.fetch_latency.mean * self._rng.uniform(0.5, 1.5))
         in_time = self._context.now + pause < request.deadline
@@ -163,7 +163,7 @@
         while self._waiting_writes and node.attempts_in_flight < self._limits.write_limit:
             waiter = self._waiting_writes.pop()
             if waiter.is_waiting:
-                self.fetch(waiter)
+                self.submit(waiter)
             if self._waiting_writes and self._waiting_writes[-1] is waiter:
                 # It was queued again: the origin's entry was replaced, and its new node is the full one.
                 break
