--- a/pebblepass/fault_injection/router.py
+++ b/pebblepass/fault_injection/router.py
@@ -139,13 +139,13 @@
 
         self._router.handle = handle  # type: ignore[method-assign]
 
-    def tell(self, event: Any) -> None:
+    def handle_event(self, event: Any) -> None:
         """Broken on demand: a router that takes no end of its lease."""
         if self.serves_on and isinstance(event, PolicyChanged):
             if not event.expires_at:
                 return
             event = PolicyChanged(event.policy, 1 << 62)
-        super().tell(event)
+        super().handle_event(event)
         if isinstance(event, PolicyChanged) and (event.policy.uses_leases or self._beyond):
             self._record_share(event)
 
@@ -153,9 +153,9 @@
         """Write down how much it may admit beyond its floors, and until when."""
         policy, until = event.policy, min(event.expires_at, event.leases_until)
         beyond = 0.0
-        for guard in self._router._suppressors.values():
+        for guard in self._router.tenants.suppressors.values():
             if guard.has_quota:
-                beyond += guard.cap - guard.configured_limit[1] * policy.floor_fraction
+                beyond += guard.cap - guard.configured_limit.cap * policy.floor_fraction
         at = self.now()
         version = self._router.policy_version()
         told = self._beyond = max(beyond, 0.0) if until > at and policy.uses_leases else 0.0
--- a/tests/daemon/test_descriptors.py
+++ b/tests/daemon/test_descriptors.py
@@ -26,6 +26,7 @@
 from pebblepass.wire.resp import Command
 from tests.daemon.test_clients import NeverPolled, until
 from tests.daemon.test_operations import figures
+from tests.processes import end_by_sigterm, spawn
 from tests.sockets import (
     FACTS,
     PATIENCE_S,
@@ -125,7 +126,7 @@
             told["limits"] = {"sockets": told_sockets}
         config = folder / "config.json"
         config.write_text(json.dumps(told))
-        self.process = subprocess.Popen(
+        self.process: subprocess.Popen[str] = spawn(
             ["/bin/sh", "-c", f"ulimit -n {LIMIT}; exec {sys.executable} -m pebblepass.daemon"],
             cwd=ROOT,
             env={**os.environ, "LB_CONFIG": str(config), "TMPDIR": str(folder)},
@@ -162,8 +163,7 @@
     def end(self) -> None:
         """End it by SIGTERM."""
         self.let.set()
-        self.process.terminate()
-        _, self.log = self.process.communicate(timeout=PATIENCE_S)
+        self.log = end_by_sigterm(self.process, PATIENCE_S)
         self._counted.set()
         self._counting.join()
         for peer in (*self.caches.values(), self.discovery.peer):
@@ -243,12 +243,12 @@
     def request_arrived(self, command: Command, reply: Reply) -> None:
         self.answered += 1
         reply.send(b"$8192\r\n%b\r\n" % bytes(8192))
-        reply.forgotten()
+        reply.free_command()
 
-    def client_gone(self, reply: Reply) -> None:
+    def client_disconnected(self, reply: Reply) -> None:
         raise AssertionError("every request is answered at once")
 
-    def turned_away(self, command: Command, refused: str = "", failed: str = "") -> None:
+    def record_rejection(self, command: Command, refused: str = "", failed: str = "") -> None:
         raise AssertionError("there is room")
 
 
--- a/tests/daemon/test_standing_terms.py
+++ b/tests/daemon/test_standing_terms.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from pebblepass.daemon.attempts import Place
+from pebblepass.daemon.attempts import ReplySlot
 from pebblepass.daemon.daemon import Daemon
 from pebblepass.daemon.router import RouterHost
 from pebblepass.decisions.interface import NS_PER_S
@@ -25,6 +25,7 @@
 from pebblepass.simulation.report import verdict
 from pebblepass.simulation.scenario import Fault, Fleet, Range, RequestClass, Scenario, Traffic, Trouble
 from pebblepass.wire.resp import Command
+from tests.processes import end_by_sigterm
 from tests.sockets import FACTS, PATIENCE_S, DiscoveryPeer, eventually, is_ready, start_router
 
 WINDOW_S, MOST_IN_WINDOW = 4.0, 14  # a router that turns away more without an attempt breaks the term
@@ -168,14 +169,14 @@
     class Refuses(RouterHost):
         refuses = False
 
-        def request_arrived(self, command: Command, reply: Place) -> None:
+        def request_arrived(self, command: Command, reply: ReplySlot) -> None:
             after = (self.now() - self.started) / NS_PER_S - begin
             if not (self.refuses and 0 <= after < seconds):
                 super().request_arrived(command, reply)
                 return
             reply.send(b"-BUSY\r\n")
-            self.turned_away(command, refused="open requests")
-            reply.forgotten()
+            self.record_rejection(command, refused="open requests")
+            reply.free_command()
 
         def __init__(self, *given: Any) -> None:
             super().__init__(*given)
@@ -341,8 +342,7 @@
         return self.took is not None or self.process.poll() is not None
 
     def end(self) -> int:
-        self.process.terminate()
-        self.process.communicate(timeout=PATIENCE_S)
+        end_by_sigterm(self.process, PATIENCE_S)
         return self.process.returncode
 
 
--- a/tests/fault_injection/site.py
+++ b/tests/fault_injection/site.py
@@ -21,6 +21,7 @@
 from pebblepass.fault_injection.checkers import check_all
 from pebblepass.fault_injection.history import Event, read_history
 from pebblepass.fault_injection.relay import Relays
+from tests.processes import spawn
 from tests.sockets import (
     FACTS,
     MISS,
@@ -63,6 +64,8 @@
         """From a client's answer to its next read."""
         self.elders: list[subprocess.Popen[bytes]] = []
         """Processes that another one of their name has been started beside."""
+        self.checkouts: dict[str, Path] = {}
+        """Routers that run the daemon of a checkout as deployed; they write no history."""
         self._stop = threading.Event()
         self._clients: list[threading.Thread] = []
 
@@ -100,9 +103,9 @@
         if name in self.processes and self.processes[name].poll() is None:
             self.elders.append(self.processes[name])
         with self.logs[name].open("ab") as log:
-            self.processes[name] = subprocess.Popen(
-                [sys.executable, "-m", "pebblepass.fault_injection.router"],
-                cwd=ROOT,
+            self.processes[name] = spawn(
+                [sys.executable, "-m", self._module(name)],
+                cwd=self.checkouts.get(name, ROOT),
                 env={
                     **os.environ,
                     "LB_CONFIG": str(home / "config.json"),
@@ -115,6 +118,9 @@
                 pass_fds=self.held,
             )
 
+    def _module(self, name: str) -> str:
+        return "pebblepass.daemon" if name in self.checkouts else "pebblepass.fault_injection.router"
+
     def signal(self, name: str, how: signal.Signals) -> None:
         """Send a signal; SIGKILL is waited out."""
         self.processes[name].send_signal(how)
