--- a/pebblepass/peers/links.py
+++ b/pebblepass/peers/links.py
@@ -31,6 +31,7 @@
 
 VERSION = 1  # of the messages between routers
 MAX_MESSAGE_BYTES = 4 << 20  # of one message
+MAX_HELLO_BYTES = 1024
 MAX_QUEUED_BYTES = 1 << 20  # bytes that wait for a slow peer; what comes beyond is dropped, as a cut would
 HELLO_TIMEOUT_S = 2.0  # until a new connection has sent its hello
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 2.0
@@ -51,12 +52,13 @@
 
 
 _hello_decoder = msgspec.msgpack.Decoder(Hello)
+_SIZE = struct.Struct("<I")
 _encode = msgspec.msgpack.Encoder().encode
 
 
 def framed(data: bytes) -> bytes:
-    """A message as it travels."""
-    return struct.pack("<I", len(data)) + data
+    """Return a message as it is sent: its size, four bytes little-endian, and its content."""
+    return _SIZE.pack(len(data)) + data
 
 
 class Link(asyncio.Protocol):
@@ -74,33 +76,38 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the hello."""
-        wire = self._transport = cast(asyncio.Transport, transport)
+        connection = self._transport = cast(asyncio.Transport, transport)
         self._hello_timer = self._links.loop.call_later(HELLO_TIMEOUT_S, self.close, "no hello")
         if not self._links.connected(self):
             self.close("too many strangers")
             return
-        wire.write(framed(_encode(Hello(self._links.fleet, VERSION, self._links.name, self._links.boot_id))))
+        hello = Hello(self._links.fleet, VERSION, self._links.name, self._links.boot_id)
+        connection.write(framed(_encode(hello)))
 
     def data_received(self, data: bytes) -> None:
         """Split the received bytes into messages."""
         self._buffer += data
-        while len(self._buffer) >= 4 and self._transport is not None:
-            size = struct.unpack_from("<I", self._buffer)[0]
-            if size > MAX_MESSAGE_BYTES or (not self.name and size > 1024):
+        while len(self._buffer) >= _SIZE.size and self._transport is not None:
+            size = _SIZE.unpack_from(self._buffer)[0]
+            if size > (MAX_MESSAGE_BYTES if self.name else MAX_HELLO_BYTES):
                 self.close("a message too long")
                 return
-            if len(self._buffer) < 4 + size:
+            end = _SIZE.size + size
+            if len(self._buffer) < end:
                 return
-            message, self._buffer = self._buffer[4 : 4 + size], self._buffer[4 + size :]
-            self._receive(message)
+            message, self._buffer = self._buffer[_SIZE.size : end], self._buffer[end:]
+            if self.name:
+                self._receive(message)
+            else:
+                self._receive_hello(message)
 
     def _receive(self, message: bytes) -> None:
-        if self.name:
-            try:
-                self._links.receive(self.name, message)
-            except ValueError as error:
-                self.close(f"a message that can't be read: {error}")
-            return
+        try:
+            self._links.receive(self.name, message)
+        except ValueError as error:
+            self.close(f"a message that can't be read: {error}")
+
+    def _receive_hello(self, message: bytes) -> None:
         try:
             hello = _hello_decoder.decode(message)
         except (msgspec.DecodeError, UnicodeDecodeError):
@@ -117,7 +124,7 @@
             self._links.identified(self)
 
     def send(self, message: bytes) -> bool:
-        """Send; False: too much waits already, or the link is down."""
+        """Send a message; return False if too much waits already, or the link is down."""
         if self._transport is None or self._transport.is_closing():
             return False
         if self._transport.get_write_buffer_size() > MAX_QUEUED_BYTES:
@@ -131,9 +138,8 @@
         if self._transport is not None and not self._transport.is_closing():
             if reason:
                 self._links.closed[reason.partition(":")[0]] += 1
-                log.warning(
-                    "fleet: link to %s closed: %s", self.name or self.expected or "a newcomer", reason
-                )
+                peer = self.name or self.expected or "a newcomer"
+                log.warning("fleet: link to %s closed: %s", peer, reason)
             self._transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -174,25 +180,25 @@
         self._lost_events: dict[str, asyncio.Event] = {}
 
     async def listen(self, address: Address) -> None:
-        """Take links; raises OSError where the address can't be had."""
+        """Listen for links; raises OSError where the address can't be bound."""
         self._server = await self.loop.create_server(lambda: Link(self), *address, backlog=BACKLOG)
 
     def stop_listening(self) -> None:
-        """Take no more links: another process of this router does."""
+        """Stop listening: another process of this router listens from now on."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
     def dial(self, addresses: dict[str, str]) -> None:
-        """Keep links to these routers, and to no others."""
+        """Keep links to these routers, by name and address, and close those to others."""
         for name in [name for name in self._dialling if name not in addresses]:
             self._dialling.pop(name).cancel()
             if name in self._dialled:
                 self._dialled[name].close()
         for name, address in addresses.items():
             if name != self.name and name not in self._dialling:
-                where = parse_address(f"fleet member {name}", address)
-                self._dialling[name] = self.loop.create_task(self._keep_link(name, where))
+                parsed = parse_address(f"fleet member {name}", address)
+                self._dialling[name] = self.loop.create_task(self._keep_link(name, parsed))
 
     async def _keep_link(self, name: str, address: Address) -> None:
         backoff = MIN_BACKOFF_S
@@ -244,16 +250,16 @@
     def send(self, name: str, message: bytes, boot_id: str = "") -> None:
         """Send a message, by whichever link there is; it may be lost.
 
-        `boot_id`: the run of its process that is meant; empty: the one that is dialled.
+        `boot_id`: the run of its process that must get it; empty: the one that is dialled.
         """
         for table in (self._dialled, self._accepted):
             link = table.get(name)
             # Always the same one of two: on the other an older message could come after a newer one.
             if link is not None and boot_id in ("", link.boot_id) and link.send(message):
                 return
-        meant = self._by_run.get((name, boot_id))
-        if meant is not None:
-            meant.send(message)
+        link = self._by_run.get((name, boot_id))
+        if link is not None:
+            link.send(message)
 
     def close(self) -> None:
         """Close all links and stop dialling."""
