--- a/pebblepass/daemon/multi_get/entries.py
+++ b/pebblepass/daemon/multi_get/entries.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from pebblepass.daemon.attempts import Attempt
-    from pebblepass.daemon.multi_get.batches import BatchExchange
+    from pebblepass.daemon.multi_get.batch_exchange import BatchExchange
     from pebblepass.daemon.multi_get.reading import MultiGet
 
 
--- a/pebblepass/daemon/multi_get/reading.py
+++ b/pebblepass/daemon/multi_get/reading.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from pebblepass.daemon.deadlines import Deadline
-    from pebblepass.daemon.multi_get.batches import BatchExchange
+    from pebblepass.daemon.multi_get.batch_exchange import BatchExchange
     from pebblepass.daemon.multi_get.entries import KeyAttempt, KeyReply
     from pebblepass.daemon.multi_get.reads import MultiGetReads
 
--- a/pebblepass/multi_get/__init__.py
+++ b/pebblepass/multi_get/__init__.py
@@ -1,15 +1,15 @@
-"""Reads of many keys: one command, split over the nodes, one answer in the order asked; no I/O, no clock.
+"""Multi-get rules: split one command over the servers, and answer it in the order of its keys. No I/O.
 
-The decision module still chooses each key's server, and whether to try again; here it is decided how many
-keys of which command are asked now (`shares`), which of them travel together (`parts`), when a second copy is
-worth its price (`hedging`), and what goes into the answer (`gathering`).
+The decision module still chooses each key's server and whether to retry. The modules here decide how many
+keys of which command are requested next (`fair_allocator`), which keys travel together (`batches`), when a
+hedged request is within budget (`hedging`), and what the reply contains (`reply_assembly`).
 """
 
+from pebblepass.multi_get.batches import Batch, BatchBounds, Batches, Queued
 from pebblepass.multi_get.command import MultiGetCommand, parse_many
-from pebblepass.multi_get.gathering import Gathering, State
+from pebblepass.multi_get.fair_allocator import ShareBounds, Shares
 from pebblepass.multi_get.hedging import HedgeBudget
-from pebblepass.multi_get.parts import Batch, BatchBounds, Batches, Queued
-from pebblepass.multi_get.shares import ShareBounds, Shares
+from pebblepass.multi_get.reply_assembly import Gathering, State
 
 __all__ = [
     "Batch",
--- a/pebblepass/multi_get/shares.py
+++ b/pebblepass/multi_get/fair_allocator.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from pebblepass.multi_get.gathering import Gathering
+from pebblepass.multi_get.reply_assembly import Gathering
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/daemon/test_gone.py
+++ b/tests/daemon/test_gone.py
@@ -16,7 +16,7 @@
 import pytest
 
 from pebblepass.daemon.clients import MAX_PIPELINE, ClientConnection
-from pebblepass.daemon.multi_get.batches import BatchExchange
+from pebblepass.daemon.multi_get.batch_exchange import BatchExchange
 from pebblepass.daemon.upstream import REST_S
 from pebblepass.decisions import Send
 from tests.crossings import ADDRESS, LONG_DIALS, Bed, ClientLine, PeerLine, asked, crossing
