--- a/pebblepass/daemon/multi_get/batch_exchange.py
+++ b/pebblepass/daemon/multi_get/batch_exchange.py
@@ -39,11 +39,11 @@
         self._latency = 0  # of one key, for that report
         for key in batch.items:
             key.begin(self)
-        due = min(now + batch.patience, read.deadline) if batch.patience else read.deadline
+        due = min(now + batch.attempt_timeout, read.deadline) if batch.attempt_timeout else read.deadline
         self._timeout_at = due
-        hedged = batch.slow_after and host.settings.may_hedge
-        self._hedge_at = now + batch.slow_after if hedged else due
-        self._stall_check_at = now + batch.held_up_after
+        hedged = batch.hedge_delay and host.settings.may_hedge
+        self._hedge_at = now + batch.hedge_delay if hedged else due
+        self._stall_check_at = now + batch.stall_timeout
         self._arm_timer()
 
     def _arm_timer(self) -> None:
@@ -83,7 +83,7 @@
     def request_bytes(self, address: Address) -> bytes:
         """Encode the reads of the keys that still need an answer; drop the others from the batch."""
         batch, now = self._batch, self._reads.host.now()
-        batch.heard_at = now  # waiting for a connection does not count against the server
+        batch.last_answer_at = now  # waiting for a connection does not count against the server
         wanted = []
         for key in batch.items:
             if key.is_wanted:
@@ -95,7 +95,7 @@
             self._reads.loop.call_soon(self.give_up, Outcome.SUPERSEDED)
             return b""
         info, keys = self._read.info_to_send(now), self._read.gathering.keys
-        if not batch.as_one:
+        if not batch.as_command:
             return b"".join([read_command(keys[key.number], key.request_id.encode(), info) for key in wanted])
         self.array_expected = True
         name = wanted[0].request_id.encode()
@@ -117,7 +117,7 @@
         if self._single_error:
             return False
         attempt = batch.items[batch.answered].ensure_attempt()
-        attempt.record_latency(self._reads.batches.answer(batch, batch.sent_at + attempt.elapsed()))
+        attempt.record_latency(self._reads.batches.record_answer(batch, batch.sent_at + attempt.elapsed()))
         if batch.answered + 1 == len(batch.items):
             return False
         batch.answered += 1
@@ -143,7 +143,7 @@
         taken = batch.items[first : first + len(entries)]
         held_up = host.lag.total(now) - self.lag_before
         batch.answered += len(taken) - 1
-        self._latency = reads.batches.answer(batch, max(now - held_up, batch.sent_at + 1))
+        self._latency = reads.batches.record_answer(batch, max(now - held_up, batch.sent_at + 1))
         batch.answered += 1
         for key in taken:
             del read.unopened[key.request_id]
@@ -179,9 +179,9 @@
         Return the time of the next check.
         """
         reads, batch, gathering = self._reads, self._batch, self._read.gathering
-        left = batch.left
+        left = batch.unanswered
         if gathering.waiting or gathering.open > len(left):
-            return now + max(batch.slow_after, SLOW_RECHECK_NS)
+            return now + max(batch.hedge_delay, SLOW_RECHECK_NS)
         for key in left:
             if key.is_wanted and reads.hedges.spend():
                 key.ensure_attempt()
@@ -195,20 +195,22 @@
         check.
         """
         reads, batch, connection = self._reads, self._batch, self.connection
-        wait, behind = (batch.held_up_after, []) if connection is None else reads.batches.held_up(batch, now)
-        if wait:
-            return now + wait
+        if connection is None:
+            return now + batch.stall_timeout
+        retry_after, behind = reads.batches.check_stall(batch, now)
+        if retry_after:
+            return now + retry_after
         self._report_served()  # the batch may stay open for long
-        head = batch.left[0]
+        head = batch.unanswered[0]
         if not head.streaming:  # else its client is the slow side, not the server
-            self._quarantine([head, *behind] if batch.as_one else [head])
-        if connection is not None and behind:
+            self._quarantine([head, *behind] if batch.as_command else [head])
+        if behind:
             connection.retired = True  # answers behind that key's no longer belong to a request
         for key in behind:
             attempt = key.ensure_attempt()
             attempt.exclude_from_health(head.streaming)
             attempt.end(Outcome.TIMEOUT)
-        if batch.as_one and not batch.answered:
+        if batch.as_command and not batch.answered:
             self.give_up(Outcome.TIMEOUT)  # the key that blocks can't be identified
         reads.schedule()
         return NEVER
@@ -219,7 +221,7 @@
 
     def _timed_out(self) -> None:
         # A streamed value may continue; the keys behind it have left the batch by then.
-        if not self.is_over and not (self._batch.left and self._batch.left[0].streaming):
+        if not self.is_over and not (self._batch.unanswered and self._batch.unanswered[0].streaming):
             self.give_up(Outcome.TIMEOUT)
 
     def ended(self, outcome: Outcome, answer: Answer) -> None:
@@ -227,12 +229,12 @@
         batch = self._batch
         self._timer.cancel()
         self._read.exchanges.pop(self, None)
-        left = batch.left
-        self._reads.batches.end(batch)
+        left = batch.unanswered
+        self._reads.batches.finish(batch)
         self._report_served()
         if left:
             if outcome not in (Outcome.OK, Outcome.MISS, Outcome.CONNECT_FAILED):
-                self._quarantine(left if batch.as_one else left[:1])
+                self._quarantine(left if batch.as_command else left[:1])
             head = left[0].ensure_attempt()
             head.connection_failed, head.connection_rejected = (
                 self.connection_failed,
--- a/pebblepass/daemon/multi_get/reads.py
+++ b/pebblepass/daemon/multi_get/reads.py
@@ -18,7 +18,7 @@
     Batches,
     Gathering,
     HedgeBudget,
-    Queued,
+    QueuedKey,
     ShareBounds,
     Shares,
     parse_many,
@@ -73,8 +73,8 @@
         bounds = BatchBounds(
             keys=section.part_keys,
             pipelined=min(section.part_keys, settings.requests_per_connection),
-            words=section.part_kib << 10,
-            side_by_side=section.parts_of_server,
+            key_bytes=section.part_kib << 10,
+            in_flight_per_server=section.parts_of_server,
         )
         self.batches: Batches[KeyAttempt] = Batches(
             bounds, min(cls.latency_target for cls in settings.classes)
@@ -183,7 +183,7 @@
 
     def drop(self, read: MultiGet) -> None:
         """Cancel a command's queued keys, and withdraw its batches."""
-        for key in self.batches.drop(read):
+        for key in self.batches.cancel(read):
             key.ensure_attempt().end(Outcome.SUPERSEDED)
         for exchange in list(read.exchanges):
             exchange.withdraw()
@@ -270,12 +270,12 @@
         """Queue keys for the server that the decision module has chosen for them."""
         read, server = self._reads[action.command], action.server
         words, unopened, timeout = read.gathering.keys, read.unopened, action.timeout
-        offered: list[Queued[KeyAttempt]] = []
+        queued: list[QueuedKey[KeyAttempt]] = []
         for request_id in action.requests:
             key = unopened[request_id]
             key.server, number = server, key.number
-            offered.append((False, number, key, len(words[number]) + 1, timeout))
-        self.batches.offer_all(server, read, offered)
+            queued.append((False, number, key, len(words[number]) + 1, timeout))
+        self.batches.enqueue_all(server, read, queued)
         self.schedule()
 
     def send_single(self, attempt: Attempt, server: str, timeout: int) -> None:
@@ -287,19 +287,18 @@
             return
         number = key_number(command)
         key = KeyAttempt(read, number, attempt.request_id, attempt)
-        self.batches.offer(
+        self.batches.enqueue(
             server, read, key, number, len(command.key) + 1, timeout, number in read.quarantined
         )
         self.schedule()
 
     def _send_batches(self, full_only: bool) -> None:
-        for key in self.batches.blocked():
+        for key in self.batches.take_blocked():
             attempt = key.ensure_attempt()
-            attempt.exclude_from_health(
-                always=True
-            )  # it was never sent: exclude it from the server's health statistics
+            attempt.exclude_from_health(always=True)  # it was never sent
             attempt.end(Outcome.SUPERSEDED)
-        batches = self.batches.due(self.host.now(), self._supports_batches, full_only, MAX_BATCHES_PER_TURN)
+        now = self.host.now()
+        batches = self.batches.take_due(now, self._supports_batches, full_only, MAX_BATCHES_PER_TURN)
         if len(batches) == MAX_BATCHES_PER_TURN:
             self.schedule()
         for batch in batches:
@@ -315,7 +314,7 @@
 
     def server_left(self, server: str) -> None:
         """Fail the keys that are queued for a server that drains or has been removed."""
-        for key in self.batches.server_left(server):
+        for key in self.batches.remove_server(server):
             key.ensure_attempt().end(Outcome.CONNECT_FAILED)
 
     def end_all(self) -> None:
--- a/pebblepass/multi_get/__init__.py
+++ b/pebblepass/multi_get/__init__.py
@@ -5,7 +5,8 @@
 hedged request is within budget (`hedging`), and what the reply contains (`reply_assembly`).
 """
 
-from pebblepass.multi_get.batches import Batch, BatchBounds, Batches, Queued
+from pebblepass.multi_get.batch import Batch, BatchBounds, QueuedKey
+from pebblepass.multi_get.batches import Batches
 from pebblepass.multi_get.command import MultiGetCommand, parse_many
 from pebblepass.multi_get.fair_allocator import ShareBounds, Shares
 from pebblepass.multi_get.hedging import HedgeBudget
@@ -18,7 +19,7 @@
     "Gathering",
     "HedgeBudget",
     "MultiGetCommand",
-    "Queued",
+    "QueuedKey",
     "ShareBounds",
     "Shares",
     "State",
--- a/pebblepass/multi_get/batches.py
+++ b/pebblepass/multi_get/batches.py
@@ -1,287 +1,204 @@
-"""Which keys travel together: the module's choices by server, cut into parts that run side by side.
-
-A part's answers come in the order of its keys, so that a slow key holds up those behind it. Hence a part is
-only as long as its server can answer in a share of the aim, as far as its pace is known; and where a part
-runs out of time, all of it that is unanswered has: each of those keys is the decision module's to try again.
+"""Grouping of keys into batches: the keys that the decision module has placed on a server, sent side by side.
+
+A batch's answers arrive in the order of its keys, so a slow key blocks those behind it. A batch is therefore
+only as long as its server answers within a fraction of the latency objective, as far as the server's latency
+is known. When a batch times out, all its unanswered keys have timed out, and the decision module may
+retry each.
+
+A batch's states:
+
+| state     | event                                 | next      | effect                                     |
+| --------- | ------------------------------------- | --------- | ------------------------------------------ |
+| in flight | `record_answer`                       | in flight | restarts the stall timeout                 |
+| in flight | `check_stall` after the stall timeout | stalled   | keys behind leave it; its slot is released |
+| in flight | `finish`                              | finished  | its slot is released                       |
+| stalled   | `record_answer`                       | stalled   | restarts the stall timeout                 |
+| stalled   | `check_stall`                         | stalled   | none: one key is left                      |
+| stalled   | `finish`                              | finished  | its command may send to the server again   |
 """
 
 from __future__ import annotations
 
-from collections import Counter, deque
 from collections.abc import Callable, Hashable, Iterable
-from dataclasses import dataclass
-from operator import itemgetter
-from typing import Generic, TypeVar
-
-Item = TypeVar("Item")
-
-AIM_SHARE = 0.5  # of the aim, in which a part should be answered
-FIRST_KEYS = 8  # of a part to a server whose pace is not known
-SMOOTHING = 8
-SPREADS = 3  # deviations beyond the usual after which a part is slow
-HELD_UP_SHARE = 0.125  # of the aim: less may be a hiccup
-PATIENCE = 2  # times its usual time that a part's keys behind the first may take
-
-
-@dataclass(frozen=True, slots=True)
-class BatchBounds:
-    """The bounds of a part and of what one server has side by side."""
-
-    keys: int = 32
-    """Keys of a part that goes as one command."""
-    pipelined: int = 8
-    """Keys of a part that goes as single reads on one connection, which begins so many at once."""
-    words: int = 16 << 10
-    """Bytes of a part's keys."""
-    side_by_side: int = 3
-    """Parts that one server has under way."""
-
-
-class Batch(Generic[Item]):
-    """Keys of one command that go to one server together."""
-
-    __slots__ = (  # noqa: RUF023
-        "server", "owner", "items", "sent_at", "as_one", "answered", "heard_at",
-        "patience", "slow_after", "held_up_after", "stuck",
-    )  # fmt: skip
-
-    def __init__(
-        self, server: str, owner: Hashable, items: list[Item], sent_at: int, as_one: bool = False
-    ) -> None:
-        self.server, self.owner, self.items, self.sent_at = server, owner, items, sent_at
-        self.as_one = as_one
-        """Whether it goes as one command."""
-        self.answered = 0
-        self.heard_at = sent_at
-        """When its last answer came."""
-        self.stuck = False
-        """Its first key is not heard of; those behind it were taken out, and its place given to others."""
-        self.patience = 0
-        """Nanoseconds after which what is unanswered has timed out; 0: not before its time is up."""
-        self.slow_after = 0
-        """Nanoseconds after which the part is slower than usual; 0: not known."""
-        self.held_up_after = 0
-        """Nanoseconds without an answer after which its first key holds the others up."""
-
-    @property
-    def left(self) -> list[Item]:
-        """What is unanswered."""
-        return self.items[self.answered :]
-
+from typing import Generic
 
-Queued = tuple[bool, int, Item, int, int]
-"""A key that waits: whether it has to go alone, its place in the command, itself, its bytes, its patience."""
-_TURN = itemgetter(0, 1)
+from pebblepass.multi_get.batch import Batch, BatchBounds, Item, QueuedKey, StallCheck
+from pebblepass.multi_get.server_queue import ServerQueue
 
-
-class _Server(Generic[Item]):
-    """One server: what waits for it by command, what runs, and how long a key takes it."""
-
-    def __init__(self) -> None:
-        self.queues: dict[Hashable, list[Queued[Item]]] = {}
-        self.turns: deque[Hashable] = deque()  # the commands that wait, in the order of their turns
-        self.running = 0
-        self.stuck: Counter[Hashable] = Counter()  # parts that are stuck, by command
-        self.gone = False
-        self.per_key = 0.0  # smoothed time of a part divided by its keys
-        self.usual = self.spread = 0.0  # smoothed time of a part as a whole, and its smoothed deviation
-
-    def learn(self, took: float, keys: int) -> None:
-        if not self.usual:
-            self.per_key, self.usual, self.spread = took / keys, took, took / 2
-            return
-        off = took - self.usual
-        self.per_key += (took / keys - self.per_key) / SMOOTHING
-        self.usual += off / SMOOTHING
-        self.spread += (abs(off) - self.spread) / SMOOTHING
-
-    def enough(self, keys: int) -> int:
-        """After so many nanoseconds a part of so many keys takes longer than usual."""
-        # Some servers take as long for one key as for many, some so much for each.
-        return int(max(self.usual, self.per_key * keys) + self.spread * SPREADS)
+BATCH_LATENCY_FRACTION = 0.5  # of the latency objective, within which a batch should be answered
+INITIAL_MAX_KEYS = 8  # keys of a batch to a server whose latency is not known
+MIN_STALL_TIMEOUT_FRACTION = 0.125  # of the latency objective; less may be a short pause of the server
+LATER_KEYS_TIMEOUT_FACTOR = 2  # times the mean latency per key, for each key behind a batch's first
+NO_LIMIT = 1 << 30
 
 
 class Batches(Generic[Item]):
-    """Keys on their way to servers. Times are nanoseconds of the caller's clock."""
+    """Keys queued for servers, and batches in flight. Times are nanoseconds of the caller's clock."""
 
-    def __init__(self, bounds: BatchBounds, aim: int) -> None:
-        """`aim`: that of the quickest class, in nanoseconds."""
-        self._bounds, self._aim = bounds, aim
-        self._servers: dict[str, _Server[Item]] = {}
-        self._stuck = 0  # parts, over all servers
-        self._ready: dict[str, None] = {}  # servers that something may wait for
+    def __init__(self, bounds: BatchBounds, latency_objective: int) -> None:
+        """`latency_objective`: the lowest of all request classes, in nanoseconds."""
+        self._bounds, self._latency_objective = bounds, latency_objective
+        self._servers: dict[str, ServerQueue[Item]] = {}
+        self._stalled_count = 0  # stalled batches, over all servers
+        self._ready: dict[str, None] = {}  # servers to which a batch may have to be sent
 
-    def offer(
+    def enqueue(
         self,
         server: str,
         owner: Hashable,
         item: Item,
         order: int,
         size: int = 0,
-        patience: int = 0,
+        timeout: int = 0,
         alone: bool = False,
     ) -> None:
-        """The module has chosen a server for a key; `order`: its place in the command, `owner`.
+        """Queue one key for its server; `order`: its position in its command, `owner`; `size` in bytes.
 
-        `patience`: nanoseconds after which one such attempt counts as lost, 0: never. `alone`: it has held up
-        a part before, and must not hold up another.
+        `timeout`: nanoseconds after which a single attempt has timed out, 0: never. `alone`: the key has
+        blocked a batch before, and must not block another.
         """
-        self._queue(server, owner).append((alone, order, item, size, patience))
+        self._queue(server, owner).append((alone, order, item, size, timeout))
 
-    def offer_all(self, server: str, owner: Hashable, queued: Iterable[Queued[Item]]) -> None:
-        """The same for many."""
+    def enqueue_all(self, server: str, owner: Hashable, queued: Iterable[QueuedKey[Item]]) -> None:
+        """Queue several keys of one command for their server."""
         self._queue(server, owner).extend(queued)
 
-    def _queue(self, server: str, owner: Hashable) -> list[Queued[Item]]:
-        held = self._servers.get(server)
-        if held is None:
-            held = self._servers[server] = _Server()
-        held.gone = False
-        queue = held.queues.get(owner)
-        if queue is None:
-            queue = held.queues[owner] = []
-            held.turns.append(owner)
+    def _queue(self, server: str, owner: Hashable) -> list[QueuedKey[Item]]:
+        server_queue = self._servers.get(server)
+        if server_queue is None:
+            server_queue = self._servers[server] = ServerQueue()
+        server_queue.is_removed = False
         self._ready[server] = None
-        return queue
+        return server_queue.queue_of(owner)
 
-    def due(
-        self, now: int, speaks: Callable[[str], bool], full_only: bool = False, most: int = 1 << 30
+    def take_due(
+        self,
+        now: int,
+        accepts_command: Callable[[str], bool],
+        full_only: bool = False,
+        limit: int = NO_LIMIT,
     ) -> list[Batch[Item]]:
-        """Cut the parts that may leave now, `most` of them; `speaks`: a server takes a part as one command.
+        """Return the batches to send now, at most `limit`.
 
-        `full_only`: more keys are about to be offered, so that parts that would be short wait for them.
+        `accepts_command`: whether a server accepts several keys in one command. `full_only`: more keys are
+        about to be queued, so batches that are not full wait for them.
         """
-        parts: list[Batch[Item]] = []
+        batches: list[Batch[Item]] = []
         for server in list(self._ready):
-            held = self._servers[server]
-            as_one = speaks(server)
-            keys = self._most_keys(held, as_one)
-            while held.turns and held.running < self._bounds.side_by_side:
-                if full_only and len(held.queues[held.turns[0]]) < keys:
+            server_queue = self._servers[server]
+            as_command = accepts_command(server)
+            max_keys = self._max_keys(server_queue, as_command)
+            while server_queue.round_robin and server_queue.in_flight < self._bounds.in_flight_per_server:
+                if full_only and not server_queue.has_full_batch(max_keys):
                     break
-                if len(parts) == most:
-                    return parts
-                parts.append(self._cut(server, held, now, as_one, keys))
+                if len(batches) == limit:
+                    return batches
+                batches.append(self._start_batch(server, server_queue, now, as_command, max_keys))
             if not full_only:
-                del self._ready[server]  # until a part ends, or a key is offered
-        return parts
-
-    def _cut(self, server: str, held: _Server[Item], now: int, as_one: bool, most: int) -> Batch[Item]:
-        """The next command in turn has a part of its keys sent; with more left it waits for its next turn."""
-        owner = held.turns.popleft()
-        queue = held.queues[owner]
-        # Danger: a long value may wait for those ahead of it in the list. What has to go alone goes last.
-        if len(queue) > 1:
-            queue.sort(key=_TURN)
-        most, size, count = min(most, len(queue)), queue[0][3], 1
-        while count < most and not queue[count][0] and size + queue[count][3] <= self._bounds.words:
-            size += queue[count][3]
-            count += 1
-        if count < len(queue):
-            chosen, queue[:count] = queue[:count], []
-            held.turns.append(owner)
-        else:
-            chosen = queue
-            del held.queues[owner]
-        held.running += 1
-        part = Batch(server, owner, [queued[2] for queued in chosen], now, as_one)
-        first = chosen[0][4]
-        behind = int(held.per_key * PATIENCE * (count - 1))
-        part.patience = first + behind if first and all(queued[4] for queued in chosen) else 0
-        part.slow_after = held.enough(count) if held.usual else 0
+                del self._ready[server]  # until a batch ends, or a key is queued
+        return batches
+
+    def _max_keys(self, server_queue: ServerQueue[Item], as_command: bool) -> int:
+        bounds, latency = self._bounds, server_queue.latency
+        limit = bounds.keys if as_command else bounds.pipelined
+        within_objective = INITIAL_MAX_KEYS
+        if latency.mean:
+            within_objective = int(self._latency_objective * BATCH_LATENCY_FRACTION / latency.per_key)
+        return max(1, min(limit, within_objective))
+
+    def _start_batch(
+        self, server: str, server_queue: ServerQueue[Item], now: int, as_command: bool, max_keys: int
+    ) -> Batch[Item]:
+        owner, chosen = server_queue.take_next(max_keys, self._bounds.key_bytes)
+        server_queue.in_flight += 1
+        batch = Batch(server, owner, [queued[2] for queued in chosen], now, as_command)
+        latency, count, first_timeout = server_queue.latency, len(chosen), chosen[0][4]
+        later_keys = int(latency.per_key * LATER_KEYS_TIMEOUT_FACTOR * (count - 1))
+        if first_timeout and all(queued[4] for queued in chosen):
+            batch.attempt_timeout = first_timeout + later_keys
+        batch.hedge_delay = latency.upper_bound(count) if latency.mean else 0
         # A server that works on all keys at once answers the first only when nearly all are done.
-        part.held_up_after = int(self._aim * HELD_UP_SHARE) + held.enough(count)
-        return part
+        min_stall_timeout = int(self._latency_objective * MIN_STALL_TIMEOUT_FRACTION)
+        batch.stall_timeout = min_stall_timeout + latency.upper_bound(count)
+        return batch
 
-    def held_up(self, part: Batch[Item], now: int) -> tuple[int, list[Item]]:
-        """Whether the first unanswered key holds up those behind it, as it has been silent for too long.
+    def check_stall(self, batch: Batch[Item], now: int) -> StallCheck[Item]:
+        """Check for head-of-line blocking: whether the first unanswered key is overdue.
 
-        Returns how long to wait until the next look, 0: it does; and those behind it, which are taken out of
-        the part: it goes on with that key alone, and no longer takes up a place beside its server's others.
+        If so, the keys behind it leave the batch, which continues with that key alone and no longer counts
+        against the batches that its server may have in flight.
         """
-        wait = part.heard_at + part.held_up_after - now
+        wait = batch.last_answer_at + batch.stall_timeout - now
         if wait > 0:
-            return wait, []
-        behind = part.left[1:]
-        del part.items[part.answered + 1 :]
-        if not part.stuck:
-            part.stuck = True
-            held = self._servers[part.server]
-            held.running -= 1
-            held.stuck[part.owner] += 1
-            self._stuck += 1
-            self._ready[part.server] = None
-        return 0, behind
-
-    def blocked(self) -> list[Item]:
-        """Keys that wait for a server where their command has too many parts stuck: they don't go there."""
+            return StallCheck(wait, [])
+        unblocked = batch.unanswered[1:]
+        del batch.items[batch.answered + 1 :]
+        if not batch.is_stalled:
+            batch.is_stalled = True
+            server_queue = self._servers[batch.server]
+            server_queue.in_flight -= 1
+            server_queue.stalled[batch.owner] += 1
+            self._stalled_count += 1
+            self._ready[batch.server] = None
+        return StallCheck(0, unblocked)
+
+    def take_blocked(self) -> list[Item]:
+        """Remove and return the keys queued for a server where their command has too many stalled batches."""
         blocked: list[Item] = []
-        if not self._stuck:
+        if not self._stalled_count:
             return blocked
-        for held in self._servers.values():
-            for owner in [o for o in held.stuck if held.stuck[o] >= self._bounds.side_by_side]:
-                blocked += self._take_queue(held, owner)
+        limit = self._bounds.in_flight_per_server
+        for server_queue in self._servers.values():
+            for owner in [owner for owner, count in server_queue.stalled.items() if count >= limit]:
+                blocked += server_queue.cancel(owner)
         return blocked
 
-    def _take_queue(self, held: _Server[Item], owner: Hashable) -> list[Item]:
-        if owner not in held.queues:
-            return []
-        held.turns.remove(owner)
-        return [queued[2] for queued in held.queues.pop(owner)]
-
-    def _most_keys(self, held: _Server[Item], as_one: bool) -> int:
-        bounds = self._bounds
-        most = bounds.keys if as_one else bounds.pipelined
-        in_time = FIRST_KEYS if not held.usual else int(self._aim * AIM_SHARE / held.per_key)
-        return max(1, min(most, in_time))
-
-    def answer(self, part: Batch[Item], now: int) -> int:
-        """The part's next key is being answered; returns the time to hold against its server for it.
+    def record_answer(self, batch: Batch[Item], now: int) -> int:
+        """Record that the batch's next key is answered; return that key's latency in nanoseconds, at least 1.
 
-        Servers that take a part's keys one after another and those that work on all of them at once look
-        alike from here. The time since the part was sent is divided by the mean of the keys answered so far
-        and all of the part's: at most twice too long for the ones, and half too short for the others.
+        A server that works on one key after another can't be told from one that works on all of them at once.
+        The time since the batch was sent is divided by the mean of the number of keys answered and the number
+        of all its keys. For the latter kind the result is between one and two times its time per key; for
+        the former it rises with each key, up to its time per key for the last.
         """
-        place, count = part.answered + 1, len(part.items)
-        took, part.heard_at = max(now - part.sent_at, 1), now
-        if place == count:
-            self._servers[part.server].learn(took, count)
-        return max(took * 2 // (place + count), 1)
-
-    def end(self, part: Batch[Item]) -> None:
-        """The part is over, however it ended."""
-        held = self._servers[part.server]
-        if part.stuck:
-            held.stuck[part.owner] -= 1
-            self._stuck -= 1
-            if not held.stuck[part.owner]:
-                del held.stuck[part.owner]
+        position, count = batch.answered + 1, len(batch.items)
+        latency, batch.last_answer_at = max(now - batch.sent_at, 1), now
+        if position == count:
+            self._servers[batch.server].latency.record(latency, count)
+        return max(latency * 2 // (position + count), 1)
+
+    def finish(self, batch: Batch[Item]) -> None:
+        """Release a batch that has ended, with whatever outcome."""
+        server_queue = self._servers[batch.server]
+        if batch.is_stalled:
+            server_queue.stalled[batch.owner] -= 1
+            self._stalled_count -= 1
+            if not server_queue.stalled[batch.owner]:
+                del server_queue.stalled[batch.owner]
         else:
-            held.running -= 1
-        if held.turns:
-            self._ready[part.server] = None
+            server_queue.in_flight -= 1
+        if server_queue.round_robin:
+            self._ready[batch.server] = None
         else:
-            self._forget(part.server, held)
+            self._discard_if_unused(batch.server, server_queue)
 
-    def _forget(self, server: str, held: _Server[Item]) -> None:
-        # Danger: servers come and go all day, each under a new name.
-        if held.gone and not (held.running or held.stuck or held.turns):
+    def _discard_if_unused(self, server: str, server_queue: ServerQueue[Item]) -> None:
+        # Bounds the memory: servers come and go all day, each under a new name.
+        if server_queue.is_removed and server_queue.is_idle:
             del self._servers[server]
             self._ready.pop(server, None)
 
-    def server_left(self, server: str) -> list[Item]:
-        """A server drains or is gone: what waits for it is not sent; returns that."""
-        held = self._servers.get(server)
-        if held is None:
+    def remove_server(self, server: str) -> list[Item]:
+        """Cancel the keys queued for a server that drains or has been removed, and return them."""
+        server_queue = self._servers.get(server)
+        if server_queue is None:
             return []
-        left = [queued[2] for queue in held.queues.values() for queued in queue]
-        held.queues.clear()
-        held.turns.clear()
+        cancelled = server_queue.cancel_all()
         self._ready.pop(server, None)
-        held.gone = True
-        self._forget(server, held)
-        return left
+        server_queue.is_removed = True
+        self._discard_if_unused(server, server_queue)
+        return cancelled
 
-    def drop(self, owner: Hashable) -> list[Item]:
-        """A command is over: what waits of it is not sent; returns that."""
-        return [item for held in self._servers.values() for item in self._take_queue(held, owner)]
+    def cancel(self, owner: Hashable) -> list[Item]:
+        """Cancel the queued keys of a command that is over, and return them."""
+        return [item for server_queue in self._servers.values() for item in server_queue.cancel(owner)]
