--- a/pebblepass/daemon/multi_get/batch_exchange.py
+++ b/pebblepass/daemon/multi_get/batch_exchange.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from pebblepass.daemon import deadline_propagation
 from pebblepass.daemon.lag import after_poll
+from pebblepass.daemon.multi_get.entries import KeyAttempt
+from pebblepass.daemon.multi_get.interfaces import BatchRegistry
 from pebblepass.daemon.multi_get.reading import MultiGet
 from pebblepass.daemon.upstream import Answer, Exchange, ValueSource
 from pebblepass.decisions import BatchServed, HedgeDue, Outcome
@@ -14,10 +14,6 @@
 from pebblepass.wire.answers import AnswerError
 from pebblepass.wire.resp import MANY, bulk_length, command, read_command
 
-if TYPE_CHECKING:
-    from pebblepass.daemon.multi_get.entries import KeyAttempt
-    from pebblepass.daemon.multi_get.reads import MultiGetReads
-
 NEVER = 1 << 63
 SLOW_RECHECK_NS = 5_000_000  # between checks of a slow batch while other keys are outstanding
 
@@ -27,7 +23,7 @@
 
     carries_several = True
 
-    def __init__(self, reads: MultiGetReads, batch: Batch[KeyAttempt]) -> None:
+    def __init__(self, reads: BatchRegistry[MultiGet, KeyAttempt], batch: Batch[KeyAttempt]) -> None:
         self._reads, self._batch = reads, batch
         read = batch.owner
         assert isinstance(read, MultiGet)
--- a/pebblepass/daemon/multi_get/entries.py
+++ b/pebblepass/daemon/multi_get/entries.py
@@ -2,23 +2,18 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
+from pebblepass.daemon.attempts import Attempt, Carrier
+from pebblepass.daemon.multi_get.interfaces import KeyOwner
 from pebblepass.daemon.upstream import ValueSource
 from pebblepass.multi_get import State
 
-if TYPE_CHECKING:
-    from pebblepass.daemon.attempts import Attempt
-    from pebblepass.daemon.multi_get.batch_exchange import BatchExchange
-    from pebblepass.daemon.multi_get.reading import MultiGet
-
 
 class KeyReply:
     """The reply of one key: it has a client reply's interface, and passes the answer to the command."""
 
     __slots__ = ("_held", "_number", "_read", "request", "source")
 
-    def __init__(self, read: MultiGet, number: int) -> None:
+    def __init__(self, read: KeyOwner, number: int) -> None:
         self._read, self._number = read, number
         self._held: list[bytes] = []
         self.source: ValueSource | None = None
@@ -45,8 +40,7 @@
         self._read.gathering.stream(self._number)
         self.write(data)
         source.pause()
-        self._read.streams[self._number] = self
-        self._read.reads.schedule(self._read)
+        self._read.stream_started(self._number, self)
 
     def write(self, data: bytes) -> bool:
         """Write a chunk of a streamed value, or buffer it; return whether it was written."""
@@ -103,11 +97,11 @@
 
     __slots__ = ("attempt", "batch", "number", "read", "request_id", "server")
 
-    def __init__(self, read: MultiGet, number: int, request_id: str, attempt: Attempt | None = None) -> None:
+    def __init__(self, read: KeyOwner, number: int, request_id: str, attempt: Attempt | None = None) -> None:
         self.read, self.number, self.request_id = read, number, request_id
         self.server = ""
         """The server that the decision module has chosen; empty: not chosen yet, or the request is open."""
-        self.batch: BatchExchange | None = None
+        self.batch: Carrier | None = None
         self.attempt = attempt
 
     @property
@@ -120,7 +114,7 @@
         """Whether a long value of it is under way."""
         return self.attempt is not None and self.attempt.streaming
 
-    def begin(self, batch: BatchExchange) -> None:
+    def begin(self, batch: Carrier) -> None:
         """Mark the key as sent in this batch."""
         self.batch = batch
         if self.attempt is not None:
@@ -129,6 +123,6 @@
     def ensure_attempt(self) -> Attempt:
         """Return the key's attempt, and create it, with its request, if there is none yet."""
         if self.attempt is None:
-            self.read.reads.open(self)
+            self.read.open_key(self.request_id)
         assert self.attempt is not None
         return self.attempt
--- /dev/null
+++ b/pebblepass/daemon/multi_get/interfaces.py
@@ -0,0 +1,108 @@
+"""What the modules of this package require of each other, so that none of them imports in a circle."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING, Protocol, TypeVar
+
+from pebblepass.daemon.attempts import ReplySlot
+from pebblepass.daemon.upstream import ValueSource
+from pebblepass.multi_get import Batches, Gathering, HedgeBudget, Shares
+
+if TYPE_CHECKING:
+    from pebblepass.daemon.router import RouterHost
+
+CommandT_contra = TypeVar("CommandT_contra", contravariant=True)
+KeyT = TypeVar("KeyT")
+
+
+class StreamedReply(Protocol):
+    """One key's reply with a value too long to be buffered, as its command drives it."""
+
+    source: ValueSource | None
+
+    def write_buffered(self) -> None:
+        """Write what is buffered: the entries ahead have been written."""
+
+
+class KeyOwner(Protocol):
+    """The command of a key, as the key's reply and attempt use it."""
+
+    gathering: Gathering
+    paused: bool
+    abandoned: set[int]
+
+    @property
+    def reply(self) -> ReplySlot:
+        """The reply to the command."""
+
+    def open_key(self, request_id: str) -> None:
+        """Open the request of a key that has none, and create the attempt for what was already sent."""
+
+    def ended(self, number: int, entry: bytes) -> None:
+        """Record a key's final answer."""
+
+    def stream_started(self, number: int, reply: StreamedReply) -> None:
+        """Record that a key's value is streamed."""
+
+    def stream_ended(self, number: int) -> None:
+        """Record that a streamed value is complete."""
+
+    def stream_broke(self, number: int) -> None:
+        """Handle a streamed value that ended too early."""
+
+
+class CommandRegistry(Protocol[CommandT_contra]):
+    """All commands of a router, as one of them uses it."""
+
+    @property
+    def loop(self) -> asyncio.AbstractEventLoop:
+        """The event loop."""
+
+    @property
+    def host(self) -> RouterHost:
+        """The running router."""
+
+    @property
+    def shares(self) -> Shares:
+        """The allocation of keys in flight and of memory among commands."""
+
+    @property
+    def deadline_margin(self) -> int:
+        """Nanoseconds before a command's deadline at which its reply is completed."""
+
+    def open_key(self, read: CommandT_contra, request_id: str) -> None:
+        """Open the request of one of the command's keys, which has none."""
+
+    def schedule(self, read: CommandT_contra | None = None) -> None:
+        """Run a turn soon; `read`: it has changed."""
+
+    def close(self, read: CommandT_contra, failed: str) -> None:
+        """End a command early: its unfinished keys fail for this reason, or are abandoned if it is empty."""
+
+    def end_unanswered(self, read: CommandT_contra, number: int, failed: str) -> None:
+        """End one key without an answer from the decision module."""
+
+    def drop(self, read: CommandT_contra) -> None:
+        """Cancel a command's queued keys, and withdraw its batches."""
+
+    def forget(self, read: CommandT_contra) -> None:
+        """Remove a command that is finished."""
+
+
+class BatchRegistry(CommandRegistry[CommandT_contra], Protocol[CommandT_contra, KeyT]):
+    """All commands of a router, as a batch on a connection uses it."""
+
+    unopened: int
+    """The number of keys that the decision module knows and that have no open request yet."""
+
+    @property
+    def batches(self) -> Batches[KeyT]:
+        """The queued keys, and the batches in flight."""
+
+    @property
+    def hedges(self) -> HedgeBudget:
+        """The budget for hedged requests."""
+
+    def client_disconnected(self, read: CommandT_contra) -> None:
+        """Close a command whose client has disconnected."""
--- a/pebblepass/daemon/multi_get/reading.py
+++ b/pebblepass/daemon/multi_get/reading.py
@@ -7,14 +7,14 @@
 from pebblepass.daemon import deadline_propagation
 from pebblepass.daemon.clients import Reply
 from pebblepass.daemon.lag import after_poll
+from pebblepass.daemon.multi_get.entries import KeyAttempt
+from pebblepass.daemon.multi_get.interfaces import CommandRegistry, StreamedReply
+from pebblepass.daemon.upstream import Exchange
 from pebblepass.multi_get import Gathering, MultiGetCommand, State
 from pebblepass.wire.resp import with_timeout
 
 if TYPE_CHECKING:
     from pebblepass.daemon.deadlines import Deadline
-    from pebblepass.daemon.multi_get.batch_exchange import BatchExchange
-    from pebblepass.daemon.multi_get.entries import KeyAttempt, KeyReply
-    from pebblepass.daemon.multi_get.reads import MultiGetReads
 
 NS_PER_MS = 1_000_000
 
@@ -22,7 +22,9 @@
 class MultiGet:
     """One command in progress: the source of its reply, paused while the client does not read."""
 
-    def __init__(self, reads: MultiGetReads, command: MultiGetCommand, reply: Reply, now: int) -> None:
+    def __init__(
+        self, reads: CommandRegistry[MultiGet], command: MultiGetCommand, reply: Reply, now: int
+    ) -> None:
         self.reads, self.command, self.reply = reads, command, reply
         self.name = command.id.decode()
         self.gathering = Gathering(command.keys, reads.shares.bounds.value)
@@ -30,8 +32,8 @@
         self.paused = False
         self.over = False
         """Whether the client has disconnected, or the answer is written."""
-        self.streams: dict[int, KeyReply] = {}
-        self.exchanges: dict[BatchExchange, None] = {}
+        self.streams: dict[int, StreamedReply] = {}
+        self.exchanges: dict[Exchange, None] = {}
         self._advertised_ms, self._info = -1, b""
         self.unopened: dict[str, KeyAttempt] = {}
         """Keys that the decision module knows and that have no open request yet, by request id."""
@@ -84,6 +86,15 @@
             self.gathering.end(number, entry)
             self.reads.schedule(self)
 
+    def open_key(self, request_id: str) -> None:
+        """Open the request of a key that has none, and create the attempt for what was already sent."""
+        self.reads.open_key(self, request_id)
+
+    def stream_started(self, number: int, reply: StreamedReply) -> None:
+        """Record that a key's value is streamed."""
+        self.streams[number] = reply
+        self.reads.schedule(self)
+
     def stream_ended(self, number: int) -> None:
         """Record that a streamed value is complete."""
         self.streams.pop(number, None)
--- a/pebblepass/daemon/multi_get/reads.py
+++ b/pebblepass/daemon/multi_get/reads.py
@@ -250,11 +250,14 @@
         """Open the request of a key that had none until now; None: there is no such key."""
         read = self._reads.get(request_id.rpartition(".")[0])
         key = read.unopened.get(request_id) if read is not None else None
-        return None if key is None else self.open(key)
+        return None if read is None or key is None else self._open(read, key)
 
-    def open(self, key: KeyAttempt) -> OpenRequest:
-        """Open a key's request, and create the attempt for what was already sent."""
-        read, number = key.read, key.number
+    def open_key(self, read: MultiGet, request_id: str) -> None:
+        """Open the request of one of the command's keys, and create the attempt for what was already sent."""
+        self._open(read, read.unopened[request_id])
+
+    def _open(self, read: MultiGet, key: KeyAttempt) -> OpenRequest:
+        number = key.number
         del read.unopened[key.request_id]
         self.unopened -= 1
         command = read.command.read(number, read.gathering.keys[number])
@@ -326,5 +329,5 @@
         """Open every pending key's request, and remove all commands: the router shuts down."""
         for read in list(self._reads.values()):
             for key in list(read.unopened.values()):
-                self.open(key)
+                self._open(read, key)
             self.forget(read)
