--- a/pebblepass/daemon/multi_get/reads.py
+++ b/pebblepass/daemon/multi_get/reads.py
@@ -8,7 +8,7 @@
 
 from pebblepass.daemon.attempts import OpenRequest
 from pebblepass.daemon.clients import Reply
-from pebblepass.daemon.multi_get.batches import BatchExchange
+from pebblepass.daemon.multi_get.batch_exchange import BatchExchange
 from pebblepass.daemon.multi_get.entries import KeyAttempt, KeyReply
 from pebblepass.daemon.multi_get.reading import NS_PER_MS, MultiGet
 from pebblepass.daemon.upstream import Pool
@@ -18,7 +18,7 @@
     Batches,
     Gathering,
     HedgeBudget,
-    Queued,
+    QueuedKey,
     ShareBounds,
     Shares,
     parse_many,
@@ -73,8 +73,8 @@
         bounds = BatchBounds(
             keys=section.part_keys,
             pipelined=min(section.part_keys, settings.requests_per_connection),
-            words=section.part_kib << 10,
-            side_by_side=section.parts_of_server,
+            key_bytes=section.part_kib << 10,
+            in_flight_per_server=section.parts_of_server,
         )
         self.batches: Batches[KeyAttempt] = Batches(
             bounds, min(cls.latency_target for cls in settings.classes)
@@ -183,7 +183,7 @@
 
     def drop(self, read: MultiGet) -> None:
         """Cancel a command's queued keys, and withdraw its batches."""
-        for key in self.batches.drop(read):
+        for key in self.batches.cancel(read):
             key.ensure_attempt().end(Outcome.SUPERSEDED)
         for exchange in list(read.exchanges):
             exchange.withdraw()
@@ -250,11 +250,14 @@
         """Open the request of a key that had none until now; None: there is no such key."""
         read = self._reads.get(request_id.rpartition(".")[0])
         key = read.unopened.get(request_id) if read is not None else None
-        return None if key is None else self.open(key)
+        return None if read is None or key is None else self._open(read, key)
 
-    def open(self, key: KeyAttempt) -> OpenRequest:
-        """Open a key's request, and create the attempt for what was already sent."""
-        read, number = key.read, key.number
+    def open_key(self, read: MultiGet, request_id: str) -> None:
+        """Open the request of one of the command's keys, and create the attempt for what was already sent."""
+        self._open(read, read.unopened[request_id])
+
+    def _open(self, read: MultiGet, key: KeyAttempt) -> OpenRequest:
+        number = key.number
         del read.unopened[key.request_id]
         self.unopened -= 1
         command = read.command.read(number, read.gathering.keys[number])
@@ -270,12 +273,12 @@
         """Queue keys for the server that the decision module has chosen for them."""
         read, server = self._reads[action.command], action.server
         words, unopened, timeout = read.gathering.keys, read.unopened, action.timeout
-        offered: list[Queued[KeyAttempt]] = []
+        queued: list[QueuedKey[KeyAttempt]] = []
         for request_id in action.requests:
             key = unopened[request_id]
             key.server, number = server, key.number
-            offered.append((False, number, key, len(words[number]) + 1, timeout))
-        self.batches.offer_all(server, read, offered)
+            queued.append((False, number, key, len(words[number]) + 1, timeout))
+        self.batches.enqueue_all(server, read, queued)
         self.schedule()
 
     def send_single(self, attempt: Attempt, server: str, timeout: int) -> None:
@@ -287,19 +290,18 @@
             return
         number = key_number(command)
         key = KeyAttempt(read, number, attempt.request_id, attempt)
-        self.batches.offer(
+        self.batches.enqueue(
             server, read, key, number, len(command.key) + 1, timeout, number in read.quarantined
         )
         self.schedule()
 
     def _send_batches(self, full_only: bool) -> None:
-        for key in self.batches.blocked():
+        for key in self.batches.take_blocked():
             attempt = key.ensure_attempt()
-            attempt.exclude_from_health(
-                always=True
-            )  # it was never sent: exclude it from the server's health statistics
+            attempt.exclude_from_health(always=True)  # it was never sent
             attempt.end(Outcome.SUPERSEDED)
-        batches = self.batches.due(self.host.now(), self._supports_batches, full_only, MAX_BATCHES_PER_TURN)
+        now = self.host.now()
+        batches = self.batches.take_due(now, self._supports_batches, full_only, MAX_BATCHES_PER_TURN)
         if len(batches) == MAX_BATCHES_PER_TURN:
             self.schedule()
         for batch in batches:
@@ -315,7 +317,7 @@
 
     def server_left(self, server: str) -> None:
         """Fail the keys that are queued for a server that drains or has been removed."""
-        for key in self.batches.server_left(server):
+        for key in self.batches.remove_server(server):
             key.ensure_attempt().end(Outcome.CONNECT_FAILED)
 
     def end_all(self) -> None:
@@ -327,5 +329,5 @@
         """Open every pending key's request, and remove all commands: the router shuts down."""
         for read in list(self._reads.values()):
             for key in list(read.unopened.values()):
-                self.open(key)
+                self._open(read, key)
             self.forget(read)
