--- a/pebblepass/daemon/clients.py
+++ b/pebblepass/daemon/client_connection.py
@@ -1,188 +1,69 @@
-"""The RESP2 server for clients: it accepts their connections, and replies in the order of their commands."""
+"""One client's connection: its commands, the order of its replies, and its timeouts."""
 
 from __future__ import annotations
 
 import asyncio
-import functools
 import logging
 import select
-import socket
 from collections import deque
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, Protocol, cast
+from typing import TYPE_CHECKING, Protocol, cast
 
-from pebblepass.connection_limits.descriptors import REFUSERS
-from pebblepass.connection_limits.places import Standing, choose_eviction
-from pebblepass.daemon.unread import READ_EVENTS, accept_pending, peer_has_closed, socket_poller
-from pebblepass.daemon.unread_age import BacklogAge, UnreadAge
-from pebblepass.daemon.upstream import ValueSource
-from pebblepass.wire.address import Address
-from pebblepass.wire.resp import LARGE, MANY, Command, CommandReader, UnknownCommandError, parse_request
+from pebblepass.connection_limits.places import Standing
+from pebblepass.daemon.memory_budget import MemoryBudget
+from pebblepass.daemon.reply import Reply
+from pebblepass.daemon.request_hosts import Host, MultiKeyHost, PollTimes
+from pebblepass.daemon.unread import READ_EVENTS, peer_has_closed
+from pebblepass.daemon.unread_age import UnreadAge
+from pebblepass.wire.resp import LARGE, MANY, CommandReader, UnknownCommandError, parse_request
 
 if TYPE_CHECKING:
     from pebblepass.daemon.greetings import ClientSession
     from pebblepass.handover.messages import ConnectionState
 
-BACKLOG = 1024
 MAX_PIPELINE = 256
 HIGH_WATER = 64 << 10
 IDLE_TIMEOUT_S = 2.0  # after which a connection without an open request is closed, even if it never had one
 COMMAND_TIMEOUT_S = 2.0  # for receiving one command; well within the platform's 3 s, with a sweep's delay
 WRITE_STALL_TIMEOUT_S = 10.0  # within which a client must read some of its buffered replies
-SWEEP_INTERVAL_S = 0.5
-PAUSED_POLL_INTERVAL_S = 0.1  # between two polls of the connections that are not read, for disconnects
 # For which a client counts as alive. The platform forbids attempts that begin over 0.1 s after a disconnect.
 LIVENESS_TTL_S = 0.05
-MAX_EVICTION_CHECKS = 4  # connections considered for eviction before a new one is rejected
 
 log = logging.getLogger("pebblepass")
 
 
-class PollTimes(Protocol):
-    """Tells when the event loop last polled its sockets."""
+class ConnectionServer(Protocol):
+    """The server as its connections see it."""
 
-    sockets_polled_at: float
-    """Loop time in seconds; every socket that was readable at this time has been read from since."""
-
-
-class Host(Protocol):
-    """Handles the clients' requests for a single key."""
-
-    ready: bool
+    loop: asyncio.AbstractEventLoop
+    host: Host
+    many: MultiKeyHost | None
+    lag: PollTimes
+    budget: MemoryBudget
+    poll_socket: Callable[[int, int], int]
+    session_count: int
+    shutting_down: bool
+    on_handover: Callable[[ClientConnection], None] | None
 
     @property
-    def lag(self) -> PollTimes:
-        """The lag of the event loop."""
-
-    def request_arrived(self, command: Command, reply: Reply) -> None:
-        """Handle a request that was received completely."""
-
-    def client_disconnected(self, reply: Reply) -> None:
-        """Drop the request behind this reply: its client has disconnected."""
-
-    def record_rejection(self, command: Command, refused: str = "", failed: str = "") -> None:
-        """Account for a request that was rejected before it was handled."""
-
-
-class MultiKeyHost(Protocol):
-    """Handles the clients' commands that read many keys."""
-
-    def command_arrived(self, words: list[bytes], reply: Reply, refusing: bool) -> None:
-        """Handle a command that was received completely; `refusing`: reject its keys."""
-
-
-class Budget:
-    """Memory for long commands, reserved before a command is read, so that each one begun can be finished."""
-
-    def __init__(self, total: int) -> None:
-        self._total = self._free = total
-        self._waiting: deque[ClientConnection] = deque()
-
-    def take(self, connection: ClientConnection, size: int) -> bool:
-        """Reserve bytes; returns False and queues the connection where too few are free."""
-        if size > self._free:
-            self._waiting.append(connection)
-            return False
-        self._free -= size
-        return True
-
-    def resize(self, total: int) -> None:
-        """Change the total; reservations stay."""
-        self._total, self._free = total, self._free + total - self._total
-        self.give_back(0)
-
-    def give_back(self, size: int) -> None:
-        """Release reserved bytes, and let the queued connections try again."""
-        self._free += size
-        waiting, self._waiting = self._waiting, deque()
-        while waiting:
-            connection = waiting.popleft()
-            if not connection.closed:
-                connection.reserve()
-
-
-class Reply:
-    """The reply to one command; replies are written in the order of the commands on the connection."""
-
-    def __init__(self, connection: ClientConnection) -> None:
-        self._connection = connection
-        self._held: list[bytes] = []
-        self.done = False
-        self.source: ValueSource | None = None
-        self.request: Any = None  # set and read by the host
-        self.reserved = 0
-
-    def send(self, data: bytes) -> None:
-        """Write the whole reply, or its last part."""
-        self.write(data)
-        self.done, self.source = True, None
-        self._connection.flush()
-
-    def start(self, data: bytes, source: ValueSource) -> None:
-        """Begin a streamed reply; the source is paused while the client does not read."""
-        self.source = source
-        if not self.write(data) or self._connection.blocked:
-            source.pause()
-
-    def write(self, data: bytes) -> bool:
-        """Write a part; returns False if it is buffered until the replies ahead are written."""
-        connection = self._connection
-        if connection.closed:
-            return True
-        if connection.replies[0] is not self:
-            self._held.append(data)
-            return False
-        connection.write(data)
-        return True
-
-    @property
-    def is_next(self) -> bool:
-        """Whether all replies ahead are written."""
-        replies = self._connection.replies
-        return bool(replies) and replies[0] is self
-
-    @property
-    def unread_ns(self) -> int:
-        """Nanoseconds for which the command may have been unread; valid only while it is being dispatched."""
-        return self._connection.unread_ns
-
-    @property
-    def null(self) -> bytes:
-        """The null value in the client's protocol version."""
-        session = self._connection.session
-        return b"$-1\r\n" if session is None or session.protocol == 2 else b"_\r\n"
-
-    def client_is_alive(self) -> bool:
-        """Whether the client is still connected, by a recent read or else by a poll."""
-        return self._connection.is_alive()
-
-    def detach_request(self) -> None:
-        """Detach the request, which the host has dropped: the disconnect will not be reported for it."""
-        self.request = None
+    def connected(self) -> int:
+        """Number of connections."""
 
-    def abort(self) -> None:
-        """Abort the connection, so that the client sees that a streamed reply is incomplete."""
-        self._connection.abort()
+    def register(self, connection: ClientConnection) -> None:
+        """Register a new connection."""
 
-    def free_command(self) -> None:
-        """Release the memory reserved for the command, which the host needs no longer."""
-        self._connection.server.budget.give_back(self.reserved)
-        self.reserved = 0
+    def unregister(self, connection: ClientConnection) -> None:
+        """Remove a connection."""
 
-    def write_buffered(self) -> None:
-        """Write what is buffered: the replies ahead have been written."""
-        for data in self._held:
-            self._connection.write(data)
-        self._held.clear()
-        if self.source is not None and not self._connection.blocked:
-            self.source.resume()
+    def schedule_paused_poll(self) -> None:
+        """Poll for disconnects as long as there are connections that are not read."""
 
 
 class ClientConnection(asyncio.Protocol):
     """One client's connection: parses commands, orders replies, and detects the client's disconnect."""
 
     def __init__(
-        self, server: ClientServer, handed: ConnectionState | None = None, empty_at: float = float("-inf")
+        self, server: ConnectionServer, handed: ConnectionState | None = None, empty_at: float = float("-inf")
     ) -> None:
         """`handed`: its state in the process that handed it over; `empty_at`: a time without unread bytes."""
         self.server = server
@@ -359,6 +240,11 @@
         reply.send(answer)
         reply.free_command()
 
+    @property
+    def budget(self) -> MemoryBudget:
+        """The memory budget for long commands."""
+        return self.server.budget
+
     def write(self, data: bytes) -> None:
         """Write to the client."""
         if self.transport is not None:
@@ -597,173 +483,3 @@
         reply = Reply(self)
         self.replies.append(reply)
         reply.send(b"-ERR Protocol error: command not finished in time\r\n")
-
-
-class ClientServer:
-    """The listener and all clients' connections, within the limit on descriptors."""
-
-    def __init__(
-        self, loop: asyncio.AbstractEventLoop, host: Host, limit: int, budget: int, refusers: int = REFUSERS
-    ) -> None:
-        """`limit` connections are served; the commands of `refusers` more are rejected."""
-        self.loop, self.host, self._limit, self._refusers = loop, host, limit, refusers
-        self.poll_socket, self.lag = socket_poller(loop).poll, host.lag
-        self.shutting_down = False
-        """Whether commands are rejected: the router exits before it could reply."""
-        self._paused_timer: asyncio.TimerHandle | None = None
-        self._tasks: set[asyncio.Task[None]] = set()
-        self.many: MultiKeyHost | None = None
-        self.session_count = 0
-        """Number of connections with a handshake or another command that is no request."""
-        self.budget = Budget(budget)
-        self._connections: dict[ClientConnection, None] = {}
-        self._listener: asyncio.Server | None = None
-        self._listener_descriptor = -1
-        self._backlog_age = BacklogAge()
-        self.on_handover: Callable[[ClientConnection], None] | None = None
-        """Called with each idle connection while there is another process to hand it over to."""
-        self.draining = False
-        """Whether no connection is accepted any longer."""
-        self._timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
-
-    @property
-    def limit(self) -> int:
-        """Maximum number of connections served at a time."""
-        return self._limit
-
-    @limit.setter
-    def limit(self, limit: int) -> None:
-        self._limit = limit
-        while len(self._connections) > limit and (evicted := self._eviction_candidate()) is not None:
-            evicted.abort()
-
-    def _eviction_candidate(self) -> ClientConnection | None:
-        """The connection to evict for a new one, if any; never one that has unread bytes."""
-        now = self.loop.time()
-        for _ in range(MAX_EVICTION_CHECKS):
-            candidate = choose_eviction(
-                (each, each.standing, now - each.last_used_at) for each in self._connections
-            )
-            if candidate is None or not candidate.has_unread():
-                return candidate
-            candidate.last_used_at = now
-        return None
-
-    def schedule_paused_poll(self) -> None:
-        """Poll for disconnects as long as there are connections that are not read."""
-        if self._paused_timer is None:
-            self._paused_timer = self.loop.call_later(PAUSED_POLL_INTERVAL_S, self._poll_paused)
-
-    def _poll_paused(self) -> None:
-        self._paused_timer = None
-        paused = [connection for connection in self._connections if connection.paused]
-        for connection in paused:
-            if connection.client_has_disconnected():
-                connection.abort()
-        if paused:
-            self.schedule_paused_poll()
-
-    async def adopt(self, sock: socket.socket, handed: ConnectionState) -> None:
-        """Serve a connection that another process has handed over."""
-        await self._adopt(sock, functools.partial(ClientConnection, self, handed, self.lag.sockets_polled_at))
-
-    async def listen(self, at: Address | socket.socket) -> None:
-        """Accept connections at this address, or on a socket that listens already."""
-        self.draining = False
-        make = self._make_connection
-        if isinstance(at, socket.socket):
-            self._listener = await self.loop.create_server(make, sock=at, backlog=BACKLOG)
-        else:
-            self._listener = await self.loop.create_server(make, *at, backlog=BACKLOG)
-        self._listener_descriptor = self._listener.sockets[0].fileno()
-
-    def _make_connection(self) -> ClientConnection:
-        """Make the protocol of a connection that was accepted just now."""
-        pending = self.poll_socket(self._listener_descriptor, select.POLLIN) & select.POLLIN
-        now, polled_at = self.loop.time(), self.lag.sockets_polled_at
-        empty_at = self._backlog_age.accepted(now, polled_at, more_wait=bool(pending))
-        return ClientConnection(self, empty_at=empty_at)
-
-    def register(self, connection: ClientConnection) -> None:
-        """Register a new connection: at the limit one is evicted, or the new one is rejected."""
-        if len(self._connections) >= self._limit:
-            evicted = self._eviction_candidate()
-            if evicted is not None:
-                evicted.abort()
-            elif len(self._connections) < self._limit + self._refusers:
-                connection.refusing = True
-            else:
-                connection.abort()
-                return
-        self._connections[connection] = None
-
-    def unregister(self, connection: ClientConnection) -> None:
-        """Remove a connection that is closed or handed over."""
-        self._connections.pop(connection, None)
-
-    @property
-    def listening(self) -> bool:
-        """Whether connections are accepted."""
-        return self._listener is not None
-
-    @property
-    def connected(self) -> int:
-        """Number of connections, including those whose commands are rejected."""
-        return len(self._connections)
-
-    def accept_pending(self) -> bool:
-        """Accept one connection from the backlog of the listener, which is about to close.
-
-        Returns whether there may be more, for a later iteration of the loop.
-        """
-        # Danger: the kernel has accepted them, and requests they have sent are lost if the listener closes.
-        # Accepted all at once, they would use up the descriptors that dials and discovery need.
-        if self._listener is None:
-            return False
-        return accept_pending(self.loop, self._listener, self._accept, 1 - len(self._tasks))
-
-    def _accept(self, sock: socket.socket) -> None:
-        connection = self._make_connection()
-        task = self.loop.create_task(self._adopt(sock, lambda: connection))
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
-
-    async def _adopt(self, sock: socket.socket, make: Callable[[], ClientConnection]) -> None:
-        try:
-            await self.loop.connect_accepted_socket(make, sock)
-        except OSError:
-            sock.close()
-
-    def stop_accepting(self) -> None:
-        """Close the listener."""
-        self.draining = True
-        if self._listener is not None:
-            self._listener.close()
-            self._listener, self._listener_descriptor = None, -1
-
-    def hand_over(self, on_handover: Callable[[ClientConnection], None]) -> None:
-        """Hand every connection over, now or once it is idle."""
-        self.on_handover = on_handover
-        for connection in list(self._connections):
-            connection.hand_over()
-
-    def finish(self, even_midway: bool) -> None:
-        """Close every connection once it has nothing open."""
-        self.on_handover = None
-        for connection in list(self._connections):
-            connection.finish(even_midway)
-
-    def _sweep(self) -> None:
-        self._timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
-        now = self.loop.time()
-        for connection in list(self._connections):
-            connection.enforce_timeouts(now)
-
-    def close(self) -> None:
-        """Close the listener, and abort all connections."""
-        self._timer.cancel()
-        if self._paused_timer is not None:
-            self._paused_timer.cancel()
-        self.stop_accepting()
-        for connection in list(self._connections):
-            connection.abort()
--- /dev/null
+++ b/pebblepass/daemon/client_server.py
@@ -0,0 +1,198 @@
+"""The RESP2 server for clients: it accepts their connections, and replies in the order of their commands."""
+
+from __future__ import annotations
+
+import asyncio
+import functools
+import select
+import socket
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from pebblepass.connection_limits.descriptors import REFUSERS
+from pebblepass.connection_limits.places import choose_eviction
+from pebblepass.daemon.client_connection import ClientConnection
+from pebblepass.daemon.memory_budget import MemoryBudget
+from pebblepass.daemon.request_hosts import Host, MultiKeyHost, PollTimes
+from pebblepass.daemon.unread import accept_pending, socket_poller
+from pebblepass.daemon.unread_age import BacklogAge
+from pebblepass.wire.address import Address
+
+if TYPE_CHECKING:
+    from pebblepass.handover.messages import ConnectionState
+
+BACKLOG = 1024
+SWEEP_INTERVAL_S = 0.5
+PAUSED_POLL_INTERVAL_S = 0.1  # between two polls of the connections that are not read, for disconnects
+MAX_EVICTION_CHECKS = 4  # connections considered for eviction before a new one is rejected
+
+
+class ClientServer:
+    """The listener and all clients' connections, within the limit on descriptors."""
+
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, host: Host, limit: int, budget: int, refusers: int = REFUSERS
+    ) -> None:
+        """`limit` connections are served; the commands of `refusers` more are rejected."""
+        self.loop, self.host, self._limit, self._refusers = loop, host, limit, refusers
+        self.poll_socket: Callable[[int, int], int] = socket_poller(loop).poll
+        self.lag: PollTimes = host.lag
+        self.shutting_down = False
+        """Whether commands are rejected: the router exits before it could reply."""
+        self._paused_timer: asyncio.TimerHandle | None = None
+        self._tasks: set[asyncio.Task[None]] = set()
+        self.many: MultiKeyHost | None = None
+        self.session_count = 0
+        """Number of connections with a handshake or another command that is no request."""
+        self.budget = MemoryBudget(budget)
+        self._connections: dict[ClientConnection, None] = {}
+        self._listener: asyncio.Server | None = None
+        self._listener_descriptor = -1
+        self._backlog_age = BacklogAge()
+        self.on_handover: Callable[[ClientConnection], None] | None = None
+        """Called with each idle connection while there is another process to hand it over to."""
+        self.draining = False
+        """Whether no connection is accepted any longer."""
+        self._timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+
+    @property
+    def limit(self) -> int:
+        """Maximum number of connections served at a time."""
+        return self._limit
+
+    @limit.setter
+    def limit(self, limit: int) -> None:
+        self._limit = limit
+        while len(self._connections) > limit and (evicted := self._eviction_candidate()) is not None:
+            evicted.abort()
+
+    def _eviction_candidate(self) -> ClientConnection | None:
+        """The connection to evict for a new one, if any; never one that has unread bytes."""
+        now = self.loop.time()
+        for _ in range(MAX_EVICTION_CHECKS):
+            candidate = choose_eviction(
+                (each, each.standing, now - each.last_used_at) for each in self._connections
+            )
+            if candidate is None or not candidate.has_unread():
+                return candidate
+            candidate.last_used_at = now
+        return None
+
+    def schedule_paused_poll(self) -> None:
+        """Poll for disconnects as long as there are connections that are not read."""
+        if self._paused_timer is None:
+            self._paused_timer = self.loop.call_later(PAUSED_POLL_INTERVAL_S, self._poll_paused)
+
+    def _poll_paused(self) -> None:
+        self._paused_timer = None
+        paused = [connection for connection in self._connections if connection.paused]
+        for connection in paused:
+            if connection.client_has_disconnected():
+                connection.abort()
+        if paused:
+            self.schedule_paused_poll()
+
+    async def adopt(self, sock: socket.socket, handed: ConnectionState) -> None:
+        """Serve a connection that another process has handed over."""
+        await self._adopt(sock, functools.partial(ClientConnection, self, handed, self.lag.sockets_polled_at))
+
+    async def listen(self, at: Address | socket.socket) -> None:
+        """Accept connections at this address, or on a socket that listens already."""
+        self.draining = False
+        make = self._make_connection
+        if isinstance(at, socket.socket):
+            self._listener = await self.loop.create_server(make, sock=at, backlog=BACKLOG)
+        else:
+            self._listener = await self.loop.create_server(make, *at, backlog=BACKLOG)
+        self._listener_descriptor = self._listener.sockets[0].fileno()
+
+    def _make_connection(self) -> ClientConnection:
+        """Make the protocol of a connection that was accepted just now."""
+        pending = self.poll_socket(self._listener_descriptor, select.POLLIN) & select.POLLIN
+        now, polled_at = self.loop.time(), self.lag.sockets_polled_at
+        empty_at = self._backlog_age.accepted(now, polled_at, more_wait=bool(pending))
+        return ClientConnection(self, empty_at=empty_at)
+
+    def register(self, connection: ClientConnection) -> None:
+        """Register a new connection: at the limit one is evicted, or the new one is rejected."""
+        if len(self._connections) >= self._limit:
+            evicted = self._eviction_candidate()
+            if evicted is not None:
+                evicted.abort()
+            elif len(self._connections) < self._limit + self._refusers:
+                connection.refusing = True
+            else:
+                connection.abort()
+                return
+        self._connections[connection] = None
+
+    def unregister(self, connection: ClientConnection) -> None:
+        """Remove a connection that is closed or handed over."""
+        self._connections.pop(connection, None)
+
+    @property
+    def listening(self) -> bool:
+        """Whether connections are accepted."""
+        return self._listener is not None
+
+    @property
+    def connected(self) -> int:
+        """Number of connections, including those whose commands are rejected."""
+        return len(self._connections)
+
+    def accept_pending(self) -> bool:
+        """Accept one connection from the backlog of the listener, which is about to close.
+
+        Returns whether there may be more, for a later iteration of the loop.
+        """
+        # Danger: the kernel has accepted them, and requests they have sent are lost if the listener closes.
+        # Accepted all at once, they would use up the descriptors that dials and discovery need.
+        if self._listener is None:
+            return False
+        return accept_pending(self.loop, self._listener, self._accept, 1 - len(self._tasks))
+
+    def _accept(self, sock: socket.socket) -> None:
+        connection = self._make_connection()
+        task = self.loop.create_task(self._adopt(sock, lambda: connection))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def _adopt(self, sock: socket.socket, make: Callable[[], ClientConnection]) -> None:
+        try:
+            await self.loop.connect_accepted_socket(make, sock)
+        except OSError:
+            sock.close()
+
+    def stop_accepting(self) -> None:
+        """Close the listener."""
+        self.draining = True
+        if self._listener is not None:
+            self._listener.close()
+            self._listener, self._listener_descriptor = None, -1
+
+    def hand_over(self, on_handover: Callable[[ClientConnection], None]) -> None:
+        """Hand every connection over, now or once it is idle."""
+        self.on_handover = on_handover
+        for connection in list(self._connections):
+            connection.hand_over()
+
+    def finish(self, even_midway: bool) -> None:
+        """Close every connection once it has nothing open."""
+        self.on_handover = None
+        for connection in list(self._connections):
+            connection.finish(even_midway)
+
+    def _sweep(self) -> None:
+        self._timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+        now = self.loop.time()
+        for connection in list(self._connections):
+            connection.enforce_timeouts(now)
+
+    def close(self) -> None:
+        """Close the listener, and abort all connections."""
+        self._timer.cancel()
+        if self._paused_timer is not None:
+            self._paused_timer.cancel()
+        self.stop_accepting()
+        for connection in list(self._connections):
+            connection.abort()
--- a/pebblepass/daemon/daemon.py
+++ b/pebblepass/daemon/daemon.py
@@ -13,7 +13,7 @@
 
 from pebblepass.connection_limits.descriptors import callers, own, split
 from pebblepass.control.operations import CALLERS, ControlAddress, Told
-from pebblepass.daemon.clients import ClientServer
+from pebblepass.daemon.client_server import ClientServer
 from pebblepass.daemon.config import Config, ConfigError, reload_discovery
 from pebblepass.daemon.inherited import adopt
 from pebblepass.daemon.router import RouterHost
--- /dev/null
+++ b/pebblepass/daemon/memory_budget.py
@@ -0,0 +1,47 @@
+"""The memory budget for long commands of clients. No I/O, no clock."""
+
+from __future__ import annotations
+
+from collections import deque
+from typing import Protocol
+
+
+class BudgetWaiter(Protocol):
+    """A connection that waits for memory."""
+
+    @property
+    def closed(self) -> bool:
+        """Whether the connection has ended, so that it needs no memory."""
+
+    def reserve(self) -> None:
+        """Try again to reserve memory; some has been released."""
+
+
+class MemoryBudget:
+    """Memory for long commands, reserved before a command is read, so that each one begun can be finished."""
+
+    def __init__(self, total: int) -> None:
+        self._total = self._free = total
+        self._waiting: deque[BudgetWaiter] = deque()
+
+    def take(self, connection: BudgetWaiter, size: int) -> bool:
+        """Reserve bytes; returns False and queues the connection where too few are free."""
+        if size > self._free:
+            self._waiting.append(connection)
+            return False
+        self._free -= size
+        return True
+
+    def resize(self, total: int) -> None:
+        """Change the total; reservations stay."""
+        self._total, self._free = total, self._free + total - self._total
+        self.give_back(0)
+
+    def give_back(self, size: int) -> None:
+        """Release reserved bytes, and let the queued connections try again."""
+        self._free += size
+        waiting, self._waiting = self._waiting, deque()
+        while waiting:
+            connection = waiting.popleft()
+            if not connection.closed:
+                connection.reserve()
--- a/pebblepass/daemon/multi_get/reading.py
+++ b/pebblepass/daemon/multi_get/reading.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 
 from pebblepass.daemon import deadline_propagation
-from pebblepass.daemon.clients import Reply
 from pebblepass.daemon.lag import after_poll
+from pebblepass.daemon.reply import Reply
 from pebblepass.multi_get import Gathering, MultiGetCommand, State
 from pebblepass.wire.resp import with_timeout
 
--- /dev/null
+++ b/pebblepass/daemon/reply.py
@@ -0,0 +1,115 @@
+"""The replies to the commands of one connection, written in the order of the commands."""
+
+from __future__ import annotations
+
+from collections import deque
+from typing import TYPE_CHECKING, Any, Protocol
+
+from pebblepass.daemon.memory_budget import MemoryBudget
+from pebblepass.daemon.upstream import ValueSource
+
+if TYPE_CHECKING:
+    from pebblepass.daemon.greetings import ClientSession
+
+
+class ReplyConnection(Protocol):
+    """The connection as its replies see it."""
+
+    replies: deque[Reply]
+    blocked: bool
+    closed: bool
+    unread_ns: int
+    session: ClientSession | None
+
+    @property
+    def budget(self) -> MemoryBudget:
+        """The memory budget for long commands."""
+
+    def write(self, data: bytes) -> None:
+        """Write to the client."""
+
+    def flush(self) -> None:
+        """Start the next reply."""
+
+    def is_alive(self) -> bool:
+        """Whether the client is connected."""
+
+    def abort(self) -> None:
+        """Abort the connection."""
+
+
+class Reply:
+    """The reply to one command; replies are written in the order of the commands on the connection."""
+
+    def __init__(self, connection: ReplyConnection) -> None:
+        self._connection = connection
+        self._held: list[bytes] = []
+        self.done = False
+        self.source: ValueSource | None = None
+        self.request: Any = None  # set and read by the host
+        self.reserved = 0
+
+    def send(self, data: bytes) -> None:
+        """Write the whole reply, or its last part."""
+        self.write(data)
+        self.done, self.source = True, None
+        self._connection.flush()
+
+    def start(self, data: bytes, source: ValueSource) -> None:
+        """Begin a streamed reply; the source is paused while the client does not read."""
+        self.source = source
+        if not self.write(data) or self._connection.blocked:
+            source.pause()
+
+    def write(self, data: bytes) -> bool:
+        """Write a part; returns False if it is buffered until the replies ahead are written."""
+        connection = self._connection
+        if connection.closed:
+            return True
+        if connection.replies[0] is not self:
+            self._held.append(data)
+            return False
+        connection.write(data)
+        return True
+
+    @property
+    def is_next(self) -> bool:
+        """Whether all replies ahead are written."""
+        replies = self._connection.replies
+        return bool(replies) and replies[0] is self
+
+    @property
+    def unread_ns(self) -> int:
+        """Nanoseconds for which the command may have been unread; valid only while it is being dispatched."""
+        return self._connection.unread_ns
+
+    @property
+    def null(self) -> bytes:
+        """The null value in the client's protocol version."""
+        session = self._connection.session
+        return b"$-1\r\n" if session is None or session.protocol == 2 else b"_\r\n"
+
+    def client_is_alive(self) -> bool:
+        """Whether the client is still connected, by a recent read or else by a poll."""
+        return self._connection.is_alive()
+
+    def detach_request(self) -> None:
+        """Detach the request, which the host has dropped: the disconnect will not be reported for it."""
+        self.request = None
+
+    def abort(self) -> None:
+        """Abort the connection, so that the client sees that a streamed reply is incomplete."""
+        self._connection.abort()
+
+    def free_command(self) -> None:
+        """Release the memory reserved for the command, which the host needs no longer."""
+        self._connection.budget.give_back(self.reserved)
+        self.reserved = 0
+
+    def write_buffered(self) -> None:
+        """Write what is buffered: the replies ahead have been written."""
+        for data in self._held:
+            self._connection.write(data)
+        self._held.clear()
+        if self.source is not None and not self._connection.blocked:
+            self.source.resume()
--- a/pebblepass/daemon/succession.py
+++ b/pebblepass/daemon/succession.py
@@ -8,7 +8,8 @@
 
 from msgspec import Struct
 
-from pebblepass.daemon.clients import ClientConnection, ClientServer
+from pebblepass.daemon.client_connection import ClientConnection
+from pebblepass.daemon.client_server import ClientServer
 from pebblepass.daemon.router import RouterHost
 from pebblepass.daemon.upstream import Pool
 from pebblepass.decisions import ListKind, StateImported
--- a/tests/daemon/test_descriptors.py
+++ b/tests/daemon/test_descriptors.py
@@ -20,8 +20,9 @@
 import pytest
 
 from pebblepass.connection_limits.descriptors import NEWCOMERS
-from pebblepass.daemon.clients import ClientServer, Reply
+from pebblepass.daemon.client_server import ClientServer
 from pebblepass.daemon.loop import DaemonLoop
+from pebblepass.daemon.reply import Reply
 from pebblepass.emulators.ports import take_port
 from pebblepass.wire.resp import Command
 from tests.daemon.test_clients import NeverPolled, until
--- a/tests/daemon/test_ends.py
+++ b/tests/daemon/test_ends.py
@@ -10,8 +10,9 @@
 
 import pytest
 
-from pebblepass.daemon import attempts, clients
-from pebblepass.daemon.clients import IDLE_TIMEOUT_S, MAX_PIPELINE, SWEEP_INTERVAL_S
+from pebblepass.daemon import attempts
+from pebblepass.daemon.client_connection import IDLE_TIMEOUT_S, MAX_PIPELINE, ClientConnection
+from pebblepass.daemon.client_server import SWEEP_INTERVAL_S
 from pebblepass.daemon.daemon import ACCEPT_S, ANSWER_SLACK_S, KILL_SLACK_S, MIDWAY_S
 from pebblepass.simulation.clock import CountedSocket
 from tests.crossings import ADDRESS, LONG_DIALS, Bed, ClientLine, PeerLine, asked, crossing
@@ -461,12 +462,10 @@
 def test_the_storm_catches_a_router_that_sends_for_who_has_left(broken: str) -> None:
     with ExitStack() as stack:
         # Each of these is held up a second time: an attempt that begins looks for its client itself.
-        stack.enter_context(patch.object(clients.ClientConnection, "is_alive", lambda self: True))
+        stack.enter_context(patch.object(ClientConnection, "is_alive", lambda self: True))
         if broken == "waits":
             stack.enter_context(patch.object(attempts.Attempt, "is_wanted", True))
             stack.enter_context(patch.object(attempts.OpenRequest, "withdraw", lambda self: None))
         else:
-            stack.enter_context(
-                patch.object(clients.ClientConnection, "client_has_disconnected", lambda self: False)
-            )
+            stack.enter_context(patch.object(ClientConnection, "client_has_disconnected", lambda self: False))
         assert any(storm(seed)[0] for seed in range(6))
--- a/tests/daemon/test_gone.py
+++ b/tests/daemon/test_gone.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from pebblepass.daemon.clients import MAX_PIPELINE, ClientConnection
+from pebblepass.daemon.client_connection import MAX_PIPELINE, ClientConnection
 from pebblepass.daemon.multi_get.batches import BatchExchange
 from pebblepass.daemon.upstream import REST_S
 from pebblepass.decisions import Send
--- a/tests/daemon/test_orders.py
+++ b/tests/daemon/test_orders.py
@@ -17,7 +17,16 @@
 
 import pytest
 
-from pebblepass.daemon import attempts, caches, clients, daemon, router, upstream
+from pebblepass.daemon import (
+    attempts,
+    caches,
+    client_connection,
+    client_server,
+    daemon,
+    reply,
+    router,
+    upstream,
+)
 from pebblepass.daemon.daemon import ACCEPT_S, Daemon
 from pebblepass.decisions import Outcome, ServerState
 from tests.crossings import Bed, ClientLine, PeerLine, crossing
@@ -336,8 +345,8 @@
         pass
 
     with (
-        patch.object(clients.ClientConnection, "has_unread", lambda self: False),
-        patch.object(clients.ClientServer, "accept_pending", lambda self: None),
+        patch.object(client_connection.ClientConnection, "has_unread", lambda self: False),
+        patch.object(client_server.ClientServer, "accept_pending", lambda self: None),
         patch.object(daemon, "news", no_news),
     ):
         yield
@@ -346,12 +355,12 @@
 @contextmanager
 def answers_twice() -> Iterator[None]:
     """A second answer stands behind the first."""
-    whole = clients.Reply.send
+    whole = reply.Reply.send
 
     def send(self: Any, data: bytes) -> None:
         whole(self, data + (b"-ERR again\r\n" if data.startswith(b"$") else b""))
 
-    with patch.object(clients.Reply, "send", send):
+    with patch.object(reply.Reply, "send", send):
         yield
 
 
@@ -380,7 +389,7 @@
 @contextmanager
 def looks_only_by_the_timer() -> Iterator[None]:
     """An attempt begins whenever its client was heard last."""
-    with patch.object(clients.ClientConnection, "is_alive", lambda self: not self.closed):
+    with patch.object(client_connection.ClientConnection, "is_alive", lambda self: not self.closed):
         yield
 
 
--- a/tests/daemon/test_pipelined_forms.py
+++ b/tests/daemon/test_pipelined_forms.py
@@ -20,8 +20,9 @@
 
 import pytest
 
-from pebblepass.daemon import clients
-from pebblepass.daemon.clients import MAX_PIPELINE, Reply
+from pebblepass.daemon import client_connection
+from pebblepass.daemon.client_connection import MAX_PIPELINE
+from pebblepass.daemon.reply import Reply
 from pebblepass.decisions.health import Node
 from pebblepass.decisions.requests import Request
 from pebblepass.decisions.router import Router
@@ -434,8 +435,8 @@
     ("owner", "method", "broken", "longest", "says"),
     [
         (Reply, "write", as_they_come, 1 << 20, "answered"),
-        (clients, "parse_request", upper_case_only, 150, "answered b'-ERR unknown command'"),
-        (clients, "parse_request", stripped, 150, "sent on with another key or value"),
+        (client_connection, "parse_request", upper_case_only, 150, "answered b'-ERR unknown command'"),
+        (client_connection, "parse_request", stripped, 150, "sent on with another key or value"),
         (CommandReader, "feed", forgetful, 150, "answers to 300 commands"),
         (Request, "may_send", sent_again_whatever_it_is, 150, "an unsafe write sent"),
         (Router, "_may_try", tried_once, 150, "reads whose first attempt broke were refused"),
--- a/tests/daemon/test_rolling_restart.py
+++ b/tests/daemon/test_rolling_restart.py
@@ -19,7 +19,7 @@
 import pytest
 
 from pebblepass.daemon.attempts import Attempt
-from pebblepass.daemon.clients import ClientConnection
+from pebblepass.daemon.client_connection import ClientConnection
 from pebblepass.daemon.config import read_config
 from pebblepass.daemon.daemon import Daemon
 from pebblepass.simulation.clock import CountedSocket
--- a/tests/daemon/test_unread_age.py
+++ b/tests/daemon/test_unread_age.py
@@ -10,9 +10,11 @@
 
 import pytest
 
-from pebblepass.daemon.clients import MAX_PIPELINE, ClientConnection, ClientServer, Reply
+from pebblepass.daemon.client_connection import MAX_PIPELINE, ClientConnection
+from pebblepass.daemon.client_server import ClientServer
 from pebblepass.daemon.lag import LoopLag
 from pebblepass.daemon.loop import DaemonLoop
+from pebblepass.daemon.reply import Reply
 from pebblepass.daemon.unread_age import RECENT_S, SHORT_READ, BacklogAge, UnreadAge
 from pebblepass.handover.messages import ConnectionState
 from pebblepass.wire.resp import Command
--- a/tests/simulation/test_rehearsal.py
+++ b/tests/simulation/test_rehearsal.py
@@ -19,8 +19,8 @@
 
 from pebblepass.accounting.ledger import Ledger
 from pebblepass.daemon.attempts import OpenRequest
-from pebblepass.daemon.clients import Reply
 from pebblepass.daemon.daemon import Daemon
+from pebblepass.daemon.reply import Reply
 from pebblepass.daemon.router import RouterHost
 from pebblepass.decisions.interface import Send, ServerState
 from pebblepass.discovery.registry import Listing
