--- /dev/null
+++ b/pebblepass/daemon/client_liveness.py
@@ -0,0 +1,86 @@
+"""When a client was last known to be connected, and how long its bytes were unread; times are in seconds."""
+
+from __future__ import annotations
+
+import select
+from collections.abc import Callable
+
+from pebblepass.daemon.request_hosts import PollTimes
+from pebblepass.daemon.unread import READ_EVENTS, peer_has_closed
+from pebblepass.daemon.unread_age import UnreadAge
+
+
+class ClientLiveness:
+    """What reads and polls of one connection tell of its client."""
+
+    __slots__ = (
+        "_confirmed_alive_at",
+        "_lag",
+        "_last_read_at",
+        "_poll_socket",
+        "_reading_since",
+        "_unread_age",
+        "descriptor",
+        "is_reading",
+    )
+
+    def __init__(
+        self, lag: PollTimes, poll_socket: Callable[[int, int], int], now: float, empty_at: float
+    ) -> None:
+        """`empty_at`: a loop time at which no bytes were unread; minus infinity if none is known."""
+        self._lag, self._poll_socket = lag, poll_socket
+        self.descriptor = -1
+        """The file descriptor of the connection's socket, once it is connected."""
+        self.is_reading = True
+        """Whether the event loop reads from the connection."""
+        # Danger: before the first read nothing is known, as a connection may have waited long to be accepted.
+        self._confirmed_alive_at = float("-inf")
+        self._last_read_at = float("inf")
+        self._reading_since = now
+        self._unread_age = UnreadAge(empty_at)
+
+    def record_read(self, now: float, size: int) -> int:
+        """Record a read of `size` bytes; returns the nanoseconds for which they may have been unread."""
+        # Not now: an end of file behind these bytes is read an iteration later.
+        self._confirmed_alive_at = self.last_alive_at()
+        polled_at = self._lag.sockets_polled_at
+        if self.is_reading and self._reading_since < polled_at:
+            self._unread_age.emptied(polled_at)
+        self._last_read_at = now
+        return int(self._unread_age.read(now, size) * 1e9)
+
+    def resume(self, now: float) -> None:
+        """Record that the event loop reads from the connection again."""
+        self.is_reading = True
+        self._last_read_at = self._reading_since = now
+
+    def last_alive_at(self) -> float:
+        """Return the latest loop time at which the client is known to have been connected."""
+        polled_at = self._lag.sockets_polled_at
+        if self.is_reading and self._last_read_at < polled_at:
+            return max(polled_at, self._confirmed_alive_at)
+        return self._confirmed_alive_at
+
+    def poll_disconnect(self, clock: Callable[[], float]) -> bool:
+        """Poll whether the client has closed or reset the connection, perhaps behind unread bytes."""
+        found = self._poll_socket(self.descriptor, READ_EVENTS)
+        if peer_has_closed(found):
+            return True
+        self._confirmed_alive_at = clock()
+        if not found & select.POLLIN:
+            self._unread_age.emptied(self._confirmed_alive_at)
+        return False
+
+    def has_unread(self) -> bool:
+        """Whether a connected client has sent bytes that the event loop has not read."""
+        found = self._poll_socket(self.descriptor, READ_EVENTS)
+        return bool(found & select.POLLIN) and not peer_has_closed(found)
+
+    def without_unread_age(self, now: float) -> UnreadAge:
+        """Replace the age of unread bytes, for bytes that do not come from the socket; return the old."""
+        replaced, self._unread_age = self._unread_age, UnreadAge(now)
+        return replaced
+
+    def restore_unread_age(self, unread_age: UnreadAge) -> None:
+        """Undo `without_unread_age`."""
+        self._unread_age = unread_age
--- a/pebblepass/daemon/client_server.py
+++ b/pebblepass/daemon/client_server.py
@@ -12,6 +12,7 @@
 from pebblepass.connection_limits.descriptors import REFUSERS
 from pebblepass.connection_limits.places import choose_eviction
 from pebblepass.daemon.client_connection import ClientConnection
+from pebblepass.daemon.client_timeouts import enforce_timeouts
 from pebblepass.daemon.memory_budget import MemoryBudget
 from pebblepass.daemon.request_hosts import Host, MultiKeyHost, PollTimes
 from pebblepass.daemon.unread import accept_pending, socket_poller
@@ -19,6 +20,7 @@
 from pebblepass.wire.address import Address
 
 if TYPE_CHECKING:
+    from pebblepass.daemon.connection_handover import ConnectionHandover
     from pebblepass.handover.messages import ConnectionState
 
 BACKLOG = 1024
@@ -49,7 +51,7 @@
         self._listener: asyncio.Server | None = None
         self._listener_descriptor = -1
         self._backlog_age = BacklogAge()
-        self.on_handover: Callable[[ClientConnection], None] | None = None
+        self.on_handover: Callable[[ConnectionHandover], None] | None = None
         """Called with each idle connection while there is another process to hand it over to."""
         self.draining = False
         """Whether no connection is accepted any longer."""
@@ -170,11 +172,22 @@
             self._listener.close()
             self._listener, self._listener_descriptor = None, -1
 
-    def hand_over(self, on_handover: Callable[[ClientConnection], None]) -> None:
+    def hand_over(self, on_handover: Callable[[ConnectionHandover], None]) -> None:
         """Hand every connection over, now or once it is idle."""
         self.on_handover = on_handover
         for connection in list(self._connections):
-            connection.hand_over()
+            self.begin_handover(connection)
+
+    def begin_handover(self, connection: ClientConnection) -> None:
+        """Hand one connection over if it can be; otherwise this is called again after its last reply."""
+        if self.on_handover is None:
+            return
+        # Imported with the first handover: most processes never have one.
+        from pebblepass.daemon.connection_handover import ConnectionHandover
+
+        handover = ConnectionHandover(connection)
+        if handover.begin():
+            self.on_handover(handover)
 
     def finish(self, even_midway: bool) -> None:
         """Close every connection once it has nothing open."""
@@ -186,7 +199,7 @@
         self._timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.loop.time()
         for connection in list(self._connections):
-            connection.enforce_timeouts(now)
+            enforce_timeouts(connection, now)
 
     def close(self) -> None:
         """Close the listener, and abort all connections."""
--- a/pebblepass/daemon/succession.py
+++ b/pebblepass/daemon/succession.py
@@ -8,8 +8,8 @@
 
 from msgspec import Struct
 
-from pebblepass.daemon.client_connection import ClientConnection
 from pebblepass.daemon.client_server import ClientServer
+from pebblepass.daemon.connection_handover import ConnectionHandover
 from pebblepass.daemon.router import RouterHost
 from pebblepass.daemon.upstream import Pool
 from pebblepass.decisions import ListKind, StateImported
@@ -54,7 +54,7 @@
         """Whether another process has told what it knows."""
         shares = Shares(routed.clients.limit, routed.pool.limit, own)
         self._handover = Handover(routed.loop, folder, self, shares)
-        self._leaving: list[ClientConnection] = []
+        self._leaving: list[ConnectionHandover] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def begin(self) -> None:
@@ -142,28 +142,27 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _give(self, connection: ClientConnection) -> None:
+    def _give(self, handover: ConnectionHandover) -> None:
         if not self._leaving:
             self._routed.loop.call_soon(self._send)
-        self._leaving.append(connection)
+        self._leaving.append(handover)
 
     def _send(self) -> None:
         """Several in one message: each message holds up this process's answers, and the other's."""
         leaving, self._leaving = self._leaving, []
         for at in range(0, len(leaving), MAX_CONNECTIONS_PER_MESSAGE):
-            self._send_some(
-                [held for held in leaving[at : at + MAX_CONNECTIONS_PER_MESSAGE] if not held.closed]
-            )
+            batch = leaving[at : at + MAX_CONNECTIONS_PER_MESSAGE]
+            self._send_some([handover for handover in batch if not handover.connection.closed])
 
-    def _send_some(self, connections: list[ClientConnection]) -> None:
-        fds = [held.descriptor for held in connections]
+    def _send_some(self, handovers: list[ConnectionHandover]) -> None:
+        descriptors = [handover.connection.descriptor for handover in handovers]
 
         def done(sent: bool) -> None:
-            for connection in connections:
+            for handover in handovers:
                 if sent:
-                    connection.complete_handover()
+                    handover.complete()
                 else:
-                    connection.cancel_handover()
+                    handover.cancel()
 
-        if connections:
-            self._handover.give(fds, [held.handover_state() for held in connections], done)
+        if handovers:
+            self._handover.give(descriptors, [handover.state() for handover in handovers], done)
--- a/tests/daemon/test_clients.py
+++ b/tests/daemon/test_clients.py
@@ -6,8 +6,8 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from pebblepass.daemon.client_connection import COMMAND_TIMEOUT_S, IDLE_TIMEOUT_S
 from pebblepass.daemon.client_server import SWEEP_INTERVAL_S, ClientServer
+from pebblepass.daemon.client_timeouts import COMMAND_TIMEOUT_S, IDLE_TIMEOUT_S
 from pebblepass.daemon.reply import Reply
 from pebblepass.wire.resp import Command
 from tests.sockets import PATIENCE_S, bulk, get, put
--- a/tests/daemon/test_ends.py
+++ b/tests/daemon/test_ends.py
@@ -11,8 +11,9 @@
 import pytest
 
 from pebblepass.daemon import attempts
-from pebblepass.daemon.client_connection import IDLE_TIMEOUT_S, MAX_PIPELINE, ClientConnection
+from pebblepass.daemon.client_connection import MAX_PIPELINE, ClientConnection
 from pebblepass.daemon.client_server import SWEEP_INTERVAL_S
+from pebblepass.daemon.client_timeouts import IDLE_TIMEOUT_S
 from pebblepass.daemon.daemon import ACCEPT_S, ANSWER_SLACK_S, KILL_SLACK_S, MIDWAY_S
 from pebblepass.simulation.clock import CountedSocket
 from tests.crossings import ADDRESS, LONG_DIALS, Bed, ClientLine, PeerLine, asked, crossing
@@ -164,7 +165,7 @@
             client.transport.close()
         await bed.wait(LEFT_S)
         clients.on_handover = None
-        handed_over[0].cancel_handover()
+        handed_over[0].cancel()
         await bed.wait(LEFT_S)
         assert cache.names == ["r1"]
         assert clients.connected == 0
--- a/tests/daemon/test_orders.py
+++ b/tests/daemon/test_orders.py
@@ -270,7 +270,7 @@
     def next_waiting(self: Any, server: Any) -> Any:
         while server.waiting:
             exchange = server.waiting.popleft()
-            if not exchange.over:
+            if not exchange.is_over:
                 return exchange
         return None
 
