--- /dev/null
+++ b/pebblepass/daemon/client_connection.py
@@ -0,0 +1,393 @@
+"""One client's connection: its commands, the order of its replies, and its timeouts."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections import deque
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Protocol, cast
+
+from pebblepass.connection_limits.places import Standing
+from pebblepass.daemon.client_liveness import ClientLiveness
+from pebblepass.daemon.memory_budget import MemoryBudget
+from pebblepass.daemon.reply import Reply
+from pebblepass.daemon.request_hosts import Host, MultiKeyHost, PollTimes
+from pebblepass.wire.resp import LARGE, MANY, CommandReader, UnknownCommandError, parse_request
+
+if TYPE_CHECKING:
+    from pebblepass.daemon.greetings import ClientSession
+    from pebblepass.handover.messages import ConnectionState
+
+MAX_PIPELINE = 256
+HIGH_WATER = 64 << 10
+# For which a client counts as alive. The platform forbids attempts that begin over 0.1 s after a disconnect.
+LIVENESS_TTL_S = 0.05
+
+log = logging.getLogger("pebblepass")
+
+
+class ConnectionServer(Protocol):
+    """The server as its connections see it."""
+
+    loop: asyncio.AbstractEventLoop
+    host: Host
+    many: MultiKeyHost | None
+    lag: PollTimes
+    budget: MemoryBudget
+    poll_socket: Callable[[int, int], int]
+    session_count: int
+    shutting_down: bool
+
+    @property
+    def on_handover(self) -> object | None:
+        """Not None while there is another process to hand connections over to."""
+
+    def begin_handover(self, connection: ClientConnection) -> None:
+        """Hand the connection over if it can be."""
+
+    @property
+    def connected(self) -> int:
+        """Number of connections."""
+
+    def register(self, connection: ClientConnection) -> None:
+        """Register a new connection."""
+
+    def unregister(self, connection: ClientConnection) -> None:
+        """Remove a connection."""
+
+    def schedule_paused_poll(self) -> None:
+        """Poll for disconnects as long as there are connections that are not read."""
+
+
+class ClientConnection(asyncio.Protocol):
+    """One client's connection: parses commands, orders replies, and detects the client's disconnect."""
+
+    def __init__(
+        self, server: ConnectionServer, handed: ConnectionState | None = None, empty_at: float = float("-inf")
+    ) -> None:
+        """`handed`: its state in the process that handed it over; `empty_at`: a time without unread bytes."""
+        self.server = server
+        self._handed = handed
+        self.transport: asyncio.Transport | None = None
+        self.replies: deque[Reply] = deque()
+        self.blocked = self.closed = False
+        self.last_used_at = server.loop.time()
+        self.reader = CommandReader(server.many is not None)
+        self.session: ClientSession | None = None
+        self._reserved = 0  # bytes of the budget, for the command being received
+        # The first command is timed from the start of the connection.
+        self.command_started_at = self.last_used_at
+        self.has_sent_command = False
+        self._awaits_budget = False
+        self._closes_when_idle = False  # no further command is expected
+        self._draining = False  # it is closed for the router's shutdown, once it has nothing open
+        self._disconnect_detected = False
+        self.liveness = ClientLiveness(server.lag, server.poll_socket, self.last_used_at, empty_at)
+        """What reads and polls tell of the client's connection."""
+        self.unsent_at_last_sweep = 0
+        """Bytes in the write buffer when the timeouts were last enforced."""
+        self.unread_ns = 0
+        """Nanoseconds for which the bytes of the last read may have been unread."""
+        self.refusing = False
+        """Whether it is over the connection limit: its commands are rejected."""
+        self.in_handover = False
+        """Whether it is being handed over to another process."""
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Start serving; continues the command that another process began, if any."""
+        self.transport = cast(asyncio.Transport, transport)
+        self.transport.set_write_buffer_limits(high=HIGH_WATER)
+        self.liveness.descriptor = self.transport.get_extra_info("socket").fileno()
+        self.server.register(self)
+        if self._handed is not None and not self.transport.is_closing():
+            self._restore(self._handed)  # before anything else is read
+            self._handed = None
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Drop the open requests."""
+        self._handle_disconnect()
+
+    def eof_received(self) -> bool:
+        """Treat the end of the client's sending as its disconnect."""
+        self._handle_disconnect()
+        if self.transport is not None and self.transport.get_write_buffer_size():
+            # Danger: a transport that is closed rather than aborted keeps its descriptor until its client has
+            # read the rest, which may be never, and no limit counts that descriptor any longer.
+            self.transport.abort()
+        return False
+
+    def _handle_disconnect(self) -> None:
+        if self.closed:
+            return
+        self.closed = True
+        # Danger: a connection left registered holds its memory, counts in the limit, and blocks a drain.
+        self.server.unregister(self)
+        if self._reserved:
+            self.server.budget.give_back(self._reserved)
+        replies, self.replies = self.replies, deque()
+        for reply in replies:
+            if not reply.done:
+                self.server.host.client_disconnected(reply)
+
+    def data_received(self, data: bytes) -> None:
+        """Parse and dispatch the commands in the data."""
+        try:
+            self._parse(data)
+        except Exception:
+            log.exception("reading a command of %d bytes from a client failed: connection aborted", len(data))
+            self.abort()
+
+    def _parse(self, data: bytes) -> None:
+        reader = self.reader
+        self.last_used_at = now = self.server.loop.time()
+        self.unread_ns = self.liveness.record_read(now, len(data))
+        starts_command = not reader.need
+        commands = reader.feed(data)
+        if len(commands) > 1 and self.client_has_disconnected():
+            # Danger: commands of a client that sent several and disconnected would be sent on for nobody.
+            self.abort()
+            return
+        self.has_sent_command = self.has_sent_command or bool(commands)
+        for words in commands:
+            reply = Reply(self)
+            reply.reserved, self._reserved = self._reserved, 0
+            self.replies.append(reply)
+            self._dispatch(words, reply)
+        if reader.broken:
+            self._reject_broken(reader.broken)
+        elif reader.need:
+            if commands or (starts_command and self.has_sent_command):
+                self.command_started_at = self.last_used_at
+            if reader.need > LARGE and not self._reserved and not self._awaits_budget:
+                self.reserve()
+        elif self._reserved:
+            self.server.budget.give_back(self._reserved)
+            self._reserved = 0
+        if len(self.replies) >= MAX_PIPELINE:
+            self.update_reading()
+
+    def _reject_broken(self, problem: str) -> None:
+        """Reply to bytes that are no command, and close."""
+        reply = Reply(self)
+        self.replies.append(reply)
+        self._closes_when_idle = True
+        self.update_reading()
+        reply.send(b"-ERR Protocol error: %b\r\n" % problem.encode())
+
+    def reserve(self) -> None:
+        """Reserve memory for the command being received, or wait until some is released."""
+        self._awaits_budget = not self.server.budget.take(self, self.reader.need)
+        if not self._awaits_budget:
+            self._reserved = self.reader.need
+            self.command_started_at = self.server.loop.time()
+        self.update_reading()
+
+    def _dispatch(self, words: list[bytes], reply: Reply) -> None:
+        if len(words) == 1 and words[0].upper() == b"PING":
+            reply.send(b"+PONG\r\n" if self.server.host.ready else b"-LOADING no list of servers yet\r\n")
+            reply.free_command()
+            return
+        try:
+            command = parse_request(words)
+        except UnknownCommandError:
+            self._dispatch_other(words, reply)
+            return
+        except ValueError as error:
+            reply.send(b"-ERR %b\r\n" % str(error).encode())
+            reply.free_command()
+            return
+        if self.refusing or self.server.shutting_down:
+            self._closes_when_idle = True
+            reply.send(b"-BUSY\r\n")
+            self.server.host.record_rejection(
+                command, refused="connections" if self.refusing else "router ends"
+            )
+            reply.free_command()
+            return
+        self.server.host.request_arrived(command, reply)
+
+    def _dispatch_other(self, words: list[bytes], reply: Reply) -> None:
+        """Dispatch a command that is neither a read nor a write of one key."""
+        server = self.server
+        if server.many is not None and words[0].upper() == MANY:
+            self._closes_when_idle = self._closes_when_idle or self.refusing
+            server.many.command_arrived(words, reply, self.refusing)
+            return
+        # Imported with the first handshake: the platform's clients have none.
+        from pebblepass.daemon.greetings import ClientSession, answer_session_command
+
+        if self.session is None:
+            server.session_count += 1
+            self.session = ClientSession(server.session_count)
+        try:
+            answer = answer_session_command(words, self.session, server.host.ready, server.connected)
+        except UnknownCommandError as error:
+            answer = b"-ERR %b\r\n" % str(error).encode()
+        self._closes_when_idle = self._closes_when_idle or self.session.leaves
+        reply.send(answer)
+        reply.free_command()
+
+    @property
+    def budget(self) -> MemoryBudget:
+        """The memory budget for long commands."""
+        return self.server.budget
+
+    def write(self, data: bytes) -> None:
+        """Write to the client."""
+        if self.transport is not None:
+            self.transport.write(data)
+
+    def flush(self) -> None:
+        """Start the next reply; without one, close the connection or hand it over if that is pending."""
+        replies = self.replies
+        while replies and replies[0].done:
+            replies.popleft()
+            if replies:
+                replies[0].write_buffered()
+        if not replies:
+            self.last_used_at = self.server.loop.time()
+        if not replies and self._closes_when_idle and self.transport is not None:
+            # Danger: closing with unread bytes loses a request, and sends a reset that may destroy the
+            # last reply.
+            if not (self._draining and self.has_unread()):
+                self.transport.close()
+        elif not replies and self.server.on_handover is not None:
+            self.server.loop.call_soon(self.server.begin_handover, self)  # the reply is still to be written
+        elif not self.liveness.is_reading:
+            self.update_reading()
+
+    def pause_writing(self) -> None:
+        """Pause reading from the client and from the source of its reply: it does not read its replies."""
+        self.blocked = True
+        self.last_used_at = self.server.loop.time()
+        self.update_reading()
+        if self.replies and self.replies[0].source is not None:
+            self.replies[0].source.pause()
+
+    def resume_writing(self) -> None:
+        """Resume reading: the client reads its replies again."""
+        self.blocked = False
+        self.update_reading()
+        if self.replies and self.replies[0].source is not None:
+            self.replies[0].source.resume()
+
+    def update_reading(self) -> None:
+        """Pause or resume reading, by whether another command can be accepted now."""
+        full = len(self.replies) >= MAX_PIPELINE
+        wanted = not (self.blocked or self._awaits_budget or self.reader.broken or full or self.in_handover)
+        if wanted == self.liveness.is_reading or self.transport is None or self.transport.is_closing():
+            return
+        if wanted and self.client_has_disconnected():
+            # Danger: commands sent before the disconnect would be sent on, however long ago that was.
+            self.server.loop.call_soon(self.abort)
+            return
+        if wanted:
+            self.liveness.resume(self.server.loop.time())
+            self.transport.resume_reading()
+        else:
+            self.liveness.is_reading = False
+            self.transport.pause_reading()
+            self.server.schedule_paused_poll()
+
+    def client_has_disconnected(self) -> bool:
+        """Poll whether the client has closed or reset the connection, perhaps behind unread bytes."""
+        if self.transport is None or self.transport.is_closing():
+            return False
+        return self.liveness.poll_disconnect(self.server.loop.time)
+
+    def is_alive(self) -> bool:
+        """Whether the client is connected; polls if that was last known more than LIVENESS_TTL_S ago."""
+        if self._disconnect_detected or self.closed or self.transport is None or self.transport.is_closing():
+            return False
+        if self.server.loop.time() - self.liveness.last_alive_at() <= LIVENESS_TTL_S:
+            return True
+        if self.client_has_disconnected():
+            self._disconnect_detected = True
+            # In an iteration of its own: the caller may be handling another request.
+            self.server.loop.call_soon(self.abort)
+            return False
+        return True
+
+    def has_unread(self) -> bool:
+        """Whether a connected client has sent bytes that will be read in the next iteration of the loop."""
+        if not self.liveness.is_reading or self.transport is None or self.transport.is_closing():
+            return False
+        return self.liveness.has_unread()
+
+    @property
+    def paused(self) -> bool:
+        """Whether it is not read, so that only a poll detects its disconnect."""
+        return not (self.liveness.is_reading or self.in_handover or self.closed)
+
+    @property
+    def idle(self) -> bool:
+        """Whether it has neither an open request nor a partial command."""
+        return not self.replies and not self.reader.need
+
+    @property
+    def standing(self) -> Standing:
+        """Its state, by which connections are chosen for eviction."""
+        if self.replies or self.in_handover:
+            return Standing.BUSY
+        if self.reader.need:
+            return Standing.MIDWAY
+        return Standing.BETWEEN if self.has_sent_command else Standing.NEW
+
+    def finish(self, even_midway: bool) -> None:
+        """Close once nothing is open; `even_midway`: also with a partial command."""
+        if self.transport is None or self.closed:
+            return
+        new = not (self.has_sent_command or self.replies)
+        if not self.replies and (even_midway or not (self.reader.need or new)):
+            self._closes_when_idle = self._draining = True
+            if not self.has_unread():
+                self.transport.close()
+        elif self.replies and (even_midway or not self.reader.need):
+            self._closes_when_idle = self._draining = True
+
+    @property
+    def is_transferable(self) -> bool:
+        """Whether another process could serve it: it is open for commands, and owes no reply."""
+        if self.transport is None or self.transport.is_closing() or self.replies:
+            return False
+        ends = self._closes_when_idle or self.closed or self.refusing
+        waits = self.blocked or self._awaits_budget or self._reserved
+        return not (ends or waits or self.in_handover)
+
+    @property
+    def descriptor(self) -> int:
+        """The file descriptor of its socket."""
+        assert self.transport is not None
+        descriptor: int = self.transport.get_extra_info("socket").fileno()
+        return descriptor
+
+    def _restore(self, handed: ConnectionState) -> None:
+        """Restore the state that came with a handover."""
+        self.has_sent_command = handed.spoken
+        if handed.protocol:
+            from pebblepass.daemon.greetings import ClientSession
+
+            self.server.session_count += 1
+            self.session = ClientSession(handed.number, handed.protocol, handed.name)
+        if handed.held:
+            unread_age = self.liveness.without_unread_age(self.last_used_at)
+            self.data_received(handed.held)
+            self.liveness.restore_unread_age(unread_age)
+            self.command_started_at = self.server.loop.time() - handed.begun_ms / 1000
+
+    def abort(self) -> None:
+        """Abort the connection, and drop its open requests."""
+        if self.transport is not None:
+            self.transport.abort()
+        self._handle_disconnect()
+
+    def reject_unfinished(self) -> None:
+        """Reply to a command that was not received in time, and close."""
+        # Guards connections queued for memory behind this one: they are next, and have waited as long.
+        reserved, self._reserved = self._reserved, 0
+        self.server.budget.give_back(reserved)
+        self._closes_when_idle = True
+        reply = Reply(self)
+        self.replies.append(reply)
+        reply.send(b"-ERR Protocol error: command not finished in time\r\n")
