--- a/pebblepass/daemon/config.py
+++ b/pebblepass/daemon/config.py
@@ -10,7 +10,7 @@
 
 from pebblepass.decisions import Settings
 from pebblepass.decisions.settings import WireError, read_settings, typed
-from pebblepass.discovery.registry import Clock, read_listing
+from pebblepass.discovery.endpoint_list import ClockOffset, parse_endpoint_list
 from pebblepass.wire.address import Address, parse_address
 
 DEFAULT_MAX_OPEN = 20_000
@@ -104,7 +104,7 @@
     known = told.get("known")
     if known is not None:
         # Guards the start: a list that can't be read is one plain line, not a fault once the router runs.
-        read_listing(typed("known", known, dict), Clock(0, 0))
+        parse_endpoint_list(typed("known", known, dict), ClockOffset(0, 0))
     return Config(
         name=environ.get("LB_NAME") or str(told.get("name") or "router"),
         listen=parse_address("listen", environ.get("LB_LISTEN") or told["listen"]),
--- a/pebblepass/daemon/daemon.py
+++ b/pebblepass/daemon/daemon.py
@@ -20,7 +20,8 @@
 from pebblepass.daemon.upstream import Pool
 from pebblepass.decisions import ListKind
 from pebblepass.decisions.interface import NS_PER_S
-from pebblepass.discovery.registry import Clock, Discovery, Listing, read_listing
+from pebblepass.discovery.client import DiscoveryClient
+from pebblepass.discovery.endpoint_list import ClockOffset, EndpointList, parse_endpoint_list
 from pebblepass.wire.address import Address
 
 if TYPE_CHECKING:
@@ -88,16 +89,16 @@
         self.host = self.host_class(loop, config.settings, config.seed, self._pool, config.max_open)
         budget = int(config.memory * BUDGET_SHARE)
         self.clients = ClientServer(loop, self.host, self._split.served, budget, self._split.refusers)
-        clock = self._clock = Clock(self.host.now(), unix_ns())
+        clock = self._clock = ClockOffset(self.host.now(), unix_ns())
         self._succession: Succession | None = None
         self._settled_at = loop.time() + settling(spent, config.cores)
         asked, draws = config.settings.must_subscribe, random.Random(config.seed)
-        self._discovery = Discovery(
+        self._discovery = DiscoveryClient(
             config.discovery, asked, clock, self._take, self.host.discovery_failed, draws
         )
         self.host.subscribe = self._discovery.subscribe
         if config.known is not None:
-            known = read_listing(config.known, clock, ListKind.CACHED)
+            known = parse_endpoint_list(config.known, clock, ListKind.CACHED)
             self._discovery.generation = known.generation
             self.host.servers_changed(known)
         self._reloading: asyncio.Task[None] | None = None
@@ -159,7 +160,7 @@
         joined = self._fleet is None or self._fleet.ready()
         return self.host.ready and self.clients.listening and joined
 
-    def _take(self, listing: Listing) -> None:
+    def _take(self, listing: EndpointList) -> None:
         if not self.host.servers_changed(listing):
             raise RuntimeError("the decisions failed over a list")
         self._make_do()
--- a/pebblepass/daemon/router.py
+++ b/pebblepass/daemon/router.py
@@ -42,7 +42,7 @@
     Subscribe,
     TimerFired,
 )
-from pebblepass.discovery.registry import Listing
+from pebblepass.discovery.endpoint_list import EndpointList
 from pebblepass.wire import http, resp
 from pebblepass.wire.address import Address
 from pebblepass.wire.resp import Command
@@ -344,7 +344,7 @@
 
     # The list of servers
 
-    def servers_changed(self, listing: Listing) -> bool:
+    def servers_changed(self, listing: EndpointList) -> bool:
         """Take news of the list: the module hears of it before anything that follows from it.
 
         Returns False where the decisions failed over it.
@@ -359,7 +359,7 @@
         self._handle_events()
         return not self._list_lost
 
-    def _list_servers(self, listing: Listing) -> None:
+    def _list_servers(self, listing: EndpointList) -> None:
         whole = listing.change.kind is not ListKind.DELTA
         gone = dict.fromkeys(self._pool.listed()) if whole else {}
         for server in listing.change.servers:
--- a/pebblepass/daemon/succession.py
+++ b/pebblepass/daemon/succession.py
@@ -12,7 +12,8 @@
 from pebblepass.daemon.router import RouterHost
 from pebblepass.daemon.upstream import Pool
 from pebblepass.decisions import ListKind, StateImported
-from pebblepass.discovery.registry import Clock, Discovery, read_listing, write_listing
+from pebblepass.discovery.client import DiscoveryClient
+from pebblepass.discovery.endpoint_list import ClockOffset, encode_endpoint_list, parse_endpoint_list
 from pebblepass.handover.knowledge import aged
 from pebblepass.handover.messages import (
     MAX_CONNECTIONS_PER_MESSAGE,
@@ -35,8 +36,8 @@
     host: RouterHost
     clients: ClientServer
     pool: Pool
-    discovery: Discovery
-    clock: Clock
+    discovery: DiscoveryClient
+    clock: ClockOffset
     budget: int
     """Bytes for clients' long commands, of a router that is alone."""
 
@@ -80,7 +81,9 @@
         """The list, and what the module has learned."""
         routed, host = self._routed, self._routed.host
         servers = host.ready_servers()
-        listing = write_listing(routed.discovery.generation, servers, routed.pool.addresses(), routed.clock)
+        listing = encode_endpoint_list(
+            routed.discovery.generation, servers, routed.pool.addresses(), routed.clock
+        )
         account = Account(listing, host.export_state(), host.now())
         return write_account(account, routed.clock.unix_ms)
 
@@ -89,7 +92,7 @@
         routed, now = self._routed, self._routed.host.now()
         told = read_account(account, now, routed.clock.monotonic)
         try:
-            listing = read_listing(told.listing, routed.clock, ListKind.CACHED)
+            listing = parse_endpoint_list(told.listing, routed.clock, ListKind.CACHED)
         except ValueError as error:
             raise HandoverError(str(error)) from None
         routed.discovery.generation = listing.generation
--- a/pebblepass/discovery/__init__.py
+++ b/pebblepass/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Where nodes come from: the platform's registry."""
+"""The endpoint list: which servers there are, followed at the platform's discovery service."""
--- /dev/null
+++ b/pebblepass/discovery/client.py
@@ -0,0 +1,150 @@
+"""The client of the discovery service: the full list once, then a watch without a gap."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import random
+from collections.abc import Callable
+
+from pebblepass.discovery.call_schedule import POLL_TIMING, PUSH_TIMING, CallSchedule
+from pebblepass.discovery.endpoint_list import ClockOffset, EndpointList
+from pebblepass.discovery.watch import Watch
+from pebblepass.wire.address import Address
+
+RETRY_DELAY_S = 0.1  # a pushed watch counts as continued if the next call comes within 0.2 s
+REJECTED_LIST_DELAY_S = 0.5  # after a list that this router could not apply: another one may do
+
+log = logging.getLogger("pebblepass")
+
+
+class DiscoveryClient:
+    """Keeps the endpoint list up to date; a failed call leaves the list in force as it is.
+
+    A service that pushes is watched without pause. One that is polled is called when the decision module
+    subscribes; the watch lasts while calls succeed or time out, and any other failure ends it.
+    """
+
+    def __init__(
+        self,
+        address: Address,
+        polled: bool,
+        clock: ClockOffset,
+        apply: Callable[[EndpointList], None],
+        failed: Callable[[], None],
+        rng: random.Random,
+    ) -> None:
+        """`apply` puts a list in force; `failed` is called when a polled watch ends; `rng` is per router."""
+        self.generation = 0
+        self._address, self._polled, self._clock = address, polled, clock
+        self._apply, self._failed = apply, failed
+        self._rng = rng
+        self._schedule = self._new_schedule()
+        self._list_origin = address  # where the list in force, and its generation, come from
+        self._needs_full_list = False  # the next watch begins with the full list
+        self._watch: Watch | None = None
+        self._next: Watch | None = None  # at the new address after a move, until it has been answered
+
+    def start(self) -> None:
+        """Begin a watch with the full list, unless `move` has begun one already."""
+        if self._watch is None:
+            self._watch = self._begin(full=True)
+
+    def subscribe(self) -> None:
+        """Begin a watch, unless one is open at the address in force."""
+        if self._next is not None:
+            return
+        if self._watch is None:
+            self._watch = self._begin(full=self._needs_full_list or self._list_origin != self._address)
+        elif self._watch.address != self._address:
+            self._next = self._begin(full=True)
+
+    def move(self, address: Address) -> None:
+        """Go on at another address; the watch at the old one lasts until the new one has answered."""
+        if address == self._address:
+            return
+        self._address = address
+        if self._next is not None:
+            self._next.close()
+            self._next = None
+        if self._watch is not None and self._watch.address == address:
+            self._schedule = self._watch.schedule
+            return
+        self._schedule = self._new_schedule()
+        if self._watch is not None:
+            self._next = self._begin(full=True)
+        elif not self._polled:
+            self.start()
+
+    def close(self) -> None:
+        """End all calls."""
+        for watch in (self._watch, self._next):
+            if watch is not None:
+                watch.close()
+        self._watch = self._next = None
+
+    def _new_schedule(self) -> CallSchedule:
+        return CallSchedule(POLL_TIMING if self._polled else PUSH_TIMING, self._rng)
+
+    def _begin(self, full: bool) -> Watch:
+        watch = Watch(self._address, self._clock, self._schedule, self.generation, full)
+        run = self._run_polled(watch) if self._polled else self._run_pushed(watch)
+        watch.task = asyncio.get_running_loop().create_task(run)
+        return watch
+
+    async def _run_pushed(self, watch: Watch) -> None:
+        while True:
+            try:
+                await self._poll_and_apply(watch)
+            except Exception as error:
+                watch.failed(error)
+                await asyncio.sleep(RETRY_DELAY_S)
+
+    async def _run_polled(self, watch: Watch) -> None:
+        next_is_due = True
+        while next_is_due:
+            try:
+                await self._poll_and_apply(watch)
+            except Exception as error:
+                next_is_due = watch.failed(error)
+        # One that answers with failures is still open, and the next watch opens its own.
+        watch.close_connection()
+        self._needs_full_list = self._needs_full_list or watch.needs_full_list
+        if watch is self._next:
+            # Danger: the watch at the old address may last for long, and nobody else polls the new one.
+            self._next = None
+        else:
+            self._watch = None
+        if self._next is None:
+            self._failed()
+
+    async def _poll_and_apply(self, watch: Watch) -> None:
+        listed = await watch.poll()
+        if not self._apply_list(watch, listed):
+            await asyncio.sleep(REJECTED_LIST_DELAY_S)
+
+    def _apply_list(self, watch: Watch, listed: EndpointList) -> bool:
+        """Put a list in force; return whether that worked: if not, the watch asks for the full list."""
+        if watch is self._next:
+            self._switch_to_next(watch)
+        try:
+            self._apply(listed)
+        except Exception:
+            log.exception(
+                "discovery: list %d of %s:%d could not be applied, the full list is requested again",
+                listed.generation,
+                *watch.address,
+            )
+            watch.rejected()
+            return False
+        watch.accepted(listed)
+        self.generation = listed.generation
+        self._list_origin, self._needs_full_list = watch.address, False
+        return True
+
+    def _switch_to_next(self, watch: Watch) -> None:
+        # Guards against a gap: the old address counts until the new one has answered.
+        if self._watch is not None:
+            self._watch.close()
+        self._watch, self._next = watch, None
+        log.info("discovery: now at %s:%d", *watch.address)
--- /dev/null
+++ b/pebblepass/discovery/connection.py
@@ -0,0 +1,87 @@
+"""One HTTP connection to the discovery service."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import NamedTuple, cast
+
+from pebblepass.wire.http import HttpError, HttpReader, request
+
+MAX_BODY = 8 << 20  # bytes of one answer
+
+
+class Response(NamedTuple):
+    """An answer of the discovery service."""
+
+    status: int
+    body: bytes
+
+
+class DiscoveryConnection(asyncio.Protocol, HttpReader):
+    """Sends one request at a time and collects its response."""
+
+    def __init__(self) -> None:
+        HttpReader.__init__(self)
+        self._transport: asyncio.Transport | None = None
+        self._response: asyncio.Future[Response] | None = None
+        self._body = bytearray()
+
+    def get(self, target: str, host: str) -> asyncio.Future[Response]:
+        """Send a GET request; the future fails with HttpError or ConnectionResetError."""
+        assert self._transport is not None
+        self._response = asyncio.get_running_loop().create_future()
+        self._transport.write(request("GET", target, host))
+        return self._response
+
+    @property
+    def is_usable(self) -> bool:
+        """Whether a further request can be sent."""
+        return self._transport is not None and not self._transport.is_closing()
+
+    def close(self) -> None:
+        """Close the connection at once."""
+        if self._transport is not None:
+            self._transport.abort()
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's own class is no subclass
+
+    def data_received(self, data: bytes) -> None:
+        """Read a part of the response."""
+        try:
+            if self.read(data):
+                self._complete()
+        except HttpError as error:
+            self._fail(error)
+            self.close()
+
+    def eof_received(self) -> None:
+        """Complete a response that lasts until the end of the stream."""
+        if self.ended():
+            self._complete()
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Fail the request in flight."""
+        self._fail(ConnectionResetError("discovery closed the connection"))
+
+    def body_starts(self, length: int | None) -> None:
+        """Ignore the announced length: the limit is on the bytes received."""
+
+    def body_came(self, data: bytes) -> None:
+        """Collect a part of the body; raises HttpError beyond MAX_BODY."""
+        self._body += data
+        if len(self._body) > MAX_BODY:
+            raise HttpError("list too long")
+
+    def _complete(self) -> None:
+        response = Response(self.status, bytes(self._body))
+        self._body.clear()
+        if not self.answer_done():
+            self.close()
+        if self._response is not None and not self._response.done():
+            self._response.set_result(response)
+
+    def _fail(self, error: Exception) -> None:
+        if self._response is not None and not self._response.done():
+            self._response.set_exception(error)
--- a/pebblepass/scale/decisions.py
+++ b/pebblepass/scale/decisions.py
@@ -51,8 +51,8 @@
     TimerFired,
 )
 from pebblepass.decisions.slot_table import DEPTH, SLOTS
-from pebblepass.discovery.pace import ASKED, PUSHED
-from pebblepass.discovery.registry import Clock, read_listing, write_listing
+from pebblepass.discovery.call_schedule import POLL_TIMING, PUSH_TIMING
+from pebblepass.discovery.endpoint_list import ClockOffset, encode_endpoint_list, parse_endpoint_list
 
 S = 1_000_000_000
 MS = 1_000_000
@@ -553,14 +553,14 @@
 
 def list_cost(servers: int, rounds: int = 5, slots: int = SLOTS) -> ListCost:
     """Measure a list; so many slots' rankings are remembered when a server is replaced."""
-    entries, clock = servers_of(servers), Clock(0, 1_700_000_000 * S)
+    entries, clock = servers_of(servers), ClockOffset(0, 1_700_000_000 * S)
     addresses = {entry.id: ("10.0.0.1", 6379) for entry in entries}
-    body = json.dumps(write_listing(7, entries, addresses, clock)).encode()
+    body = json.dumps(encode_endpoint_list(7, entries, addresses, clock)).encode()
     settings = Settings((READ,), origin_kind="origin")
     read, taken, change, most = (list[int]() for _ in range(4))
     for number in range(rounds):
         begun = time.process_time_ns()
-        listing = read_listing(msgspec.json.decode(body), clock)
+        listing = parse_endpoint_list(msgspec.json.decode(body), clock)
         read.append(time.process_time_ns() - begun)
         router = Router(settings, number)
         begun = time.process_time_ns()
@@ -789,11 +789,12 @@
         click.echo("  ".join(f"{key} {value:.5g}" for key, value in asdict(cost).items()))
     calls = [outage(count, down) for count in routers]
     for each in calls:
-        idle = each.routers / ((ASKED.wait + ASKED.most) / 2)
+        idle = each.routers / ((POLL_TIMING.min_wait_s + POLL_TIMING.max_wait_s) / 2)
         click.echo(
             f"routers {each.routers}: idle {idle:.4g} calls a second where lists are asked for, "
-            f"{1 / PUSHED.wait:g} at each router's own agent where they are pushed; in an outage of {down} s "
-            f"{each.most_down} a second at most, {each.most_after} from its return on"
+            f"{1 / PUSH_TIMING.min_wait_s:g} at each router's own agent where they are pushed; "
+            f"in an outage of {down} s {each.most_down} a second at most, "
+            f"{each.most_after} from its return on"
         )
     _keep(path, {"lists": [asdict(cost) for cost in costs], "outages": [asdict(each) for each in calls]})
 
--- a/pebblepass/scale/hollow.py
+++ b/pebblepass/scale/hollow.py
@@ -32,7 +32,8 @@
 from pebblepass.daemon.loop import DaemonLoop
 from pebblepass.decisions import PolicyChanged, Settings
 from pebblepass.decisions.settings import read_settings
-from pebblepass.discovery.registry import Clock, Discovery, Listing
+from pebblepass.discovery.client import DiscoveryClient
+from pebblepass.discovery.endpoint_list import ClockOffset, EndpointList
 from pebblepass.operator_config import FleetSection
 from pebblepass.wire.address import Address, parse_address
 
@@ -169,7 +170,7 @@
         self._settings = read_settings(specification.settings)
         self._places = {place.name: place for place in specification.places}
         self._parts: dict[str, FleetPart] = {}
-        self._lists: list[Discovery] = []
+        self._lists: list[DiscoveryClient] = []
         self._proposals: set[asyncio.Task[None]] = set()
 
     async def start(self, name: str) -> None:
@@ -224,11 +225,11 @@
     def _follow(self, name: str, address: Address) -> None:
         """The daemon's own client of discovery, where lists are pushed."""
 
-        def take(listing: Listing) -> None:
+        def take(listing: EndpointList) -> None:
             self._tell(Report("listed", self._loop.time_ns(), name, listing.generation))
 
-        clock = Clock(self._loop.time_ns(), time.time_ns())
-        followed = Discovery(address, False, clock, take, lambda: None, random.Random(name))
+        clock = ClockOffset(self._loop.time_ns(), time.time_ns())
+        followed = DiscoveryClient(address, False, clock, take, lambda: None, random.Random(name))
         self._lists.append(followed)
         followed.start()
 
--- a/tests/compatibility/forms.py
+++ b/tests/compatibility/forms.py
@@ -33,7 +33,7 @@
 from pebblepass.daemon.config import load_config
 from pebblepass.decisions import ServerState, interface
 from pebblepass.decisions.settings import read_settings
-from pebblepass.discovery.registry import Clock, read_listing, write_listing
+from pebblepass.discovery.endpoint_list import ClockOffset, encode_endpoint_list, parse_endpoint_list
 from pebblepass.emulators.ports import take_port
 from pebblepass.handover import messages as handover
 from pebblepass.handover.channel import DOOR
@@ -166,7 +166,7 @@
 
 NOW = 1_000_000_000_000
 _UNIX = 1_700_000_000_000_000_000
-CLOCK = Clock(NOW, _UNIX)
+CLOCK = ClockOffset(NOW, _UNIX)
 HANDOVER_MESSAGE = Form(handover.decode, handover.encode)
 HANDOVER_ACCOUNT = Form(
     lambda data: handover.read_account(data, NOW, CLOCK.monotonic),
@@ -325,14 +325,14 @@
 
 def listing(data: bytes) -> Any:
     """A list of servers, in the reader's own terms."""
-    return read_listing(msgspec.json.decode(data), CLOCK)
+    return parse_endpoint_list(msgspec.json.decode(data), CLOCK)
 
 
 def rewritten_listing(data: bytes) -> bytes:
     """A list of servers as one router tells it to another."""
     read = listing(data)
     ready = [server for server in read.change.servers if server.state is ServerState.READY]
-    return msgspec.json.encode(write_listing(read.generation, ready, read.addresses, CLOCK))
+    return msgspec.json.encode(encode_endpoint_list(read.generation, ready, read.addresses, CLOCK))
 
 
 # The command
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -14,7 +14,7 @@
 from pebblepass.daemon.config import read_config
 from pebblepass.daemon.daemon import Daemon
 from pebblepass.decisions import ListKind, Server, ServersChanged, ServerState
-from pebblepass.discovery.registry import Listing
+from pebblepass.discovery.endpoint_list import EndpointList
 from pebblepass.simulation.clock import VirtualLoop
 from pebblepass.wire.address import Address
 from tests.sockets import FACTS, MISS, bulk, hit, http_answer
@@ -217,7 +217,7 @@
         )
         kind = ListKind.FULL if whole else ListKind.DELTA
         taken: bool = self.host.servers_changed(
-            Listing(
+            EndpointList(
                 self.generation,
                 ServersChanged(kind, servers),
                 {name: peers[name].address for name in names},
--- a/tests/discovery/test_bounds.py
+++ b/tests/discovery/test_bounds.py
@@ -4,7 +4,8 @@
 
 import json
 
-from pebblepass.discovery.registry import MAX_BODY, Clock, read_listing
+from pebblepass.discovery.connection import MAX_BODY
+from pebblepass.discovery.endpoint_list import ClockOffset, parse_endpoint_list
 
 SERVERS = 1100
 
@@ -32,6 +33,6 @@
 def test_a_change_of_1100_servers_is_far_under_the_longest_body() -> None:
     told = body()
     assert len(told) <= MAX_BODY // 8
-    listing = read_listing(json.loads(told), Clock(0, 0))
+    listing = parse_endpoint_list(json.loads(told), ClockOffset(0, 0))
     assert len(listing.change.servers) == 2 * SERVERS
     assert len(listing.addresses) == SERVERS
--- a/tests/discovery/test_discovery_faults.py
+++ b/tests/discovery/test_discovery_faults.py
@@ -21,7 +21,8 @@
     Subscribe,
     TimerFired,
 )
-from pebblepass.discovery.registry import Clock, Discovery, Listing
+from pebblepass.discovery.client import DiscoveryClient
+from pebblepass.discovery.endpoint_list import ClockOffset, EndpointList
 from pebblepass.simulation.clock import VirtualLoop
 from tests.decisions.cases import S, settings
 from tests.virtual import played
@@ -91,12 +92,12 @@
     def __init__(self, loop: VirtualLoop, address: tuple[str, int], seed: int) -> None:
         self.loop = loop
         self.router = Router(settings(must_subscribe=True, subscribe_within=8 * S, routers=ROUTERS), seed)
-        clock = Clock(loop.time_ns(), loop.unix_ns())
-        self.discovery = Discovery(address, True, clock, self._take, self._failed, random.Random(seed))
+        clock = ClockOffset(loop.time_ns(), loop.unix_ns())
+        self.discovery = DiscoveryClient(address, True, clock, self._take, self._failed, random.Random(seed))
         self.seen: list[ListKind] = []
         self._tell(ServersChanged(ListKind.CACHED))
 
-    def _take(self, listing: Listing) -> None:
+    def _take(self, listing: EndpointList) -> None:
         self.seen.append(listing.change.kind)
         self._tell(listing.change)
 
--- a/tests/discovery/test_late_silence.py
+++ b/tests/discovery/test_late_silence.py
@@ -31,8 +31,9 @@
     TimerFired,
 )
 from pebblepass.decisions.slot_table import SlotTable
-from pebblepass.discovery.pace import Call, Pace
-from pebblepass.discovery.registry import Clock, Discovery, Listing
+from pebblepass.discovery.call_schedule import CallSchedule, PlannedCall
+from pebblepass.discovery.client import DiscoveryClient
+from pebblepass.discovery.endpoint_list import ClockOffset, EndpointList
 from pebblepass.simulation.clock import VirtualLoop
 from tests.crossings import GatedLoop
 from tests.decisions.cases import S, ended, request, settings
@@ -86,9 +87,9 @@
         self._count = 0
         self._attempts: dict[str, int] = {}
         self._router = Router(settings(must_subscribe=asked, subscribe_within=8 * S, routers=ROUTERS), seed)
-        clock = Clock(loop.time_ns(), loop.unix_ns())
+        clock = ClockOffset(loop.time_ns(), loop.unix_ns())
         failed = ServersChanged(ListKind.FAILED)
-        self.discovery = Discovery(
+        self.discovery = DiscoveryClient(
             registry.address, asked, clock, self._take, lambda: self._tell(failed), random.Random(seed)
         )
         if asked:
@@ -103,7 +104,7 @@
         self._tell(request(f"r{self._count}", now, key=f"k{self.rng.randrange(10_000)}"))
         self.loop.call_later(REQUEST_EVERY_S, self.serve)
 
-    def _take(self, listing: Listing) -> None:
+    def _take(self, listing: EndpointList) -> None:
         for server in listing.change.servers:
             if server.state is ServerState.DRAINING:
                 self.arrived.setdefault(server.id, self.loop.time())
@@ -190,12 +191,12 @@
     assert sum(each.unaware for each in played) > 0, "the silence hid the drains for a while"
 
 
-class SlowToGiveUp(Pace):
+class SlowToGiveUp(CallSchedule):
     """Broken: a watch is held for silent only long after its wait."""
 
-    def plan(self, whole: bool) -> Call:
-        wait, limit = super().plan(whole)
-        return Call(wait, limit + 8.0)
+    def plan(self, full: bool) -> PlannedCall:
+        wait_s, timeout_s = super().plan(full)
+        return PlannedCall(wait_s, timeout_s + 8.0)
 
 
 UPDATE = SlotTable.update
@@ -209,7 +210,7 @@
 def test_a_router_that_takes_a_silence_for_quiet_is_caught(
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("pebblepass.discovery.registry.Pace", SlowToGiveUp)
+    monkeypatch.setattr("pebblepass.discovery.client.CallSchedule", SlowToGiveUp)
     assert any(each.late for each in days(kind, 11.0))
 
 
--- a/tests/discovery/test_told.py
+++ b/tests/discovery/test_told.py
@@ -16,8 +16,8 @@
 
 import pytest
 
-from pebblepass.discovery.pace import Pace
-from pebblepass.discovery.registry import Listing
+from pebblepass.discovery.call_schedule import CallSchedule
+from pebblepass.discovery.endpoint_list import EndpointList
 from pebblepass.wire.address import Address
 from tests.crossings import GatedLoop
 from tests.discovery.test_discovery_faults import Follower
@@ -137,7 +137,7 @@
 
     heard_at = math.inf
 
-    def _take(self, listing: Listing) -> None:
+    def _take(self, listing: EndpointList) -> None:
         super()._take(listing)
         if self.heard_at == math.inf and self.held != ["s1"]:
             self.heard_at = self.loop.time()
@@ -376,21 +376,21 @@
     )
 
 
-class Trusting(Pace):
+class Trusting(CallSchedule):
     """Broken: a long wait at once, whatever failed before."""
 
-    def failed(self, silent: bool) -> bool:
-        super().failed(silent)
-        self._at_once, self._short = False, None
+    def record_failure(self, timed_out: bool) -> bool:
+        super().record_failure(timed_out)
+        self._immediate, self._short_watch = False, None
         return False
 
 
-class Hasty(Pace):
+class Hasty(CallSchedule):
     """Broken: the first answer behind a silence is taken for proof."""
 
-    def answered(self) -> None:
-        super().answered()
-        self._short = None
+    def record_success(self) -> None:
+        super().record_success()
+        self._short_watch = None
 
 
 @pytest.mark.parametrize(
@@ -403,9 +403,9 @@
     ],
 )
 def test_a_pace_that_is_broken_is_caught(
-    broken: type[Pace], course: Course, monkeypatch: pytest.MonkeyPatch
+    broken: type[CallSchedule], course: Course, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("pebblepass.discovery.registry.Pace", broken)
+    monkeypatch.setattr("pebblepass.discovery.client.CallSchedule", broken)
     at, told = latest("asked", course)
     assert at > told + GRACE_S
 
--- a/tests/discovery/test_watches.py
+++ b/tests/discovery/test_watches.py
@@ -11,8 +11,9 @@
 import pytest
 
 from pebblepass.decisions import ListKind, ServerState
-from pebblepass.discovery.pace import ASKED, PUSHED
-from pebblepass.discovery.registry import Clock, Discovery, Listing
+from pebblepass.discovery.call_schedule import POLL_TIMING, PUSH_TIMING
+from pebblepass.discovery.client import DiscoveryClient
+from pebblepass.discovery.endpoint_list import ClockOffset, EndpointList
 from pebblepass.simulation.clock import VirtualLoop
 from tests.crossings import Bed, GatedLoop, crossing
 from tests.discovery.test_discovery_faults import Follower, entry
@@ -110,13 +111,15 @@
 
     def __init__(self, loop: VirtualLoop, agent: Agent) -> None:
         self.loop = loop
-        self.heard: list[tuple[float, Listing]] = []
+        self.heard: list[tuple[float, EndpointList]] = []
         self.faults = 0
-        clock = Clock(loop.time_ns(), loop.unix_ns())
-        self.discovery = Discovery(agent.address, False, clock, self.take, lambda: None, random.Random(1))
+        clock = ClockOffset(loop.time_ns(), loop.unix_ns())
+        self.discovery = DiscoveryClient(
+            agent.address, False, clock, self.take, lambda: None, random.Random(1)
+        )
         self.discovery.start()
 
-    def take(self, listing: Listing) -> None:
+    def take(self, listing: EndpointList) -> None:
         if self.faults:
             self.faults -= 1
             raise RuntimeError("a fault in taking it")
@@ -164,7 +167,7 @@
                 await asyncio.sleep(0.01)
             agent.fall_silent()
             agent.half = False
-        told_by = max(silent_at + SILENCE_S, begun + PUSHED.wait + AFTER_WAIT_S)
+        told_by = max(silent_at + SILENCE_S, begun + PUSH_TIMING.min_wait_s + AFTER_WAIT_S)
         await asyncio.sleep(told_by + GRACE_S - loop.time())
         assert watcher.heard_at <= told_by + GRACE_S
         watcher.discovery.close()
@@ -187,7 +190,7 @@
             assert agent.calls[-1][0] == begun
             agent.fall_silent()
             agent.drain()
-            told_by = max(loop.time() + SILENCE_S, begun + ASKED.wait + AFTER_WAIT_S)
+            told_by = max(loop.time() + SILENCE_S, begun + POLL_TIMING.min_wait_s + AFTER_WAIT_S)
             await asyncio.sleep(told_by + GRACE_S - loop.time())
             assert follower.held == [], seed
             follower.discovery.close()
@@ -203,7 +206,7 @@
         await asyncio.sleep(5.0)
         calls = len(agent.calls)
         agent.fall_silent()
-        await asyncio.sleep(ASKED.wait + AFTER_WAIT_S)
+        await asyncio.sleep(POLL_TIMING.min_wait_s + AFTER_WAIT_S)
         opened = agent.opened[40:]
         assert len(opened) == 40
         assert opened[-1] - opened[0] > 0.5
@@ -239,7 +242,7 @@
         watcher = Watcher(loop, agent)
         await asyncio.sleep(0.05)
         agent.generation, agent.drained = 2, True  # it was started anew, and counts from the start
-        await asyncio.sleep(PUSHED.wait + 0.5)
+        await asyncio.sleep(PUSH_TIMING.min_wait_s + 0.5)
         assert watcher.heard[-1][1].change.kind is ListKind.FULL
         assert watcher.heard[-1][1].generation == 2
         assert watcher.heard_at < float("inf")
--- a/tests/handover/test_bounds.py
+++ b/tests/handover/test_bounds.py
@@ -7,7 +7,7 @@
 import socket
 
 from pebblepass.decisions import OriginHealth, RouterState, Server, ServerHealth, ServerState
-from pebblepass.discovery.registry import Clock, read_listing, write_listing
+from pebblepass.discovery.endpoint_list import ClockOffset, encode_endpoint_list, parse_endpoint_list
 from pebblepass.handover.channel import Channel
 from pebblepass.handover.messages import (
     MOST_TOLD,
@@ -42,7 +42,7 @@
     heat = tuple((slot, 1.0 / 3) for slot in range(256))
     usage = tuple((f"tenant-{number}", 1.0 / 3) for number in range(256))
     known = RouterState(nodes, (), OriginHealth(math.inf, 4.0, 0.1, 5e6, 1e6, 2e6, 1e6), heat, usage)
-    listing = write_listing(41, servers, addresses, Clock(0, 0))
+    listing = encode_endpoint_list(41, servers, addresses, ClockOffset(0, 0))
     return write_account(Account(listing, known, NOW), lambda start: start // 10**6)
 
 
@@ -75,4 +75,4 @@
     assert asyncio.run(over_a_channel(data)) == data
     told = read_account(data, NOW, lambda unix_ms: unix_ms * 10**6)
     assert len(told.knowledge.servers) == SERVERS
-    assert len(read_listing(told.listing, Clock(0, 0)).addresses) == SERVERS
+    assert len(parse_endpoint_list(told.listing, ClockOffset(0, 0)).addresses) == SERVERS
--- a/tests/simulation/test_rehearsal.py
+++ b/tests/simulation/test_rehearsal.py
@@ -23,7 +23,7 @@
 from pebblepass.daemon.daemon import Daemon
 from pebblepass.daemon.router import RouterHost
 from pebblepass.decisions.interface import Send, ServerState
-from pebblepass.discovery.registry import Listing
+from pebblepass.discovery.endpoint_list import EndpointList
 from pebblepass.emulators.ports import BLOCK, FIRST, PortBlock
 from pebblepass.simulation import runner
 from pebblepass.simulation.count import OUTCOMES
@@ -211,7 +211,7 @@
 class DeafToDrains(RouterHost):
     """Never hears that a server drains or is gone."""
 
-    def servers_changed(self, listing: Listing) -> bool:
+    def servers_changed(self, listing: EndpointList) -> bool:
         kept = tuple(s for s in listing.change.servers if s.state is ServerState.READY)
         return super().servers_changed(replace(listing, change=replace(listing.change, servers=kept)))
 
@@ -241,7 +241,7 @@
 
     newest = ""
 
-    def servers_changed(self, listing: Listing) -> bool:
+    def servers_changed(self, listing: EndpointList) -> bool:
         taken = super().servers_changed(listing)
         for server in listing.change.servers:
             if server.started and server.state is ServerState.READY:
