--- a/tests/daemon/test_requests.py
+++ b/tests/daemon/test_requests.py
@@ -13,6 +13,8 @@
 from tests.sockets import (
     MISS,
     PATIENCE_S,
+    PATIENT_CLASSES,
+    PATIENT_DEADLINE_MS,
     Peer,
     bulk,
     entry,
@@ -189,9 +191,10 @@
 
 def test_answer_that_nobody_asked_for_is_dropped_with_its_connection(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[2]) + (hit(b"stray") if words[2] == b"r0" else b""))
-    with routed(tmp_path, {"s1": cache}) as router:
+    with routed(tmp_path, {"s1": cache}, facts={"classes": PATIENT_CLASSES}) as router:
         client = router.client()
-        assert [client.ask(get(f"r{i}")) for i in range(3)] == [b"r0", b"r1", b"r2"]
+        answers = [client.ask(get(f"r{i}", d=PATIENT_DEADLINE_MS)) for i in range(3)]
+        assert answers == [b"r0", b"r1", b"r2"]
         assert cache.accepted >= 2
 
 
--- a/tests/daemon/test_upgrade.py
+++ b/tests/daemon/test_upgrade.py
@@ -17,6 +17,8 @@
 from tests.sockets import (
     FACTS,
     PATIENCE_S,
+    PATIENT_CLASSES,
+    PATIENT_DEADLINE_MS,
     Client,
     DiscoveryPeer,
     Peer,
@@ -50,7 +52,7 @@
         told = {
             "listen": f"127.0.0.1:{self.port}",
             "discovery": f"127.0.0.1:{self.discovery.peer.port}",
-            "settings": FACTS,
+            "settings": {**FACTS, "classes": PATIENT_CLASSES},
             "limits": self.limits,
             "ops": f"127.0.0.1:{ops}",
         }
@@ -146,7 +148,7 @@
     with site(tmp_path, {"s1": Peer(cache)}) as made:
         old, before = made.start()
         client = made.client()
-        client.send(get("q1", "slow"))
+        client.send(get("q1", "slow", PATIENT_DEADLINE_MS))
         eventually(lambda: waiting, "the request at its server")
         _, ops = made.start()
         old.send_signal(signal.SIGTERM)
@@ -193,7 +195,7 @@
         new, ops = made.start()
         eventually(lambda: not is_yes(before), "the old one's word that it takes nothing new")
         client = made.client()
-        client.send(get("q1", "slow"))
+        client.send(get("q1", "slow", PATIENT_DEADLINE_MS))
         eventually(lambda: waiting, "the request at its server")
         new.send_signal(signal.SIGTERM)
         eventually(lambda: not is_yes(ops), "the new one's word that it takes nothing new")
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -44,6 +44,10 @@
     "tenants": [{"name": "acme", "portion": 1.0}],
 }
 
+PATIENT_CLASSES = [{**cls, "aimNs": 30 * 10**9, "giveUpNs": 60 * 10**9} for cls in FACTS["classes"]]
+"""The same classes with deadlines that no busy machine exceeds, for tests not about deadlines."""
+PATIENT_DEADLINE_MS = 60_000
+
 
 def eventually(check: Callable[[], Any], what: str) -> Any:
     """Wait until `check` gives something true."""
