--- a/tests/fault_injection/site.py
+++ b/tests/fault_injection/site.py
@@ -37,14 +37,17 @@
 )
 
 LEASE_MS = 400
+PATIENT_LEASE_MS = 4000  # lapses at no pause of a busy machine, for tests that are not about lapses
 QUOTA = 200.0
 
 
 class Site:
     """The fleet, its stand-ins, and clients that read what no cache has."""
 
-    def __init__(self, folder: Path, routers: int, voters: int, variant: str) -> None:
-        self.folder, self.variant = folder, variant
+    def __init__(
+        self, folder: Path, routers: int, voters: int, variant: str, lease_ms: int = LEASE_MS
+    ) -> None:
+        self.folder, self.variant, self.lease_ms = folder, variant, lease_ms
         self.names = [f"r{number}" for number in range(routers)]
         self.voters = self.names[:voters]
         self.cache = Peer(lambda _, words: MISS if words[0] == b"KV.GET" else hit(b"v"))
@@ -86,7 +89,7 @@
             "listen": f"127.0.0.1:{link}",
             "members": {other: f"127.0.0.1:{self.relays.port(name, other)}" for other in self.names},
             "voters": self.voters,
-            "lease_ms": LEASE_MS,
+            "lease_ms": self.lease_ms,
             "alone_after_s": 3600,
             **({"directory": str(home / "disk")} if name in self.voters else {}),
             **fleet,
@@ -201,10 +204,15 @@
 
 @contextlib.contextmanager
 def fleet(
-    folder: Path, routers: int = 3, voters: int = 3, variant: str = "", pause_s: float = 0.01
+    folder: Path,
+    routers: int = 3,
+    voters: int = 3,
+    variant: str = "",
+    pause_s: float = 0.01,
+    lease_ms: int = LEASE_MS,
 ) -> Iterator[Site]:
     """A fleet that has formed, under load; at the end every check must hold, unless a variant is played."""
-    made = Site(folder, routers, voters, variant)
+    made = Site(folder, routers, voters, variant, lease_ms)
     made.pause_s = pause_s
     try:
         for name in made.names:
--- a/tests/fault_injection/test_processes.py
+++ b/tests/fault_injection/test_processes.py
@@ -17,7 +17,7 @@
 
 from pebblepass.emulators.ports import take_port
 from pebblepass.fault_injection.checkers import check_all
-from tests.fault_injection.site import LEASE_MS, Site, fleet
+from tests.fault_injection.site import LEASE_MS, PATIENT_LEASE_MS, Site, fleet
 
 
 def rate(number: int) -> str:
@@ -38,8 +38,11 @@
 
 
 def test_a_change_is_checked_by_all_decided_and_in_force_everywhere(tmp_path: Path) -> None:
-    with fleet(tmp_path, routers=4) as site:  # r3 does not vote, and proposes all the same
-        verdict = site.propose("r3", "c1", rate(1))
+    with fleet(tmp_path, routers=4, lease_ms=PATIENT_LEASE_MS) as site:
+        for voter in site.voters:  # any of them may carry the change, and asks whom it hears
+            for other in set(site.names) - {voter}:
+                site.sees(voter, other, "alive")
+        verdict = site.propose("r3", "c1", rate(1))  # r3 does not vote, and proposes all the same
         assert verdict["state"] == "in force"
         assert verdict["lines"][0] == "checked by r0, r1, r2, r3"
         assert verdict["lines"][1] == "decided: version 2, by 2 of 3 voters"
