--- a/pebblepass/consensus/commands.py
+++ b/pebblepass/consensus/commands.py
@@ -50,14 +50,14 @@
         connection.close()
 
 
-def _request_or_exit(router: str, method: str, call: str, body: bytes = b"") -> Any:
+def _request_or_exit(router: str, method: str, call: str, body: bytes = b"") -> Answer:
     try:
         answer = request(router, method, call, body)
     except (NoAnswerError, ValueError) as error:
         _exit(str(error))
     if answer.content is None:
         _exit(f"{router} belongs to no fleet: it has no [fleet] section")
-    return answer.content
+    return answer
 
 
 def _exit(line: str) -> NoReturn:
@@ -65,7 +65,7 @@
     sys.exit(EXIT_USAGE)
 
 
-def _echo_json(content: Any) -> None:
+def _echo_json(content: object) -> None:
     click.echo(msgspec.json.encode(content).decode())
 
 
@@ -104,7 +104,7 @@
     except (PolicyError, tomllib.TOMLDecodeError) as error:
         _exit(str(error))
     call = f"propose/{change or os.urandom(6).hex()}"
-    _exit_with_verdict(_request_or_exit(router, "POST", call, data), as_json)
+    _exit_with_verdict(_request_or_exit(router, "POST", call, data).content, as_json)
 
 
 @policy.command()
@@ -114,8 +114,8 @@
 @_json
 def withdraw(change: str, router: str, who: str, as_json: bool) -> None:
     """Withdraw CHANGE, if it is not decided yet. Exit codes as with `propose`."""
-    verdict = _request_or_exit(router, "POST", f"withdraw/{change}", who.encode())
-    _exit_with_verdict(verdict, as_json)
+    answer = _request_or_exit(router, "POST", f"withdraw/{change}", who.encode())
+    _exit_with_verdict(answer.content, as_json)
 
 
 @policy.command()
@@ -123,7 +123,7 @@
 @_json
 def status(router: str, as_json: bool) -> None:
     """What a router holds, and the others as it sees them."""
-    report = _request_or_exit(router, "GET", "status")
+    report = _request_or_exit(router, "GET", "status").content
     if as_json:
         _echo_json(report)
         return
@@ -155,7 +155,7 @@
 @_json
 def history(router: str, as_json: bool) -> None:
     """The last versions, the newest first: who, why, and what changed."""
-    rows = _request_or_exit(router, "GET", "history")
+    rows = _request_or_exit(router, "GET", "history").content
     if as_json:
         _echo_json(rows)
         return
--- a/pebblepass/consensus/replica.py
+++ b/pebblepass/consensus/replica.py
@@ -226,8 +226,14 @@
             is_renewal = isinstance(body, m.LeaseRequest | m.Heartbeat)
             if is_renewal and not (sender.start_confirmed or self.disk.is_stale(sender)):
                 self._outbox.send(sender.name, m.StartConfirmed(sender.boot_id), sender.boot_id)
-        if not self._take_lease_message(sender, body):
-            self._take_change_message(sender, body)
+        for dispatch in (
+            self._take_lease_message,
+            self._take_peer_message,
+            self._take_round_message,
+            self._take_change_message,
+        ):
+            if dispatch(sender, body):
+                break
         self._settle()
 
     def _update_peer(self, sender: m.Sender) -> None:
@@ -243,7 +249,7 @@
         learner.catch_up(sender, self.setup.terms.duration // REPEATS_PER_LEASE)
 
     def _take_lease_message(self, sender: m.Sender, body: m.Body) -> bool:
-        """Dispatch messages of leases, liveness and disks; return whether the body is one of them."""
+        """Dispatch messages of leases; return whether the body is one of them."""
         match body:
             case m.LeaseRequest():
                 self.lease_server.request(sender, body)
@@ -252,6 +258,13 @@
                     self.lease_client.granted(sender, body)
             case m.QuotaLeaseApplied():
                 self.lease_server.quota_lease_applied(sender, body)
+            case _:
+                return False
+        return True
+
+    def _take_peer_message(self, sender: m.Sender, body: m.Body) -> bool:
+        """Dispatch messages of liveness and disks; return whether the body is one of them."""
+        match body:
             case m.StartConfirmed():
                 if body.boot_id == self.setup.boot_id:
                     self.disk.confirm(sender.name)
@@ -261,36 +274,44 @@
                 self._liveness.queried(sender, body)
             case m.LivenessReport():
                 self._liveness.reported(body)
-            case m.Heartbeat():
-                pass
+            case m.Rejoin():
+                self._membership.rejoin_requested(sender)
             case _:
                 return False
         return True
 
-    def _take_change_message(self, sender: m.Sender, body: m.Body) -> None:
-        """Dispatch messages of changes."""
+    def _take_round_message(self, sender: m.Sender, body: m.Body) -> bool:
+        """Dispatch requests and votes of rounds; return whether the body is one of them."""
         match body:
-            case m.VersionDecided():
-                self._learn(body.value, sender.name, body.decided_changes)
-            case m.PolicyCheck():
-                self._outbox.send(sender.name, self.learner.check(body), sender.boot_id)
             case m.Prepare() | m.Accept():
                 self._voter.vote(sender, body)
-            case m.PolicyCheckResult():
-                self.proposer.checked(sender, body)
             case m.Promise():
                 self.proposer.promised(sender, body)
             case m.Accepted():
                 self._accepted(sender, body)
             case m.Rejected():
                 self.proposer.rejected(body)
-            case m.Rejoin():
-                self._membership.rejoin_requested(sender)
+            case _:
+                return False
+        return True
+
+    def _take_change_message(self, sender: m.Sender, body: m.Body) -> bool:
+        """Dispatch the other messages of changes; return whether the body is one of them."""
+        match body:
+            case m.VersionDecided():
+                self._learn(body.value, sender.name, body.decided_changes)
+            case m.PolicyCheck():
+                self._outbox.send(sender.name, self.learner.check(body), sender.boot_id)
+            case m.PolicyCheckResult():
+                self.proposer.checked(sender, body)
             case m.ForwardedProposal():
                 self._verdicts.received_from(body.proposal.change_id, sender.name)
                 self._proposals.propose(body.proposal)
             case m.ForwardedVerdict():
                 self._verdicts.answered(body.verdict)
+            case _:
+                return False
+        return True
 
     # Votes and decisions
 
--- a/pebblepass/consensus/setup.py
+++ b/pebblepass/consensus/setup.py
@@ -26,7 +26,7 @@
         """Draw an integer from 0 up to `stop`, exclusive."""
 
 
-def no_quota_pools(policy: Policy, members: int) -> Mapping[str, QuotaPool]:
+def no_quota_pools(_policy: Policy, _members: int) -> Mapping[str, QuotaPool]:
     """Split no quota."""
     return {}
 
