--- a/pebblepass/daemon/clients.py
+++ b/pebblepass/daemon/clients.py
@@ -543,17 +543,17 @@
 
     def _restore(self, handed: ConnectionState) -> None:
         """Restore the state that came with a handover."""
-        self._has_sent_command = handed.spoken
+        self._has_sent_command = handed.has_sent_command
         if handed.protocol:
             from pebblepass.daemon.greetings import ClientSession
 
             self.server.session_count += 1
-            self.session = ClientSession(handed.number, handed.protocol, handed.name)
-        if handed.held:
+            self.session = ClientSession(handed.connection_number, handed.protocol, handed.client_name)
+        if handed.partial_command:
             unread_age, self._unread_age = self._unread_age, UnreadAge(self.last_used_at)
-            self.data_received(handed.held)
+            self.data_received(handed.partial_command)
             self._unread_age = unread_age  # these bytes were not read from the socket
-            self._command_started_at = self.server.loop.time() - handed.begun_ms / 1000
+            self._command_started_at = self.server.loop.time() - handed.command_age_ms / 1000
 
     def abort(self) -> None:
         """Abort the connection, and drop its open requests."""
--- a/pebblepass/daemon/succession.py
+++ b/pebblepass/daemon/succession.py
@@ -14,17 +14,12 @@
 from pebblepass.decisions import ListKind, StateImported
 from pebblepass.discovery.client import DiscoveryClient
 from pebblepass.discovery.endpoint_list import ClockOffset, encode_endpoint_list, parse_endpoint_list
-from pebblepass.handover.knowledge import aged
-from pebblepass.handover.messages import (
-    MAX_CONNECTIONS_PER_MESSAGE,
-    Account,
-    ConnectionState,
-    HandoverError,
-    read_account,
-    write_account,
-)
-from pebblepass.handover.parts import Handover
-from pebblepass.handover.states import Shares
+from pebblepass.handover.descriptor_split import ConnectionLimits, DescriptorSplit
+from pebblepass.handover.errors import HandoverError
+from pebblepass.handover.handover import Handover
+from pebblepass.handover.messages import MAX_CONNECTIONS_PER_MESSAGE, ConnectionCounts, ConnectionState
+from pebblepass.handover.router_snapshot import RouterSnapshot, decode_snapshot, encode_snapshot
+from pebblepass.handover.state_aging import age_state
 
 KEPT_FOR_SERVERS = 2  # connections that the old process may still open, for what it has taken
 
@@ -52,23 +47,23 @@
         self._routed, self._listener = routed, listener
         self.told = False
         """Whether another process has told what it knows."""
-        shares = Shares(routed.clients.limit, routed.pool.limit, own)
-        self._handover = Handover(routed.loop, folder, self, shares)
+        split = DescriptorSplit(routed.clients.limit, routed.pool.limit, own)
+        self._handover = Handover(routed.loop, folder, self, split)
         self._leaving: list[ClientConnection] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def begin(self) -> None:
         """Find out whether there is another process, and learn from it."""
-        await self._handover.begin()
+        await self._handover.start()
 
     def ready(self) -> None:
         """The servers are known."""
-        self._handover.ready()
+        self._handover.servers_known()
 
     def leave(self) -> bool:
         """SIGTERM has come; returns whether another process takes the connections."""
         self._handover.terminate()
-        return self._handover.can_give
+        return self._handover.can_send_connections
 
     def close(self) -> None:
         """End."""
@@ -77,27 +72,27 @@
 
     # What the handover asks
 
-    def account(self) -> bytes:
+    def export_snapshot(self) -> bytes:
         """The list, and what the module has learned."""
         routed, host = self._routed, self._routed.host
         servers = host.ready_servers()
         listing = encode_endpoint_list(
             routed.discovery.generation, servers, routed.pool.addresses(), routed.clock
         )
-        account = Account(listing, host.export_state(), host.now())
-        return write_account(account, routed.clock.unix_ms)
+        snapshot = RouterSnapshot(listing, host.export_state(), host.now())
+        return encode_snapshot(snapshot, routed.clock.unix_ms)
 
-    def learn(self, account: bytes) -> None:
+    def import_snapshot(self, data: bytes) -> None:
         """Take the list over until discovery speaks, and what is fresh of the rest."""
         routed, now = self._routed, self._routed.host.now()
-        told = read_account(account, now, routed.clock.monotonic)
+        snapshot = decode_snapshot(data, now, routed.clock.monotonic)
         try:
-            listing = parse_endpoint_list(told.listing, routed.clock, ListKind.CACHED)
+            listing = parse_endpoint_list(snapshot.endpoint_list, routed.clock, ListKind.CACHED)
         except ValueError as error:
             raise HandoverError(str(error)) from None
         routed.discovery.generation = listing.generation
         routed.host.servers_changed(listing)
-        routed.host.handle_event(StateImported(aged(told.knowledge, told.told_at, now)))
+        routed.host.handle_event(StateImported(age_state(snapshot.state, snapshot.exported_at, now)))
         self.told = True
 
     def begin_serving(self) -> None:
@@ -109,35 +104,35 @@
         """Accept nobody any longer."""
         self._routed.clients.stop_accepting()
 
-    def hand_on(self) -> None:
+    def hand_over_connections(self) -> None:
         """Give away what has nothing open, and keep few connections to servers."""
         self._routed.clients.hand_over(self._give)
 
-    def close_idle(self) -> None:
+    def close_idle_connections(self) -> None:
         """Nobody takes them over."""
         self._routed.clients.finish(even_midway=False)
 
-    def held(self) -> tuple[int, int]:
+    def connection_counts(self) -> ConnectionCounts:
         """Connections of clients, and as many to servers as there may be still."""
         pool = self._routed.pool
         if self._routed.clients.on_handover is not None:
             self._routed.clients.hand_over(self._give)  # some had bytes to write when they were asked
         pool.limit = max(pool.busy, KEPT_FOR_SERVERS)
-        return self._routed.clients.connected, pool.limit
+        return ConnectionCounts(self._routed.clients.connected, pool.limit)
 
-    def room(self, clients: int, servers: int, alone: bool) -> None:
+    def limit_connections(self, limits: ConnectionLimits, alone: bool) -> None:
         """Hold so many; two processes have half of the memory for long commands each."""
         routed = self._routed
         if alone:
             routed.clients.on_handover = None
-        routed.clients.limit, routed.pool.limit = clients, servers
+        routed.clients.limit, routed.pool.limit = limits.clients, limits.servers
         routed.clients.budget.resize(routed.budget if alone else routed.budget // 2)
 
-    def take(self, sock: socket.socket, handed: ConnectionState) -> None:
+    def adopt_connection(self, sock: socket.socket, state: ConnectionState) -> None:
         """Go on with a client's connection."""
         sock.setblocking(False)
         self._routed.clients.limit += 1  # it brings its place along: the old process has one less
-        self._run(self._routed.clients.adopt(sock, handed))
+        self._run(self._routed.clients.adopt(sock, state))
 
     def _run(self, work: Coroutine[None, None, None]) -> None:
         task = self._routed.loop.create_task(work)
@@ -168,4 +163,4 @@
                     connection.cancel_handover()
 
         if connections:
-            self._handover.give(fds, [held.handover_state() for held in connections], done)
+            self._handover.send_connections(fds, [held.handover_state() for held in connections], done)
--- a/pebblepass/handover/__init__.py
+++ b/pebblepass/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Two processes as one router in an upgrade: the old one hands on its connections and what it knows."""
+"""Two processes act as one router in an upgrade: state and client connections move to the successor."""
--- a/pebblepass/handover/messages.py
+++ b/pebblepass/handover/messages.py
@@ -1,268 +1,177 @@
-"""The messages between the two processes, and their bytes. No I/O.
+"""The messages between predecessor and successor, and their bytes. No I/O.
 
-A message is one datagram of a sequenced-packet socket: a letter, and behind it JSON. What is known may take
-several. A message of a foreign version, or one that can't be read, raises HandoverError in one plain line.
+A message is one datagram of a sequenced-packet socket: a letter, and behind it JSON. A router's state may
+take several.
 """
 
 from __future__ import annotations
 
-import math
-from collections.abc import Callable
-from typing import Any
+from typing import Annotated
 
 import msgspec
-from msgspec import Struct
+from msgspec import Meta, Struct
 
-from pebblepass.decisions.interface import LimitState, OriginHealth, RouterState, ServerHealth
+from pebblepass.handover.errors import HandoverError
 
-VERSION = 1  # of the messages and of what is told; another one is refused
-MOST_BYTES = 48 << 10  # of one message: far under what a socket's buffer takes
-MOST_TOLD = 4 << 20
-MOST_CROWDED = 8
-MAX_PARTIAL_COMMAND = 4 << 10  # bytes of a command under way that change hands with its connection
-MAX_CONNECTIONS_PER_MESSAGE = 16  # connections in one message
+VERSION = 1  # of the messages and of the snapshot; any other is rejected
+MAX_CHUNK_BYTES = 48 << 10  # of a snapshot in one message: far under what a socket's buffer takes
+MAX_PARTIAL_COMMAND = 4 << 10  # bytes of a command under way that move with its connection
+MAX_CONNECTIONS_PER_MESSAGE = 16
 
-
-class HandoverError(Exception):
-    """What came can't be used; the text is one plain line."""
+Count = Annotated[int, Meta(ge=0)]
 
 
 class Hello(Struct, frozen=True):
-    """A new process has come."""
+    """A successor has connected."""
 
 
-class Refused(Struct, frozen=True):
-    """Another new process is there."""
+class Rejected(Struct, frozen=True):
+    """The predecessor has another successor."""
 
 
-class Told(Struct, frozen=True):
-    """A part of what is known; `last`: no more follows."""
+class StateChunk(Struct, frozen=True):
+    """A part of a snapshot; `last`: no more follows."""
 
-    part: bytes
+    data: bytes
     last: bool
 
 
 class Ready(Struct, frozen=True):
-    """The new process serves."""
+    """The successor serves clients."""
 
 
-class Held(Struct, frozen=True):
-    """How many connections the old process still holds."""
+class ConnectionCounts(Struct, frozen=True):
+    """How many connections the predecessor still has."""
 
     clients: int
     servers: int
 
 
 class ConnectionState(Struct, frozen=True):
-    """What goes with one client's connection."""
-
-    held: bytes
-    """The bytes of a command under way."""
-    begun_ms: int
-    """How long ago that command, or the connection, began."""
-    spoken: bool
-    """Whether it has brought a whole command before."""
+    """The state that moves with one client's connection."""
+
+    partial_command: bytes
+    """The bytes received of a command under way."""
+    command_age_ms: int
+    """How long ago that command, or the connection, began; milliseconds."""
+    has_sent_command: bool
+    """Whether the client has sent a complete command before."""
     protocol: int
-    """Its protocol, where it has greeted; else 0."""
-    name: bytes
-    number: int
+    """The protocol version of the client's HELLO; 0: it has sent none."""
+    client_name: bytes
+    connection_number: int
 
 
 class Connections(Struct, frozen=True):
     """Clients' connections; their descriptors travel beside, in the same order."""
 
-    handed: tuple[ConnectionState, ...]
+    states: tuple[ConnectionState, ...]
+
+
+Message = Hello | Rejected | StateChunk | Ready | ConnectionCounts | Connections
+
+
+class _HelloBody(Struct, frozen=True):
+    version: object
+
+
+class _CountsBody(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    clients: Count
+    servers: Count
 
 
-Message = Hello | Refused | Told | Ready | Held | Connections
+class _ConnectionRow(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """One connection in a message; bytes are in hexadecimal."""
 
+    partial_command: str
+    command_age_ms: Count
+    has_sent_command: bool | int
+    protocol: Count
+    client_name: str
+    connection_number: Count
 
-class Account(Struct, frozen=True):
-    """All that a router tells its successor."""
 
-    listing: dict[str, Any]
-    """The list of servers, in discovery's form."""
-    knowledge: RouterState
-    told_at: int
+_HELLO = msgspec.json.Decoder(_HelloBody)
+_COUNTS = msgspec.json.Decoder(_CountsBody)
+_CONNECTIONS = msgspec.json.Decoder(tuple[_ConnectionRow, ...])
 
 
 def encode(message: Message) -> bytes:
-    """The bytes of one message."""
+    """Return the bytes of one message."""
     match message:
         case Hello():
-            return b"H" + msgspec.json.encode({"version": VERSION})
-        case Refused():
+            return b"H" + msgspec.json.encode(_HelloBody(VERSION))
+        case Rejected():
             return b"N"
-        case Told():
-            return (b"E" if message.last else b"P") + message.part
+        case StateChunk():
+            return (b"E" if message.last else b"P") + message.data
         case Ready():
             return b"R"
-        case Held():
-            return b"D" + msgspec.json.encode([message.clients, message.servers])
+        case ConnectionCounts():
+            return b"D" + msgspec.json.encode(_CountsBody(message.clients, message.servers))
         case Connections():
-            rows = [
-                [each.held.hex(), each.begun_ms, each.spoken, each.protocol, each.name.hex(), each.number]
-                for each in message.handed
-            ]
-            return b"C" + msgspec.json.encode(rows)
+            return b"C" + msgspec.json.encode([_connection_row(state) for state in message.states])
 
 
 def decode(data: bytes) -> Message:
-    """Read one message; raises HandoverError."""
-    kind, body = data[:1], data[1:]
+    """Parse one message; raises HandoverError."""
     try:
-        match kind:
-            case b"H":
-                version = msgspec.json.decode(body)["version"]
-                if version != VERSION:
-                    raise HandoverError(f"a process that speaks version {version} of the handover")
-                return Hello()
-            case b"N":
-                return Refused()
-            case b"P" | b"E":
-                return Told(body, kind == b"E")
-            case b"R":
-                return Ready()
-            case b"D":
-                clients, servers = msgspec.json.decode(body)
-                return Held(_count(clients), _count(servers))
-            case b"C":
-                return Connections(tuple(_handed(*row) for row in msgspec.json.decode(body)))
-    except (KeyError, TypeError, ValueError, RecursionError) as error:
+        return _decode(data[:1], data[1:])
+    except (ValueError, RecursionError) as error:
         raise HandoverError(f"a message that can't be read: {error}") from None
+
+
+def split_snapshot(snapshot: bytes) -> list[StateChunk]:
+    """Split an encoded snapshot into messages."""
+    starts = range(0, len(snapshot), MAX_CHUNK_BYTES)
+    return [
+        StateChunk(snapshot[start : start + MAX_CHUNK_BYTES], start + MAX_CHUNK_BYTES >= len(snapshot))
+        for start in starts
+    ]
+
+
+def _decode(kind: bytes, body: bytes) -> Message:
+    match kind:
+        case b"H":
+            return _decode_hello(body)
+        case b"N":
+            return Rejected()
+        case b"P" | b"E":
+            return StateChunk(body, last=kind == b"E")
+        case b"R":
+            return Ready()
+        case b"D":
+            counts = _COUNTS.decode(body)
+            return ConnectionCounts(counts.clients, counts.servers)
+        case b"C":
+            return Connections(tuple(_connection_state(row) for row in _CONNECTIONS.decode(body)))
     raise HandoverError(f"a message of an unknown kind: {kind!r}")
 
 
-def _count(value: Any) -> int:
-    if isinstance(value, bool) or not isinstance(value, int) or value < 0:
-        raise ValueError(f"expected a count, got {value!r}")
-    return value
+def _decode_hello(body: bytes) -> Hello:
+    version = _HELLO.decode(body).version
+    if version != VERSION:
+        raise HandoverError(f"a process that speaks version {version} of the handover")
+    return Hello()
 
 
-def _handed(held: str, begun_ms: Any, spoken: Any, protocol: Any, name: str, number: Any) -> ConnectionState:
-    count = _count(begun_ms), _count(protocol), _count(number)
-    return ConnectionState(
-        bytes.fromhex(held), count[0], bool(spoken), count[1], bytes.fromhex(name), count[2]
+def _connection_row(state: ConnectionState) -> _ConnectionRow:
+    return _ConnectionRow(
+        partial_command=state.partial_command.hex(),
+        command_age_ms=state.command_age_ms,
+        has_sent_command=state.has_sent_command,
+        protocol=state.protocol,
+        client_name=state.client_name.hex(),
+        connection_number=state.connection_number,
     )
 
 
-def parts(account: bytes) -> list[Told]:
-    """Cut an account into messages."""
-    cuts = range(0, len(account), MOST_BYTES)
-    return [Told(account[at : at + MOST_BYTES], at + MOST_BYTES >= len(account)) for at in cuts]
-
-
-def write_account(account: Account, unix_ms: Callable[[int], int]) -> bytes:
-    """Write an account down; `unix_ms` turns a server's start into Unix milliseconds, as it was listed."""
-    known, now = account.knowledge, account.told_at
-    told = {
-        "version": VERSION,
-        "listing": account.listing,
-        "nodes": [
-            [
-                node.server,
-                unix_ms(node.started),
-                now - node.last_outcome_at,
-                node.send_probability,
-                now - node.recovers_from,
-                node.recovery_time,
-                node.unreachable,
-                node.consecutive_unanswered,
-                node.connect_rejections,
-                node.next_connect_at - now,
-                node.mean_latency,
-                node.latency_deviation,
-                node.sample_weight,
-            ]
-            for node in known.servers
-        ],
-        "limits": [
-            [limit.tenant, limit.limit, [[now - at, went, declined] for at, went, declined in limit.calls]]
-            for limit in known.limits
-        ],
-        "store": [
-            _finite(known.origin.fetch_window),
-            _finite(known.origin.write_limit),
-            known.origin.bad_fraction,
-            known.origin.fetch_latency_mean,
-            known.origin.fetch_latency_deviation,
-            known.origin.cache_latency_mean,
-            known.origin.cache_latency_deviation,
-        ],
-        "heat": known.slot_counts,
-        "usage": known.tenant_counts,
-    }
-    return msgspec.json.encode(told)
-
-
-def _finite(value: float) -> float | None:
-    return None if math.isinf(value) else value
-
-
-def read_account(data: bytes, now: int, monotonic: Callable[[int], int]) -> Account:
-    """Read an account; `monotonic` turns a start in Unix milliseconds back. Raises HandoverError.
-
-    Times in the account are those of the reader's clock: what was told counts as put together now.
-    """
-    try:
-        told = msgspec.json.decode(data)
-        if told["version"] != VERSION:
-            raise HandoverError(f"an account of version {told['version']}")
-        nodes = []
-        for row in told["nodes"]:
-            (
-                server,
-                start,
-                heard,
-                chance,
-                judged,
-                regain,
-                down,
-                unheard,
-                crowded,
-                room,
-                usual,
-                spread,
-                sampled,
-            ) = row
-            if (
-                not -1 <= chance <= 1
-                or _count(regain) < 1
-                or usual < 0
-                or spread < 0
-                or not 0 <= sampled <= 1
-            ):
-                raise ValueError(f"{server}: out of range")
-            node = ServerHealth(
-                str(server),
-                monotonic(_count(start)),
-                now - _count(heard),
-                1.0,
-                float(chance),
-                now - int(judged),
-                regain,
-                bool(down),
-                _count(unheard),
-                min(_count(crowded), MOST_CROWDED),
-                now + int(room),
-                float(usual),
-                float(spread),
-                float(sampled),
-            )
-            nodes.append(node)
-        limits = []
-        for tenant, limit, calls in told["limits"]:
-            if not limit >= 0:
-                raise ValueError(f"limit of {tenant!r}: out of range")
-            rows = tuple((now - int(age), _count(went), _count(declined)) for age, went, declined in calls)
-            limits.append(LimitState(str(tenant), float(limit), rows))
-        window, width, *rest = told["store"]
-        ends = [math.inf if value is None else float(value) for value in (window, width)]
-        store = OriginHealth(*ends, *[float(value) for value in rest])
-        heat = tuple((_count(slot), float(count)) for slot, count in told["heat"])
-        usage = tuple((str(name), float(count)) for name, count in told["usage"])
-        if not isinstance(told["listing"], dict):
-            raise TypeError("listing: expected an object")
-        return Account(told["listing"], RouterState(tuple(nodes), tuple(limits), store, heat, usage), now)
-    except (KeyError, TypeError, ValueError, RecursionError) as error:
-        raise HandoverError(f"an account that can't be read: {error}") from None
+def _connection_state(row: _ConnectionRow) -> ConnectionState:
+    return ConnectionState(
+        partial_command=bytes.fromhex(row.partial_command),
+        command_age_ms=row.command_age_ms,
+        has_sent_command=bool(row.has_sent_command),
+        protocol=row.protocol,
+        client_name=bytes.fromhex(row.client_name),
+        connection_number=row.connection_number,
+    )
--- a/pebblepass/handover/states.py
+++ b/pebblepass/handover/states.py
@@ -1,6 +1,7 @@
-"""The two parts in an upgrade as state machines: events in, steps out. No I/O, no clock.
+"""The two roles in an upgrade as state machines: events in, actions out. No I/O, no clock.
 
-The tables are those of docs/design/operations.md; an event that a state does not name changes nothing.
+The predecessor runs already, the successor starts beside it. An event that a state has no row for changes
+nothing. docs/design/operations.md explains the tables.
 """
 
 from __future__ import annotations
@@ -8,126 +9,156 @@
 from enum import Enum
 
 
-class Step(Enum):
+class HandoverAction(Enum):
     """What the process has to do next."""
 
-    TELL = "tell what is known"
-    REFUSE = "refuse a further process"
-    MAKE_ROOM = "give up some descriptors"
-    STOP_ACCEPTING = "accept nobody any longer"
-    HAND_ON = "hand on every connection that has nothing open"
-    ACCEPT_AGAIN = "accept as before"
-    WHOLE_SHARE = "use all of a router's descriptors and memory"
-    CLOSE_IDLE = "close what has nothing open"
-    SEEK_AGAIN = "look for the old process again, later"
-    LEARN = "take over what was told"
-    SERVE = "accept clients, and say so"
-    OPEN_DOOR = "wait for a process to come"
-    CLOSE_DOOR = "let no process come any longer"
+    SEND_SNAPSHOT = "send the router's state to the successor"
+    REJECT = "reject a second successor"
+    HALVE_LIMITS = "use half of a router's descriptors and memory"
+    STOP_ACCEPTING = "accept no further clients"
+    HAND_OVER_CONNECTIONS = "hand over every connection without an open request"
+    RESUME_ACCEPTING = "accept clients again"
+    USE_FULL_LIMITS = "use all of a router's descriptors and memory"
+    CLOSE_IDLE = "close connections without an open request"
+    RETRY_CONNECT = "connect to the predecessor again, later"
+    IMPORT_SNAPSHOT = "import the predecessor's state"
+    BEGIN_SERVING = "accept clients, and announce that to the predecessor"
+    OPEN_LISTENER = "wait for a successor"
+    CLOSE_LISTENER = "wait for no successor any longer"
 
 
-class Old(Enum):
-    """The states of the process that is there."""
+class PredecessorState(Enum):
+    """The states of the process that runs already."""
 
     ALONE = "alone"
     PAIRED = "paired"
-    YIELDING = "yielding"
-    LEAVING = "leaving"
+    HANDING_OVER = "handing over"
+    SHUTTING_DOWN = "shutting down"
 
 
-class OldEvent(Enum):
-    """What happens to it."""
+class PredecessorEvent(Enum):
+    """What happens to the process that runs already."""
 
-    HELLO = "a new process has come"
-    READY = "the new process is ready"
-    LOST = "the new process is gone"
+    SUCCESSOR_CONNECTED = "a successor has connected"
+    SUCCESSOR_READY = "the successor serves clients"
+    SUCCESSOR_LOST = "the channel to the successor has closed"
     TERMINATE = "SIGTERM"
 
 
-class New(Enum):
-    """The states of the process that comes."""
+class SuccessorState(Enum):
+    """The states of the process that starts."""
 
-    SEEKING = "seeking"
-    BEGINNING = "beginning"
-    SUCCEEDING = "succeeding"
+    CONNECTING = "connecting"
+    STARTING = "starting"
+    TAKING_OVER = "taking over"
     ALONE = "alone"
 
 
-class NewEvent(Enum):
-    """What happens to it."""
-
-    NOBODY = "there is no other process"
-    REFUSED = "the old process has another one beside it"
-    TOLD = "the old process has told what it knows"
-    TOO_LATE = "it tells nothing in time"
-    READY = "the servers are known"
-    LOST = "the old process is gone"
-
-
-_OLD: dict[tuple[Old, OldEvent], tuple[Old, tuple[Step, ...]]] = {
-    (Old.ALONE, OldEvent.HELLO): (Old.PAIRED, (Step.MAKE_ROOM, Step.TELL)),
-    (Old.ALONE, OldEvent.TERMINATE): (Old.LEAVING, (Step.CLOSE_DOOR,)),
-    (Old.PAIRED, OldEvent.HELLO): (Old.PAIRED, (Step.REFUSE,)),
-    (Old.PAIRED, OldEvent.READY): (Old.YIELDING, (Step.STOP_ACCEPTING, Step.HAND_ON)),
-    (Old.PAIRED, OldEvent.LOST): (Old.ALONE, (Step.WHOLE_SHARE,)),
-    (Old.PAIRED, OldEvent.TERMINATE): (Old.LEAVING, (Step.CLOSE_DOOR, Step.STOP_ACCEPTING, Step.HAND_ON)),
-    (Old.YIELDING, OldEvent.HELLO): (Old.YIELDING, (Step.REFUSE,)),
-    (Old.YIELDING, OldEvent.LOST): (Old.ALONE, (Step.WHOLE_SHARE, Step.ACCEPT_AGAIN)),
-    (Old.YIELDING, OldEvent.TERMINATE): (Old.LEAVING, (Step.CLOSE_DOOR,)),
-    (Old.LEAVING, OldEvent.HELLO): (Old.LEAVING, (Step.REFUSE,)),
-    (Old.LEAVING, OldEvent.LOST): (Old.LEAVING, (Step.CLOSE_IDLE,)),
+class SuccessorEvent(Enum):
+    """What happens to the process that starts."""
+
+    NO_PREDECESSOR = "no other process listens"
+    REJECTED = "the predecessor has another successor"
+    SNAPSHOT_RECEIVED = "the predecessor's state is complete"
+    TIMED_OUT = "no complete state came in time"
+    SERVERS_KNOWN = "the servers are known"
+    PREDECESSOR_LOST = "the channel to the predecessor has closed"
+
+
+_GO_ON_ALONE = (HandoverAction.USE_FULL_LIMITS, HandoverAction.OPEN_LISTENER)
+_HAND_OVER = (HandoverAction.STOP_ACCEPTING, HandoverAction.HAND_OVER_CONNECTIONS)
+
+_PREDECESSOR: dict[
+    tuple[PredecessorState, PredecessorEvent], tuple[PredecessorState, tuple[HandoverAction, ...]]
+] = {
+    (PredecessorState.ALONE, PredecessorEvent.SUCCESSOR_CONNECTED): (
+        PredecessorState.PAIRED,
+        (HandoverAction.HALVE_LIMITS, HandoverAction.SEND_SNAPSHOT),
+    ),
+    (PredecessorState.ALONE, PredecessorEvent.TERMINATE): (
+        PredecessorState.SHUTTING_DOWN,
+        (HandoverAction.CLOSE_LISTENER,),
+    ),
+    (PredecessorState.PAIRED, PredecessorEvent.SUCCESSOR_CONNECTED): (
+        PredecessorState.PAIRED,
+        (HandoverAction.REJECT,),
+    ),
+    (PredecessorState.PAIRED, PredecessorEvent.SUCCESSOR_READY): (PredecessorState.HANDING_OVER, _HAND_OVER),
+    (PredecessorState.PAIRED, PredecessorEvent.SUCCESSOR_LOST): (
+        PredecessorState.ALONE,
+        (HandoverAction.USE_FULL_LIMITS,),
+    ),
+    (PredecessorState.PAIRED, PredecessorEvent.TERMINATE): (
+        PredecessorState.SHUTTING_DOWN,
+        (HandoverAction.CLOSE_LISTENER, *_HAND_OVER),
+    ),
+    (PredecessorState.HANDING_OVER, PredecessorEvent.SUCCESSOR_CONNECTED): (
+        PredecessorState.HANDING_OVER,
+        (HandoverAction.REJECT,),
+    ),
+    (PredecessorState.HANDING_OVER, PredecessorEvent.SUCCESSOR_LOST): (
+        PredecessorState.ALONE,
+        (HandoverAction.USE_FULL_LIMITS, HandoverAction.RESUME_ACCEPTING),
+    ),
+    (PredecessorState.HANDING_OVER, PredecessorEvent.TERMINATE): (
+        PredecessorState.SHUTTING_DOWN,
+        (HandoverAction.CLOSE_LISTENER,),
+    ),
+    (PredecessorState.SHUTTING_DOWN, PredecessorEvent.SUCCESSOR_CONNECTED): (
+        PredecessorState.SHUTTING_DOWN,
+        (HandoverAction.REJECT,),
+    ),
+    (PredecessorState.SHUTTING_DOWN, PredecessorEvent.SUCCESSOR_LOST): (
+        PredecessorState.SHUTTING_DOWN,
+        (HandoverAction.CLOSE_IDLE,),
+    ),
 }
 
-_NEW: dict[tuple[New, NewEvent], tuple[New, tuple[Step, ...]]] = {
-    (New.SEEKING, NewEvent.NOBODY): (New.ALONE, (Step.WHOLE_SHARE, Step.OPEN_DOOR)),
-    (New.SEEKING, NewEvent.REFUSED): (New.SEEKING, (Step.SEEK_AGAIN,)),
-    (New.SEEKING, NewEvent.TOLD): (New.BEGINNING, (Step.LEARN,)),
-    (New.SEEKING, NewEvent.TOO_LATE): (New.BEGINNING, ()),
-    (New.SEEKING, NewEvent.LOST): (New.ALONE, (Step.WHOLE_SHARE, Step.OPEN_DOOR)),
-    (New.BEGINNING, NewEvent.READY): (New.SUCCEEDING, (Step.SERVE,)),
-    (New.BEGINNING, NewEvent.LOST): (New.ALONE, (Step.WHOLE_SHARE, Step.OPEN_DOOR)),
-    (New.SUCCEEDING, NewEvent.LOST): (New.ALONE, (Step.WHOLE_SHARE, Step.OPEN_DOOR)),
-    # Alone it serves as soon as it can, whether it has come to a running one or not.
-    (New.ALONE, NewEvent.READY): (New.ALONE, (Step.SERVE,)),
+_SUCCESSOR: dict[tuple[SuccessorState, SuccessorEvent], tuple[SuccessorState, tuple[HandoverAction, ...]]] = {
+    (SuccessorState.CONNECTING, SuccessorEvent.NO_PREDECESSOR): (SuccessorState.ALONE, _GO_ON_ALONE),
+    (SuccessorState.CONNECTING, SuccessorEvent.REJECTED): (
+        SuccessorState.CONNECTING,
+        (HandoverAction.RETRY_CONNECT,),
+    ),
+    (SuccessorState.CONNECTING, SuccessorEvent.SNAPSHOT_RECEIVED): (
+        SuccessorState.STARTING,
+        (HandoverAction.IMPORT_SNAPSHOT,),
+    ),
+    (SuccessorState.CONNECTING, SuccessorEvent.TIMED_OUT): (SuccessorState.STARTING, ()),
+    (SuccessorState.CONNECTING, SuccessorEvent.PREDECESSOR_LOST): (SuccessorState.ALONE, _GO_ON_ALONE),
+    (SuccessorState.STARTING, SuccessorEvent.SERVERS_KNOWN): (
+        SuccessorState.TAKING_OVER,
+        (HandoverAction.BEGIN_SERVING,),
+    ),
+    (SuccessorState.STARTING, SuccessorEvent.PREDECESSOR_LOST): (SuccessorState.ALONE, _GO_ON_ALONE),
+    (SuccessorState.TAKING_OVER, SuccessorEvent.PREDECESSOR_LOST): (SuccessorState.ALONE, _GO_ON_ALONE),
+    # Alone it serves as soon as it can, whether there was a predecessor or not.
+    (SuccessorState.ALONE, SuccessorEvent.SERVERS_KNOWN): (
+        SuccessorState.ALONE,
+        (HandoverAction.BEGIN_SERVING,),
+    ),
 }
 
 
-class OldProcess:
-    """The process that is there."""
+class PredecessorMachine:
+    """The state of the process that runs already."""
 
     def __init__(self) -> None:
-        self.state = Old.ALONE
+        self.state = PredecessorState.ALONE
 
-    def take(self, event: OldEvent) -> tuple[Step, ...]:
-        """Take an event; returns the steps, in order."""
-        self.state, steps = _OLD.get((self.state, event), (self.state, ()))
-        return steps
+    def handle(self, event: PredecessorEvent) -> tuple[HandoverAction, ...]:
+        """Change the state by an event; return the actions, in order."""
+        self.state, actions = _PREDECESSOR.get((self.state, event), (self.state, ()))
+        return actions
 
 
-class NewProcess:
-    """The process that comes."""
+class SuccessorMachine:
+    """The state of the process that starts."""
 
     def __init__(self) -> None:
-        self.state = New.SEEKING
+        self.state = SuccessorState.CONNECTING
 
-    def take(self, event: NewEvent) -> tuple[Step, ...]:
-        """Take an event; returns the steps, in order."""
-        self.state, steps = _NEW.get((self.state, event), (self.state, ()))
-        return steps
-
-
-class Shares:
-    """Descriptors for clients' and servers' connections: two processes together have one router's."""
-
-    def __init__(self, clients: int, servers: int, own: int) -> None:
-        """`clients` and `servers`: a whole router's; `own`: what a process needs beside them.
-
-        That is its own, and what it keeps for clients that are only refused.
-        """
-        self.whole = clients, servers
-        self.pair = max(clients - own // 2, 1), max(servers - own // 2, 1)
-        """What two may hold together: the second one's own are gone from it."""
-
-    def left(self, clients: int, servers: int) -> tuple[int, int]:
-        """What the new process may hold while the old one, which takes nothing new, holds so many."""
-        return max(self.pair[0] - clients, 0), max(self.pair[1] - servers, 0)
+    def handle(self, event: SuccessorEvent) -> tuple[HandoverAction, ...]:
+        """Change the state by an event; return the actions, in order."""
+        self.state, actions = _SUCCESSOR.get((self.state, event), (self.state, ()))
+        return actions
--- a/tests/compatibility/forms.py
+++ b/tests/compatibility/forms.py
@@ -35,8 +35,10 @@
 from pebblepass.decisions.settings import read_settings
 from pebblepass.discovery.endpoint_list import ClockOffset, encode_endpoint_list, parse_endpoint_list
 from pebblepass.emulators.ports import take_port
+from pebblepass.handover import errors as handover_errors
 from pebblepass.handover import messages as handover
-from pebblepass.handover.channel import DOOR
+from pebblepass.handover import router_snapshot
+from pebblepass.handover.listener import SOCKET_NAME
 from pebblepass.operator_config import FiguresSection, describe, load_operator
 from pebblepass.peers import links
 from pebblepass.scale.figures import Look, by_role, of_changes
@@ -169,17 +171,17 @@
 CLOCK = ClockOffset(NOW, _UNIX)
 HANDOVER_MESSAGE = Form(handover.decode, handover.encode)
 HANDOVER_ACCOUNT = Form(
-    lambda data: handover.read_account(data, NOW, CLOCK.monotonic),
-    lambda account: handover.write_account(account, CLOCK.unix_ms),
+    lambda data: router_snapshot.decode_snapshot(data, NOW, CLOCK.monotonic),
+    lambda account: router_snapshot.encode_snapshot(account, CLOCK.unix_ms),
 )
-HandoverError = handover.HandoverError
-HANDOVER_SOCKET = DOOR
+HandoverError = handover_errors.HandoverError
+HANDOVER_SOCKET = SOCKET_NAME
 """The name of the socket at which the two processes meet."""
 
 
 def account_parts(account: bytes) -> list[bytes]:
     """The messages in which an account travels."""
-    return [handover.encode(part) for part in handover.parts(account)]
+    return [handover.encode(chunk) for chunk in handover.split_snapshot(account)]
 
 
 # Accounting
--- a/tests/connection_limits/test_descriptors.py
+++ b/tests/connection_limits/test_descriptors.py
@@ -20,7 +20,7 @@
     split,
 )
 from pebblepass.control.operations import CALLERS
-from pebblepass.handover.states import Shares
+from pebblepass.handover.descriptor_split import DescriptorSplit
 from pebblepass.peers.links import STRANGERS
 
 LIMITS = [80, 128, 160, 256, 512, 1024, 4096]
@@ -97,10 +97,10 @@
 def test_two_processes_of_an_upgrade_stay_within_the_limit_of_one(limit: int) -> None:
     control = callers(limit, CALLERS)
     dealt = now(limit, control, True)
-    shares = Shares(dealt.served, dealt.servers, dealt.own + dealt.refusers)
-    old_clients, old_servers = shares.pair
+    split = DescriptorSplit(dealt.served, dealt.servers, dealt.own + dealt.refusers)
+    old_clients, old_servers = split.shared
     for at_old in range(0, old_clients + dealt.refusers + 1):
-        clients, servers = shares.left(at_old, old_servers)
+        clients, servers = split.remaining(at_old, old_servers)
         both = at_old + old_servers + clients + servers + dealt.refusers + 2 * needed(control, True)
         assert both <= limit
 
--- a/tests/handover/test_bounds.py
+++ b/tests/handover/test_bounds.py
@@ -9,14 +9,12 @@
 from pebblepass.decisions import OriginHealth, RouterState, Server, ServerHealth, ServerState
 from pebblepass.discovery.endpoint_list import ClockOffset, encode_endpoint_list, parse_endpoint_list
 from pebblepass.handover.channel import Channel
-from pebblepass.handover.messages import (
-    MOST_TOLD,
-    Account,
-    Message,
-    Told,
-    parts,
-    read_account,
-    write_account,
+from pebblepass.handover.messages import Message, StateChunk, split_snapshot
+from pebblepass.handover.router_snapshot import (
+    MAX_SNAPSHOT_BYTES,
+    RouterSnapshot,
+    decode_snapshot,
+    encode_snapshot,
 )
 
 SERVERS = 1100
@@ -43,7 +41,7 @@
     usage = tuple((f"tenant-{number}", 1.0 / 3) for number in range(256))
     known = RouterState(nodes, (), OriginHealth(math.inf, 4.0, 0.1, 5e6, 1e6, 2e6, 1e6), heat, usage)
     listing = encode_endpoint_list(41, servers, addresses, ClockOffset(0, 0))
-    return write_account(Account(listing, known, NOW), lambda start: start // 10**6)
+    return encode_snapshot(RouterSnapshot(listing, known, NOW), lambda start: start // 10**6)
 
 
 async def over_a_channel(data: bytes) -> bytes:
@@ -53,15 +51,15 @@
     came, done = bytearray(), loop.create_future()
 
     def take(message: Message, _: list[socket.socket]) -> None:
-        assert isinstance(message, Told)
-        came.extend(message.part)
+        assert isinstance(message, StateChunk)
+        came.extend(message.data)
         if message.last:
             done.set_result(None)
 
     sender = Channel(loop, old, lambda *_: None, lambda: None)
     receiver = Channel(loop, new, take, lambda: None)
-    for part in parts(data):
-        sender.send(part)
+    for chunk in split_snapshot(data):
+        sender.send(chunk)
     async with asyncio.timeout(20):
         await done
     sender.close()
@@ -71,8 +69,8 @@
 
 def test_what_is_told_of_1100_servers_fits_and_arrives_whole() -> None:
     data = account()
-    assert len(data) <= MOST_TOLD // 4  # room for what the limits' windows add
+    assert len(data) <= MAX_SNAPSHOT_BYTES // 4  # room for what the limits' windows add
     assert asyncio.run(over_a_channel(data)) == data
-    told = read_account(data, NOW, lambda unix_ms: unix_ms * 10**6)
-    assert len(told.knowledge.servers) == SERVERS
-    assert len(parse_endpoint_list(told.listing, ClockOffset(0, 0)).addresses) == SERVERS
+    told = decode_snapshot(data, NOW, lambda unix_ms: unix_ms * 10**6)
+    assert len(told.state.servers) == SERVERS
+    assert len(parse_endpoint_list(told.endpoint_list, ClockOffset(0, 0)).addresses) == SERVERS
--- a/tests/handover/test_messages.py
+++ b/tests/handover/test_messages.py
@@ -8,25 +8,23 @@
 from hypothesis import given, strategies
 
 from pebblepass.decisions import LimitState, OriginHealth, RouterState, ServerHealth
-from pebblepass.handover.knowledge import KNOWN_NS, aged, weight
+from pebblepass.handover.errors import HandoverError
 from pebblepass.handover.messages import (
-    MOST_BYTES,
-    Account,
+    MAX_CHUNK_BYTES,
+    ConnectionCounts,
     Connections,
     ConnectionState,
-    HandoverError,
-    Held,
     Hello,
     Message,
     Ready,
-    Refused,
-    Told,
+    Rejected,
+    StateChunk,
     decode,
     encode,
-    parts,
-    read_account,
-    write_account,
+    split_snapshot,
 )
+from pebblepass.handover.router_snapshot import RouterSnapshot, decode_snapshot, encode_snapshot
+from pebblepass.handover.state_aging import STATE_LIFETIME_NS, age_state, age_weight
 
 S = 10**9
 NOW = 1000 * S
@@ -43,10 +41,10 @@
 )
 messages = strategies.one_of(
     strategies.just(Hello()),
-    strategies.just(Refused()),
+    strategies.just(Rejected()),
     strategies.just(Ready()),
-    strategies.builds(Held, counts, counts),
-    strategies.builds(Told, strategies.binary(), strategies.booleans()),
+    strategies.builds(ConnectionCounts, counts, counts),
+    strategies.builds(StateChunk, strategies.binary(), strategies.booleans()),
     strategies.builds(Connections, strategies.lists(handed, max_size=4).map(tuple)),
 )
 
@@ -95,26 +93,26 @@
         "s1", began, NOW - S, 1.0, 0.05, NOW - S, 8 * S, False, 1, 2, NOW + S, 2e6, 1e6, 0.5
     )
     nodes = (donor, *(node(f"n{i}" * 40) for i in range(400)))
-    told = Account({"generation": 4, "instances": []}, knowledge(*nodes), NOW)
-    data = write_account(told, lambda start: (start + UNIX) // 10**6)
-    cut = parts(data)
+    told = RouterSnapshot({"generation": 4, "instances": []}, knowledge(*nodes), NOW)
+    data = encode_snapshot(told, lambda start: (start + UNIX) // 10**6)
+    cut = split_snapshot(data)
     assert len(cut) > 1
-    assert [part.last for part in cut] == [False] * (len(cut) - 1) + [True]
-    assert all(len(part.part) <= MOST_BYTES for part in cut)
+    assert [chunk.last for chunk in cut] == [False] * (len(cut) - 1) + [True]
+    assert all(len(chunk.data) <= MAX_CHUNK_BYTES for chunk in cut)
     later = NOW + 7 * S
-    account = read_account(
-        b"".join(part.part for part in cut), later, lambda unix_ms: unix_ms * 10**6 - UNIX + 7 * S
+    snapshot = decode_snapshot(
+        b"".join(chunk.data for chunk in cut), later, lambda unix_ms: unix_ms * 10**6 - UNIX + 7 * S
     )
-    first = account.knowledge.servers[0]
+    first = snapshot.state.servers[0]
     assert (first.started, first.last_outcome_at, first.recovers_from, first.next_connect_at) == (
         began + 7 * S,
         later - S,
         later - S,
         later + S,
     )
-    assert account.knowledge.limits[0].calls == ((later, 3, 1),)
-    assert account.knowledge.origin == told.knowledge.origin
-    assert account.listing == told.listing
+    assert snapshot.state.limits[0].calls == ((later, 3, 1),)
+    assert snapshot.state.origin == told.state.origin
+    assert snapshot.endpoint_list == told.endpoint_list
 
 
 @pytest.mark.parametrize(
@@ -129,15 +127,15 @@
     ],
 )
 def test_an_account_out_of_range_is_refused_whole(was: bytes, becomes: bytes) -> None:
-    data = write_account(Account({}, knowledge(node()), NOW), lambda start: start)
+    data = encode_snapshot(RouterSnapshot({}, knowledge(node()), NOW), lambda start: start)
     assert was in data
     with pytest.raises(HandoverError):
-        read_account(data.replace(was, becomes, 1), NOW, lambda unix_ms: unix_ms)
+        decode_snapshot(data.replace(was, becomes, 1), NOW, lambda unix_ms: unix_ms)
 
 
 def test_what_is_some_seconds_old_counts_for_little_and_then_for_nothing() -> None:
-    assert [weight(int(KNOWN_NS * part)) for part in (0, 0.5, 1, 3)] == [1, 0.5, 0, 0]
-    known = aged(knowledge(node("new"), node("old", NOW - 5 * S), node("gone", NOW - 11 * S)), NOW, NOW)
+    assert [age_weight(int(STATE_LIFETIME_NS * part)) for part in (0, 0.5, 1, 3)] == [1, 0.5, 0, 0]
+    known = age_state(knowledge(node("new"), node("old", NOW - 5 * S), node("gone", NOW - 11 * S)), NOW, NOW)
     assert [(each.server, each.weight) for each in known.servers] == [("new", 1.0), ("old", 0.5)]
     assert known.weight == 1.0
 
@@ -145,9 +143,9 @@
 def test_a_server_that_is_down_is_known_until_the_clock_has_passed_it() -> None:
     down = node("down", NOW - 20 * S, down=True, judged_at=NOW - 20 * S)
     over = node("over", NOW - 61 * S, down=True, judged_at=NOW - 61 * S)
-    assert [each.server for each in aged(knowledge(down, over), NOW, NOW).servers] == ["down"]
+    assert [each.server for each in age_state(knowledge(down, over), NOW, NOW).servers] == ["down"]
 
 
 def test_a_donor_that_has_heard_nothing_hands_on_nothing() -> None:
-    known = aged(knowledge(node("old", NOW - 11 * S), calls=()), NOW, NOW)
+    known = age_state(knowledge(node("old", NOW - 11 * S), calls=()), NOW, NOW)
     assert (known.servers, known.limits, known.weight) == ((), (), 0.0)
--- a/tests/handover/test_states.py
+++ b/tests/handover/test_states.py
@@ -1,84 +1,131 @@
-"""Every edge of the two tables in docs/design/operations.md, and how descriptors are shared."""
+"""Every edge of the two tables in docs/design/operations.md, and how descriptors are split."""
 
 from __future__ import annotations
 
 import pytest
 from hypothesis import given, strategies
 
+from pebblepass.handover.descriptor_split import DescriptorSplit
 from pebblepass.handover.states import (
-    New,
-    NewEvent,
-    NewProcess,
-    Old,
-    OldEvent,
-    OldProcess,
-    Shares,
-    Step,
+    HandoverAction,
+    PredecessorEvent,
+    PredecessorMachine,
+    PredecessorState,
+    SuccessorEvent,
+    SuccessorMachine,
+    SuccessorState,
 )
 
-OLD_EDGES = {
-    (Old.ALONE, OldEvent.HELLO): (Old.PAIRED, [Step.MAKE_ROOM, Step.TELL]),
-    (Old.ALONE, OldEvent.READY): (Old.ALONE, []),
-    (Old.ALONE, OldEvent.LOST): (Old.ALONE, []),
-    (Old.ALONE, OldEvent.TERMINATE): (Old.LEAVING, [Step.CLOSE_DOOR]),
-    (Old.PAIRED, OldEvent.HELLO): (Old.PAIRED, [Step.REFUSE]),
-    (Old.PAIRED, OldEvent.READY): (Old.YIELDING, [Step.STOP_ACCEPTING, Step.HAND_ON]),
-    (Old.PAIRED, OldEvent.LOST): (Old.ALONE, [Step.WHOLE_SHARE]),
-    (Old.PAIRED, OldEvent.TERMINATE): (Old.LEAVING, [Step.CLOSE_DOOR, Step.STOP_ACCEPTING, Step.HAND_ON]),
-    (Old.YIELDING, OldEvent.HELLO): (Old.YIELDING, [Step.REFUSE]),
-    (Old.YIELDING, OldEvent.READY): (Old.YIELDING, []),
-    (Old.YIELDING, OldEvent.LOST): (Old.ALONE, [Step.WHOLE_SHARE, Step.ACCEPT_AGAIN]),
-    (Old.YIELDING, OldEvent.TERMINATE): (Old.LEAVING, [Step.CLOSE_DOOR]),
-    (Old.LEAVING, OldEvent.HELLO): (Old.LEAVING, [Step.REFUSE]),
-    (Old.LEAVING, OldEvent.READY): (Old.LEAVING, []),
-    (Old.LEAVING, OldEvent.LOST): (Old.LEAVING, [Step.CLOSE_IDLE]),
-    (Old.LEAVING, OldEvent.TERMINATE): (Old.LEAVING, []),
+PREDECESSOR_EDGES = {
+    (PredecessorState.ALONE, PredecessorEvent.SUCCESSOR_CONNECTED): (
+        PredecessorState.PAIRED,
+        [HandoverAction.HALVE_LIMITS, HandoverAction.SEND_SNAPSHOT],
+    ),
+    (PredecessorState.ALONE, PredecessorEvent.SUCCESSOR_READY): (PredecessorState.ALONE, []),
+    (PredecessorState.ALONE, PredecessorEvent.SUCCESSOR_LOST): (PredecessorState.ALONE, []),
+    (PredecessorState.ALONE, PredecessorEvent.TERMINATE): (
+        PredecessorState.SHUTTING_DOWN,
+        [HandoverAction.CLOSE_LISTENER],
+    ),
+    (PredecessorState.PAIRED, PredecessorEvent.SUCCESSOR_CONNECTED): (
+        PredecessorState.PAIRED,
+        [HandoverAction.REJECT],
+    ),
+    (PredecessorState.PAIRED, PredecessorEvent.SUCCESSOR_READY): (
+        PredecessorState.HANDING_OVER,
+        [HandoverAction.STOP_ACCEPTING, HandoverAction.HAND_OVER_CONNECTIONS],
+    ),
+    (PredecessorState.PAIRED, PredecessorEvent.SUCCESSOR_LOST): (
+        PredecessorState.ALONE,
+        [HandoverAction.USE_FULL_LIMITS],
+    ),
+    (PredecessorState.PAIRED, PredecessorEvent.TERMINATE): (
+        PredecessorState.SHUTTING_DOWN,
+        [HandoverAction.CLOSE_LISTENER, HandoverAction.STOP_ACCEPTING, HandoverAction.HAND_OVER_CONNECTIONS],
+    ),
+    (PredecessorState.HANDING_OVER, PredecessorEvent.SUCCESSOR_CONNECTED): (
+        PredecessorState.HANDING_OVER,
+        [HandoverAction.REJECT],
+    ),
+    (PredecessorState.HANDING_OVER, PredecessorEvent.SUCCESSOR_READY): (PredecessorState.HANDING_OVER, []),
+    (PredecessorState.HANDING_OVER, PredecessorEvent.SUCCESSOR_LOST): (
+        PredecessorState.ALONE,
+        [HandoverAction.USE_FULL_LIMITS, HandoverAction.RESUME_ACCEPTING],
+    ),
+    (PredecessorState.HANDING_OVER, PredecessorEvent.TERMINATE): (
+        PredecessorState.SHUTTING_DOWN,
+        [HandoverAction.CLOSE_LISTENER],
+    ),
+    (PredecessorState.SHUTTING_DOWN, PredecessorEvent.SUCCESSOR_CONNECTED): (
+        PredecessorState.SHUTTING_DOWN,
+        [HandoverAction.REJECT],
+    ),
+    (PredecessorState.SHUTTING_DOWN, PredecessorEvent.SUCCESSOR_READY): (PredecessorState.SHUTTING_DOWN, []),
+    (PredecessorState.SHUTTING_DOWN, PredecessorEvent.SUCCESSOR_LOST): (
+        PredecessorState.SHUTTING_DOWN,
+        [HandoverAction.CLOSE_IDLE],
+    ),
+    (PredecessorState.SHUTTING_DOWN, PredecessorEvent.TERMINATE): (PredecessorState.SHUTTING_DOWN, []),
 }
-OPEN = [Step.WHOLE_SHARE, Step.OPEN_DOOR]
-NEW_EDGES = {
-    (New.SEEKING, NewEvent.NOBODY): (New.ALONE, OPEN),
-    (New.SEEKING, NewEvent.REFUSED): (New.SEEKING, [Step.SEEK_AGAIN]),
-    (New.SEEKING, NewEvent.TOLD): (New.BEGINNING, [Step.LEARN]),
-    (New.SEEKING, NewEvent.TOO_LATE): (New.BEGINNING, []),
-    (New.SEEKING, NewEvent.LOST): (New.ALONE, OPEN),
-    (New.BEGINNING, NewEvent.READY): (New.SUCCEEDING, [Step.SERVE]),
-    (New.BEGINNING, NewEvent.LOST): (New.ALONE, OPEN),
-    (New.SUCCEEDING, NewEvent.LOST): (New.ALONE, OPEN),
-    (New.ALONE, NewEvent.READY): (New.ALONE, [Step.SERVE]),
+GO_ON_ALONE = [HandoverAction.USE_FULL_LIMITS, HandoverAction.OPEN_LISTENER]
+SUCCESSOR_EDGES = {
+    (SuccessorState.CONNECTING, SuccessorEvent.NO_PREDECESSOR): (SuccessorState.ALONE, GO_ON_ALONE),
+    (SuccessorState.CONNECTING, SuccessorEvent.REJECTED): (
+        SuccessorState.CONNECTING,
+        [HandoverAction.RETRY_CONNECT],
+    ),
+    (SuccessorState.CONNECTING, SuccessorEvent.SNAPSHOT_RECEIVED): (
+        SuccessorState.STARTING,
+        [HandoverAction.IMPORT_SNAPSHOT],
+    ),
+    (SuccessorState.CONNECTING, SuccessorEvent.TIMED_OUT): (SuccessorState.STARTING, []),
+    (SuccessorState.CONNECTING, SuccessorEvent.PREDECESSOR_LOST): (SuccessorState.ALONE, GO_ON_ALONE),
+    (SuccessorState.STARTING, SuccessorEvent.SERVERS_KNOWN): (
+        SuccessorState.TAKING_OVER,
+        [HandoverAction.BEGIN_SERVING],
+    ),
+    (SuccessorState.STARTING, SuccessorEvent.PREDECESSOR_LOST): (SuccessorState.ALONE, GO_ON_ALONE),
+    (SuccessorState.TAKING_OVER, SuccessorEvent.PREDECESSOR_LOST): (SuccessorState.ALONE, GO_ON_ALONE),
+    (SuccessorState.ALONE, SuccessorEvent.SERVERS_KNOWN): (
+        SuccessorState.ALONE,
+        [HandoverAction.BEGIN_SERVING],
+    ),
 }
 
 
-@pytest.mark.parametrize("state", Old)
-@pytest.mark.parametrize("event", OldEvent)
-def test_each_edge_of_the_old_process(state: Old, event: OldEvent) -> None:
-    process = OldProcess()
+@pytest.mark.parametrize("state", PredecessorState)
+@pytest.mark.parametrize("event", PredecessorEvent)
+def test_each_edge_of_the_predecessor(state: PredecessorState, event: PredecessorEvent) -> None:
+    process = PredecessorMachine()
     process.state = state
-    steps = process.take(event)
-    assert (process.state, list(steps)) == OLD_EDGES[state, event]
+    actions = process.handle(event)
+    assert (process.state, list(actions)) == PREDECESSOR_EDGES[state, event]
 
 
-@pytest.mark.parametrize("state", New)
-@pytest.mark.parametrize("event", NewEvent)
-def test_each_edge_of_the_new_process(state: New, event: NewEvent) -> None:
-    process = NewProcess()
+@pytest.mark.parametrize("state", SuccessorState)
+@pytest.mark.parametrize("event", SuccessorEvent)
+def test_each_edge_of_the_successor(state: SuccessorState, event: SuccessorEvent) -> None:
+    process = SuccessorMachine()
     process.state = state
-    steps = process.take(event)
-    assert (process.state, list(steps)) == NEW_EDGES.get((state, event), (state, []))
+    actions = process.handle(event)
+    assert (process.state, list(actions)) == SUCCESSOR_EDGES.get((state, event), (state, []))
 
 
-@given(strategies.lists(strategies.sampled_from(OldEvent)))
+@given(strategies.lists(strategies.sampled_from(PredecessorEvent)))
 def test_whoever_has_not_been_told_to_end_serves_when_nobody_is_left_beside_it(
-    events: list[OldEvent],
+    events: list[PredecessorEvent],
 ) -> None:
-    process, accepts = OldProcess(), True
+    process, accepts = PredecessorMachine(), True
     for event in events:
-        for step in process.take(event):
-            accepts = {Step.STOP_ACCEPTING: False, Step.ACCEPT_AGAIN: True}.get(step, accepts)
-        if process.state is Old.ALONE:
+        for action in process.handle(event):
+            accepts = {HandoverAction.STOP_ACCEPTING: False, HandoverAction.RESUME_ACCEPTING: True}.get(
+                action, accepts
+            )
+        if process.state is PredecessorState.ALONE:
             assert accepts
-    if OldEvent.TERMINATE not in events:
-        process.take(OldEvent.LOST)
-        assert process.state is Old.ALONE
+    if PredecessorEvent.TERMINATE not in events:
+        process.handle(PredecessorEvent.SUCCESSOR_LOST)
+        assert process.state is PredecessorState.ALONE
 
 
 @given(
@@ -91,10 +138,10 @@
 def test_two_processes_hold_no_more_than_one(
     clients: int, servers: int, own: int, held_clients: int, held_servers: int
 ) -> None:
-    shares = Shares(clients, servers, own)
-    held = min(held_clients, shares.pair[0]), min(held_servers, shares.pair[1])
-    left = shares.left(*held)
-    assert held[0] + left[0] == shares.pair[0] <= max(clients, 1)
-    assert held[1] + left[1] == shares.pair[1] <= max(servers, 1)
+    split = DescriptorSplit(clients, servers, own)
+    held = min(held_clients, split.shared[0]), min(held_servers, split.shared[1])
+    left = split.remaining(*held)
+    assert held[0] + left[0] == split.shared[0] <= max(clients, 1)
+    assert held[1] + left[1] == split.shared[1] <= max(servers, 1)
     if clients > own and servers > own:
-        assert sum(shares.pair) + own <= clients + servers + 1
+        assert sum(split.shared) + own <= clients + servers + 1
