--- a/pebblepass/accounting/listener.py
+++ b/pebblepass/accounting/listener.py
@@ -11,16 +11,23 @@
 from dataclasses import dataclass
 from urllib.parse import parse_qs, urlsplit
 
-from pebblepass.control.shell import Bounds, Connection, Page, Shell
+from pebblepass.control.http_server import Connection, HttpServer, Page, ServerLimits
 from pebblepass.wire.address import Address
 
-MOST_CONNECTIONS = 32
-MOST_HEAD = 16 << 10
-MOST_UNREAD = 64 << 10  # a subscriber that takes no more than this is dropped
-BOUNDS = Bounds(
-    connections=MOST_CONNECTIONS, head=MOST_HEAD, waiting=16, idle_s=10.0, one_call=False, make_room=False
+MAX_CONNECTIONS = 32
+MAX_HEAD_BYTES = 16 << 10
+MAX_UNREAD_BYTES = 64 << 10  # a subscriber that takes no more than this is dropped
+LIMITS = ServerLimits(
+    connections=MAX_CONNECTIONS,
+    head_bytes=MAX_HEAD_BYTES,
+    queued_requests=16,
+    idle_timeout_s=10.0,
+    one_call=False,
+    evict_idle=False,
+)
+STREAM_HEAD = (
+    b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\n\r\n: open\n\n"
 )
-STREAM = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\n\r\n: open\n\n"
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,20 +49,20 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, pages: Pages) -> None:
         self.pages = pages
         self.subscribers: dict[Connection, None] = {}
-        self._shell = Shell(loop, self._respond, BOUNDS)
+        self._server = HttpServer(loop, self._respond, LIMITS)
 
     async def listen(self, address: Address) -> Address:
         """Listen; raises OSError where the address can't be had. Returns the address."""
-        return await self._shell.listen(address)
+        return await self._server.listen(address)
 
     def publish(self, event: bytes) -> None:
         """Send an event to every subscriber; one that does not read is dropped, and delays nobody."""
         for subscriber in list(self.subscribers):
-            subscriber.push(event, MOST_UNREAD)
+            subscriber.push(event, MAX_UNREAD_BYTES)
 
     def close(self) -> None:
         """End."""
-        self._shell.close()
+        self._server.close()
 
     async def _respond(self, connection: Connection, method: str, target: str) -> Page | None:
         parts, pages = urlsplit(target), self.pages
@@ -78,11 +85,11 @@
         return Page(200, b'{"acknowledged":%d}\n' % pages.acknowledge(int(through)), "application/json")
 
     def _subscribe(self, connection: Connection) -> None:
-        def ended() -> None:
+        def unsubscribe() -> None:
             self.subscribers.pop(connection, None)
 
-        connection.ended = ended
-        connection.stream(STREAM)
+        connection.on_closed = unsubscribe
+        connection.start_stream(STREAM_HEAD)
         self.subscribers[connection] = None
         for event in self.pages.pending():
-            connection.push(event, MOST_UNREAD)
+            connection.push(event, MAX_UNREAD_BYTES)
--- a/pebblepass/control/__init__.py
+++ b/pebblepass/control/__init__.py
@@ -1,1 +1,1 @@
-"""Where operators call: whether a router is ready, and its figures. The HTTP shell serves figures too."""
+"""The control address: readiness and counters over HTTP. The accounting pages use the same HTTP server."""
--- /dev/null
+++ b/pebblepass/control/control_server.py
@@ -0,0 +1,68 @@
+"""The platform's control address: `/control/ready` and `/control/counters`, one call per connection."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable
+
+from msgspec import Struct
+from msgspec.structs import replace
+
+from pebblepass.control.http_server import Connection, HttpServer, Page, ServerLimits
+from pebblepass.wire.address import Address
+
+MAX_CONNECTIONS = 16
+# Each connection is a descriptor, and a caller may stay idle for seconds: a new one replaces it.
+LIMITS = ServerLimits(
+    connections=MAX_CONNECTIONS,
+    head_bytes=4 << 10,
+    queued_requests=1,
+    idle_timeout_s=2.0,
+    one_call=True,
+    evict_idle=True,
+)
+MAX_POLICY_BYTES = 256 << 10  # of a policy file: 1,100 routers with long names take 106 KB
+
+
+class ControlSources(Struct, frozen=True):
+    """Where the answers come from; each is called anew for each request."""
+
+    ready: Callable[[], bool]
+    counters: Callable[[], list[str]]
+    fleet: Callable[[str, str, bytes], Awaitable[Page | None]] | None = None
+    """Answers calls of a fleet of routers by method, path and body; None: there is no such call."""
+
+
+class ControlServer:
+    """The listener of the control address."""
+
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, sources: ControlSources, connections: int = MAX_CONNECTIONS
+    ) -> None:
+        """`connections`: how many may be open at a time."""
+        self._sources = sources
+        body_bytes = MAX_POLICY_BYTES if sources.fleet is not None else 0
+        limits = replace(LIMITS, connections=connections, body_bytes=body_bytes)
+        self._server = HttpServer(loop, self._respond, limits)
+
+    async def listen(self, address: Address) -> Address:
+        """Listen, and return the bound address; raises OSError if it can't be bound."""
+        return await self._server.listen(address)
+
+    def close(self) -> None:
+        """Stop listening and abort all connections."""
+        self._server.close()
+
+    async def _respond(self, connection: Connection, method: str, target: str) -> Page:
+        path = target.partition("?")[0]
+        if self._sources.fleet is not None:
+            page = await self._sources.fleet(method, path, connection.body)
+            if page is not None:
+                return page
+        if path not in ("/control/ready", "/control/counters"):
+            return Page(404, b"no such call\n")
+        if method != "GET":
+            return Page(405, b"GET only\n")
+        if path == "/control/counters":
+            return Page(200, "".join(f"{line}\n" for line in self._sources.counters()).encode())
+        return Page(200, b"ready\n") if self._sources.ready() else Page(503, b"not ready\n")
--- a/pebblepass/control/counters.py
+++ b/pebblepass/control/counters.py
@@ -1,4 +1,4 @@
-"""The platform's figures, counted from 0 by each process, and how they are written. No I/O, no clock."""
+"""The platform's counters, from 0 in each process, and their StatsD form. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class Counters:
-    """Final answers by class, and attempts written whole to cache servers, since the start of this process.
+    """Final answers by class, and attempts sent to cache servers, since the start of this process.
 
-    An answer is counted where it is given for good: a value that is passed on in parts, with its last part.
+    A streamed value is counted as an answer with its last part.
     """
 
     def __init__(self, classes: Iterable[str]) -> None:
@@ -18,30 +18,27 @@
         self.answered = dict.fromkeys(names, 0)
         """Requests served, by class."""
         self.deferred = dict.fromkeys(names, 0)
-        """Requests refused, by class."""
+        """Requests rejected, by class."""
         self.errored = dict.fromkeys(names, 0)
         """Requests failed, by class."""
         self.sends = 0
-        """Attempts of which the last byte has been written; probes are none."""
+        """Attempts of which the last byte was written, without health checks."""
 
     def lines(self, current: int, cluster_size: int, cluster_unhealthy: int) -> list[str]:
-        """The figures in the StatsD form, a line each; the arguments are gauges as they stand now."""
-        counts = [
-            (f"{name}.{cls}", count)
-            for name, of in (
-                ("answered", self.answered),
-                ("deferred", self.deferred),
-                ("errored", self.errored),
-            )
-            for cls, count in of.items()
-        ]
-        counts.append(("sends", self.sends))
-        gauges = (
-            ("current", current),
-            ("cluster_size", cluster_size),
-            ("cluster_unhealthy", cluster_unhealthy),
-        )
+        """Return the counters in the StatsD form, a line each; the arguments are the present gauges."""
+        by_class = {"answered": self.answered, "deferred": self.deferred, "errored": self.errored}
+        counters = {
+            f"{name}.{request_class}": count
+            for name, counts in by_class.items()
+            for request_class, count in counts.items()
+        }
+        counters["sends"] = self.sends
+        gauges = {
+            "current": current,
+            "cluster_size": cluster_size,
+            "cluster_unhealthy": cluster_unhealthy,
+        }
         return [
-            *(f"{PREFIX}.{name}:{value}|c" for name, value in counts),
-            *(f"{PREFIX}.{name}:{value}|g" for name, value in gauges),
+            *(f"{PREFIX}.{name}:{value}|c" for name, value in counters.items()),
+            *(f"{PREFIX}.{name}:{value}|g" for name, value in gauges.items()),
         ]
--- /dev/null
+++ b/pebblepass/control/http_server.py
@@ -0,0 +1,232 @@
+"""A small HTTP/1.1 server for operators' tools, with limits on connections, sizes and idle time.
+
+The pages come from its owner: the control address and the accounting pages are served by one each.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from collections.abc import Awaitable, Callable
+from typing import NamedTuple, cast
+
+import httptools
+from msgspec import Struct
+
+from pebblepass.wire.address import Address
+
+_REASONS = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    409: b"Conflict",
+    503: b"Service Unavailable",
+}
+
+
+class ServerLimits(Struct, frozen=True):
+    """The limits of a server."""
+
+    connections: int
+    head_bytes: int
+    """Bytes of one request without its body."""
+    queued_requests: int
+    """Requests of one connection that wait for their answer."""
+    idle_timeout_s: float
+    """Seconds in which a connection must send a complete request, the first or a further one."""
+    one_call: bool
+    """Whether a connection is closed after its first answer."""
+    evict_idle: bool
+    """Whether a new connection at the limit evicts the one that has been idle the longest; if not, the new
+    one is answered 503."""
+    body_bytes: int = 0
+    """Bytes of a request's body; 0: bodies are ignored."""
+
+
+class Page(Struct, frozen=True):
+    """One answer."""
+
+    status: int
+    body: bytes
+    content_type: str = "text/plain"
+
+
+Responder = Callable[["Connection", str, str], Awaitable[Page | None]]
+"""Answers a method and a target; None: the connection has become a stream."""
+
+
+class _PendingRequest(NamedTuple):
+    method: str
+    target: str
+    keep_alive: bool
+
+
+class HttpServer:
+    """The listener and its connections."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, respond: Responder, limits: ServerLimits) -> None:
+        self.loop, self.respond, self.limits = loop, respond, limits
+        self.connections: dict[Connection, None] = {}
+        """In the order of their last answer, or of their arrival."""
+        self._server: asyncio.Server | None = None
+
+    async def listen(self, address: Address) -> Address:
+        """Listen, and return the bound address; raises OSError if it can't be bound."""
+        self._server = await self.loop.create_server(lambda: Connection(self), *address)
+        bound: Address = self._server.sockets[0].getsockname()[:2]
+        return bound
+
+    def close(self) -> None:
+        """Stop listening and abort all connections."""
+        if self._server is not None:
+            self._server.close()
+        for connection in list(self.connections):
+            connection.abort()
+
+    def admit(self, connection: Connection) -> bool:
+        """Register a new connection; return False if the limit is reached and none can be evicted."""
+        if len(self.connections) >= self.limits.connections:
+            idle = next((other for other in self.connections if other.is_idle), None)
+            if idle is None or not self.limits.evict_idle:
+                return False
+            idle.abort()
+            self.connections.pop(idle, None)
+        self.connections[connection] = None
+        return True
+
+
+class Connection(asyncio.Protocol):
+    """One connection of an operator's tool."""
+
+    def __init__(self, server: HttpServer) -> None:
+        self.body = b""
+        """The body of the request that is being answered."""
+        self.on_closed: Callable[[], None] = lambda: None
+        """Called when the connection is closed; set by the owner of a stream."""
+        self._server = server
+        self._transport: asyncio.Transport | None = None
+        self._parser = httptools.HttpRequestParser(self)
+        self._target = b""
+        self._request_bytes = 0  # received of the request under way
+        self._idle_timer: asyncio.TimerHandle | None = None
+        self._pending: deque[_PendingRequest] = deque()
+        self._answering: asyncio.Task[None] | None = None
+        self._is_stream = False
+
+    @property
+    def is_idle(self) -> bool:
+        """Whether no request waits for an answer."""
+        return not self._pending and not self._is_stream and not self._is_answering
+
+    def abort(self) -> None:
+        """Abort the connection."""
+        if self._transport is not None:
+            self._transport.abort()
+
+    def start_stream(self, head: bytes) -> None:
+        """Begin an answer without an end, with this head."""
+        if self._transport is not None:
+            self._is_stream = True
+            if self._idle_timer is not None:
+                self._idle_timer.cancel()  # a stream may be silent for as long as there is nothing to send
+            self._transport.write(head)
+
+    def push(self, data: bytes, max_unread: int) -> None:
+        """Send data on the stream; abort the connection if more than `max_unread` bytes are unread."""
+        if self._transport is None or self._transport.is_closing():
+            return
+        self._transport.write(data)
+        if self._transport.get_write_buffer_size() > max_unread:
+            self.abort()
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection, or answer 503."""
+        self._transport = cast(asyncio.Transport, transport)
+        if self._server.admit(self):
+            self._restart_idle_timer()
+        else:
+            self._write(Page(503, b"too many connections\n"), keep_alive=False)
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Release what belongs to the connection."""
+        self._transport = None
+        self._server.connections.pop(self, None)
+        self.on_closed()
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+        if self._answering is not None:
+            self._answering.cancel()
+
+    def data_received(self, data: bytes) -> None:
+        """Parse a part of a request."""
+        self._request_bytes += len(data)
+        try:
+            self._parser.feed_data(data)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade):
+            self._write(Page(400, b"not HTTP/1.1\n"), keep_alive=False)
+            return
+        # Guards the memory against a request without an end.
+        if self._request_bytes > self._server.limits.head_bytes + self._server.limits.body_bytes:
+            self._write(Page(400, b"request too long\n"), keep_alive=False)
+
+    def on_url(self, url: bytes) -> None:
+        """Called by httptools."""
+        self._target += url
+
+    def on_body(self, body: bytes) -> None:
+        """Called by httptools."""
+        if self._server.limits.body_bytes:
+            self.body += body
+
+    def on_message_complete(self) -> None:
+        """Called by httptools."""
+        target = self._target.decode("ascii", "replace")
+        self._target, self._request_bytes = b"", 0
+        # Guards the memory against a client that sends requests and reads no answer.
+        if len(self._pending) >= self._server.limits.queued_requests:
+            self.abort()
+            return
+        method = self._parser.get_method().decode("ascii")
+        self._pending.append(_PendingRequest(method, target, self._parser.should_keep_alive()))
+        self._restart_idle_timer()
+        if not self._is_answering:
+            self._answering = self._server.loop.create_task(self._answer_all())
+
+    @property
+    def _is_answering(self) -> bool:
+        return self._answering is not None and not self._answering.done()
+
+    def _restart_idle_timer(self) -> None:
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+        timeout_s = self._server.limits.idle_timeout_s
+        self._idle_timer = self._server.loop.call_later(timeout_s, self._idle_timeout)
+
+    def _idle_timeout(self) -> None:
+        if not self._is_answering:
+            self.abort()
+
+    async def _answer_all(self) -> None:
+        """Answer the requests one after another, in the order of their arrival."""
+        while self._pending:
+            pending = self._pending[0]
+            page = await self._server.respond(self, pending.method, pending.target)
+            self._pending.popleft()
+            if page is not None:
+                self._write(page, pending.keep_alive and not self._server.limits.one_call)
+
+    def _write(self, page: Page, keep_alive: bool) -> None:
+        if self._transport is None or self._transport.is_closing():
+            return
+        close = b"" if keep_alive else b"Connection: close\r\n"
+        head = b"HTTP/1.1 %d %b\r\nContent-Type: %b\r\nContent-Length: %d\r\n%b\r\n"
+        content_type, size = page.content_type.encode(), len(page.body)
+        self._transport.write(
+            head % (page.status, _REASONS[page.status], content_type, size, close) + page.body
+        )
+        if not keep_alive:
+            self._transport.close()
+        elif self in self._server.connections:
+            del self._server.connections[self]  # the one that has been idle the longest stands first
+            self._server.connections[self] = None
--- a/pebblepass/daemon/__main__.py
+++ b/pebblepass/daemon/__main__.py
@@ -81,9 +81,9 @@
     """Descriptors that the operator's sections take."""
     taken, ledger, section = 0, operator.figures, operator.fleet
     if ledger is not None:
-        from pebblepass.accounting.listener import MOST_CONNECTIONS
+        from pebblepass.accounting.listener import MAX_CONNECTIONS
 
-        listens = MOST_CONNECTIONS if ledger.listen else 0
+        listens = MAX_CONNECTIONS if ledger.listen else 0
         taken += descriptors.figures(listens, bool(ledger.directory), bool(ledger.webhook))
     if section is not None:
         from pebblepass.peers.links import STRANGERS
--- a/pebblepass/daemon/daemon.py
+++ b/pebblepass/daemon/daemon.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from pebblepass.connection_limits.descriptors import callers, own, split
-from pebblepass.control.operations import CALLERS, ControlAddress, Told
+from pebblepass.control.control_server import MAX_CONNECTIONS, ControlServer, ControlSources
 from pebblepass.daemon.clients import ClientServer
 from pebblepass.daemon.config import Config, ConfigError, reload_discovery
 from pebblepass.daemon.inherited import adopt
@@ -79,7 +79,7 @@
         `beside`: descriptors that the operator's sections take.
         """
         self._loop, self._config = loop, config
-        self._callers = callers(config.sockets, CALLERS) if config.ops is not None else 0
+        self._callers = callers(config.sockets, MAX_CONNECTIONS) if config.ops is not None else 0
         inherited = config.inherited is not None
         self._split = split(config.sockets, own(self._callers, inherited, beside))
         dial_timeout, idle_close = config.dial_timeout / NS_PER_S, config.idle_close / NS_PER_S
@@ -102,7 +102,7 @@
             self._discovery.generation = known.generation
             self.host.servers_changed(known)
         self._reloading: asyncio.Task[None] | None = None
-        self._control: ControlAddress | None = None
+        self._control: ControlServer | None = None
         self._fleet: FleetPart | None = None
 
     def read_many(self, section: ManyKeysSection) -> None:
@@ -125,8 +125,8 @@
         """Listen for clients and follow the list; raises OSError where the address can't be had."""
         if self._config.ops is not None:
             fleet = self._fleet.answer if self._fleet is not None else None
-            told = Told(self.is_ready, self.host.figures, fleet)
-            self._control = ControlAddress(self._loop, told, self._callers)
+            sources = ControlSources(self.is_ready, self.host.figures, fleet)
+            self._control = ControlServer(self._loop, sources, self._callers)
             await self._control.listen(self._config.ops)
         if self._fleet is not None:
             await self._fleet.start()
--- a/pebblepass/daemon/fleet.py
+++ b/pebblepass/daemon/fleet.py
@@ -16,7 +16,7 @@
 from pebblepass.consensus.member import InForce, Note, Setup, genesis
 from pebblepass.consensus.policy import Ground, PolicyError, held, read_policy
 from pebblepass.consensus.service import AgreementService, Told, open_log
-from pebblepass.control.shell import Page
+from pebblepass.control.http_server import Page
 from pebblepass.daemon.config import ConfigError
 from pebblepass.decisions import PolicyChanged, Settings
 from pebblepass.operator_config import FleetSection
--- a/tests/accounting/test_service.py
+++ b/tests/accounting/test_service.py
@@ -15,7 +15,7 @@
 from prometheus_client.openmetrics.parser import text_string_to_metric_families
 
 from pebblepass.accounting.ledger import OTHER
-from pebblepass.accounting.listener import MOST_CONNECTIONS, MOST_HEAD
+from pebblepass.accounting.listener import MAX_CONNECTIONS, MAX_HEAD_BYTES
 from pebblepass.accounting.service import AUDIT_S, SLACK_NS, FiguresService
 from pebblepass.accounting.snapshot import SnapshotError, decode, encode
 from pebblepass.accounting.webhook import MOST_WAITING
@@ -212,15 +212,15 @@
     async def work(loop: VirtualLoop) -> None:
         running = Running(loop, listen=free_listen())
         address = await running.start()
-        for junk in (b"\x00\xff\r\n\r\n", b"GET /" + b"x" * MOST_HEAD):
+        for junk in (b"\x00\xff\r\n\r\n", b"GET /" + b"x" * MAX_HEAD_BYTES):
             reader, writer = await asyncio.open_connection(*address)
             writer.write(junk)
             assert (await reader.read()).startswith(b"HTTP/1.1 400")
-        held = [await asyncio.open_connection(*address) for _ in range(MOST_CONNECTIONS)]
+        held = [await asyncio.open_connection(*address) for _ in range(MAX_CONNECTIONS)]
         await asyncio.sleep(0.1)
         reader, _ = await asyncio.open_connection(*address)
         assert (await reader.read()).startswith(b"HTTP/1.1 503")
-        assert len(held) == MOST_CONNECTIONS
+        assert len(held) == MAX_CONNECTIONS
         await asyncio.sleep(11)  # of virtual time: idle ones are closed
         assert (await get(address, "GET /figures"))[0] == 200
         running.service.stop(closing=True)
--- a/tests/compatibility/forms.py
+++ b/tests/compatibility/forms.py
@@ -28,8 +28,8 @@
 from pebblepass.consensus.policy import Ground, NamespacePolicy, Policy, PolicyFile, StorePolicy, read_policy
 from pebblepass.consensus.service import FILE, FORMAT, VERSION, open_log
 from pebblepass.consensus.service import Told as ServiceTold
+from pebblepass.control.control_server import ControlServer, ControlSources
 from pebblepass.control.counters import Counters
-from pebblepass.control.operations import ControlAddress, Told
 from pebblepass.daemon.config import load_config
 from pebblepass.decisions import ServerState, interface
 from pebblepass.decisions.settings import read_settings
@@ -414,8 +414,8 @@
 async def control_pages() -> dict[str, bytes]:
     """What the control address answers to each call, when the router is ready and when it is not."""
     ready = [True]
-    told = Told(lambda: ready[0], counter_lines)
-    control = ControlAddress(asyncio.get_running_loop(), told)
+    sources = ControlSources(lambda: ready[0], counter_lines)
+    control = ControlServer(asyncio.get_running_loop(), sources)
     address = await control.listen(("127.0.0.1", 0))
     pages = {
         call: await http_call(address, call)
--- a/tests/connection_limits/test_descriptors.py
+++ b/tests/connection_limits/test_descriptors.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from pebblepass.accounting.listener import MOST_CONNECTIONS
+from pebblepass.accounting.listener import MAX_CONNECTIONS
 from pebblepass.connection_limits.descriptors import (
     BARE,
     CONTROL,
@@ -19,7 +19,7 @@
     own,
     split,
 )
-from pebblepass.control.operations import CALLERS
+from pebblepass.control.control_server import MAX_CONNECTIONS as MAX_CONTROL_CONNECTIONS
 from pebblepass.handover.descriptor_split import DescriptorSplit
 from pebblepass.peers.links import STRANGERS
 
@@ -63,17 +63,19 @@
 
 
 def test_the_worst_sum_stays_within_every_limit() -> None:
-    assert not broken(now, lambda limit: callers(limit, CALLERS))
+    assert not broken(now, lambda limit: callers(limit, MAX_CONTROL_CONNECTIONS))
     assert not broken(now, lambda _: 0)
 
 
 def test_the_check_finds_a_sum_without_the_callers() -> None:
-    assert broken(before, lambda _: CALLERS) == [(limit, each) for limit in LIMITS for each in (False, True)]
+    assert broken(before, lambda _: MAX_CONTROL_CONNECTIONS) == [
+        (limit, each) for limit in LIMITS for each in (False, True)
+    ]
 
 
 @pytest.mark.parametrize("limit", LIMITS)
 def test_everybody_has_some_and_clients_most(limit: int) -> None:
-    dealt = now(limit, callers(limit, CALLERS), False)
+    dealt = now(limit, callers(limit, MAX_CONTROL_CONNECTIONS), False)
     assert dealt.served > dealt.servers > dealt.refusers >= 0
     assert dealt.refusers <= REFUSERS
     assert dealt.refusers * 8 <= dealt.served + dealt.refusers
@@ -95,7 +97,7 @@
 
 @pytest.mark.parametrize("limit", LIMITS)
 def test_two_processes_of_an_upgrade_stay_within_the_limit_of_one(limit: int) -> None:
-    control = callers(limit, CALLERS)
+    control = callers(limit, MAX_CONTROL_CONNECTIONS)
     dealt = now(limit, control, True)
     split = DescriptorSplit(dealt.served, dealt.servers, dealt.own + dealt.refusers)
     old_clients, old_servers = split.shared
@@ -107,11 +109,11 @@
 
 @pytest.mark.parametrize("limit", [256, 1024])
 def test_the_operators_sections_take_none_of_anybody_elses(limit: int) -> None:
-    ledger = figures(MOST_CONNECTIONS, writes=True, posts=True)
+    ledger = figures(MAX_CONNECTIONS, writes=True, posts=True)
     voter = fleet(voters=3, coming=29, strangers=STRANGERS, writes=True)
-    control = callers(limit, CALLERS)
+    control = callers(limit, MAX_CONTROL_CONNECTIONS)
     dealt = split(limit, own(control, False, ledger + voter))
-    at_ledger = 1 + MOST_CONNECTIONS + 2 + 3 + 1  # listener, callers, newcomers, files, webhook
+    at_ledger = 1 + MAX_CONNECTIONS + 2 + 3 + 1  # listener, callers, newcomers, files, webhook
     at_fleet = 1 + 3 + 29 + STRANGERS + 2 + 3  # listener, dialled, came, strangers, newcomers, files
     assert worst(dealt, control, False) + at_ledger + at_fleet <= limit
     assert worst(split(limit, own(control, False)), control, False) + at_ledger + at_fleet > limit
--- a/tests/control/test_bounds.py
+++ b/tests/control/test_bounds.py
@@ -5,8 +5,8 @@
 import asyncio
 
 from pebblepass.consensus.policy import read_policy
-from pebblepass.control.operations import BOUNDS, MOST_POLICY, ControlAddress, Told
-from pebblepass.control.shell import Page
+from pebblepass.control.control_server import LIMITS, MAX_POLICY_BYTES, ControlServer, ControlSources
+from pebblepass.control.http_server import Page
 from pebblepass.emulators.ports import take_port
 from pebblepass.simulation.clock import VirtualLoop
 from tests.virtual import played
@@ -34,7 +34,7 @@
         return Page(200, b"{}")
 
     async def play(_: VirtualLoop) -> int:
-        control = ControlAddress(asyncio.get_running_loop(), Told(lambda: True, list, fleet))
+        control = ControlServer(asyncio.get_running_loop(), ControlSources(lambda: True, list, fleet))
         reader, writer = await asyncio.open_connection(*await control.listen(("127.0.0.1", take_port())))
         writer.write(b"POST /control/policy/propose/c1 HTTP/1.1\r\nHost: o\r\n")
         writer.write(b"Content-Length: %d\r\n\r\n" % promised)
@@ -55,4 +55,4 @@
 
 
 def test_a_policy_without_an_end_is_refused() -> None:
-    assert posted(b"#" * (BOUNDS.head + MOST_POLICY), 1 << 30) == (400, [])
+    assert posted(b"#" * (LIMITS.head_bytes + MAX_POLICY_BYTES), 1 << 30) == (400, [])
--- a/tests/control/test_operations.py
+++ b/tests/control/test_operations.py
@@ -7,8 +7,8 @@
 
 import pytest
 
+from pebblepass.control.control_server import LIMITS, ControlServer, ControlSources
 from pebblepass.control.counters import Counters
-from pebblepass.control.operations import BOUNDS, ControlAddress, Told
 from pebblepass.emulators.ports import take_port
 from pebblepass.simulation.clock import VirtualLoop
 from tests.virtual import played
@@ -25,7 +25,7 @@
     async def play(loop: VirtualLoop) -> None:
         ready, counters = [False], Counters(["get"])
         counters.answered["get"] = 7
-        control = ControlAddress(loop, Told(lambda: ready[0], lambda: counters.lines(3, 2, 1)))
+        control = ControlServer(loop, ControlSources(lambda: ready[0], lambda: counters.lines(3, 2, 1)))
         address = await control.listen(("127.0.0.1", take_port()))
         await work(loop, address, ready)
         control.close()
@@ -80,7 +80,7 @@
         (asking("/"), 404),
         (asking("/control/counters", "POST"), 405),
         (b"\x00\xff junk\r\n\r\n", 400),
-        (b"GET /" + b"x" * BOUNDS.head, 400),
+        (b"GET /" + b"x" * LIMITS.head_bytes, 400),
     ],
 )
 def test_what_is_no_call_is_told_no(data: bytes, status: int) -> None:
@@ -93,7 +93,7 @@
 def test_callers_that_say_nothing_shut_nobody_out() -> None:
     async def work(loop: VirtualLoop, address: Address, _: list[bool]) -> None:
         held = []
-        for number in range(4 * BOUNDS.connections):
+        for number in range(4 * LIMITS.connections):
             reader, writer = await asyncio.open_connection(*address)
             if number % 2:
                 writer.write(asking("/control/counters")[:-7])  # half a call
@@ -105,7 +105,7 @@
         # The first ones made room, and the others are closed in time.
         assert await held[0][0].read() == b""
         assert await held[-1][0].read() == b""
-        assert loop.time() - begun <= BOUNDS.idle_s
+        assert loop.time() - begun <= LIMITS.idle_timeout_s
 
     with_control(work)
 
@@ -113,13 +113,13 @@
 def test_a_caller_that_has_asked_keeps_its_place_when_others_crowd_in() -> None:
     async def play(loop: VirtualLoop) -> None:
         counters = Counters(["get"])
-        control = ControlAddress(loop, Told(lambda: True, lambda: counters.lines(0, 0, 0)))
+        control = ControlServer(loop, ControlSources(lambda: True, lambda: counters.lines(0, 0, 0)))
         address = await control.listen(("127.0.0.1", take_port()))
         # All at once: their calls come with their connections, so that none of them is silent.
         answers = await asyncio.gather(
-            *(call(address, asking("/control/ready")) for _ in range(BOUNDS.connections))
+            *(call(address, asking("/control/ready")) for _ in range(LIMITS.connections))
         )
-        assert [status for status, _ in answers] == [200] * BOUNDS.connections
+        assert [status for status, _ in answers] == [200] * LIMITS.connections
         control.close()
 
     played(play)
