--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -17,11 +17,11 @@
 import stand
 from stand import Case, Load, Process, Site, settings
 
-from pebblepass.accounting.service import AUDIT_S, FiguresService
+from pebblepass.accounting.service import AUDIT_INTERVAL_S, AccountingService
 from pebblepass.daemon.loop import DaemonLoop
 from pebblepass.decisions.settings import read_settings
 from pebblepass.emulators.ports import take_port
-from pebblepass.operator_config import FiguresSection
+from pebblepass.operator_config import AccountingSection
 
 WARM = 2000
 CASE = Case("hits", namespaces=tuple(f"ns{number}" for number in range(50)))
@@ -123,8 +123,10 @@
 
     hook = await asyncio.start_server(take_post, "127.0.0.1", 0)
     port = hook.sockets[0].getsockname()[1]
-    section = FiguresSection(listen=f"127.0.0.1:{take_port()}", webhook=f"http://127.0.0.1:{port}/")
-    service = FiguresService(loop, section, "r0", read_settings(settings(CASE.namespaces)), time.time_ns, "a")
+    section = AccountingSection(listen=f"127.0.0.1:{take_port()}", webhook=f"http://127.0.0.1:{port}/")
+    service = AccountingService(
+        loop, section, "r0", read_settings(settings(CASE.namespaces)), time.time_ns, "a"
+    )
     open_requests: set[str] = set()
     address = await service.start(time.monotonic_ns, lambda: open_requests)
     assert address is not None
@@ -147,10 +149,10 @@
         for number in range(breaches):
             arrived.update({way: loop.create_future() for way in told})
             # At any time between two audits, as requests are forgotten.
-            await asyncio.sleep(random.random() * AUDIT_S)
+            await asyncio.sleep(random.random() * AUDIT_INTERVAL_S)
             at = loop.time()
             if kind == "in a move":
-                service.ledger.serve(f"{kind} {number}", time.monotonic_ns(), 0)
+                service.ledger.record_served(f"{kind} {number}", time.monotonic_ns(), 0)
             else:
                 open_requests.add(f"{kind} {number}")
             polling = asyncio.create_task(page(service.ledger.breach_count + (kind == "by the audit")))
--- a/pebblepass/accounting/commands.py
+++ b/pebblepass/accounting/commands.py
@@ -20,18 +20,18 @@
 
 TIMEOUT_S = 5.0
 WIDTH = 140
-AT_ONCE = 128  # routers that are asked at a time: each takes a thread and a descriptor
+MAX_CONCURRENT_FETCHES = 128  # each takes a thread and a descriptor
 
 
-class NotReachedError(Exception):
-    """A router told nothing; the text is one plain line."""
+class RouterUnreachableError(Exception):
+    """A router gave no document; the text is one line that names it."""
 
 
-def ask(router: str) -> dict[str, Any]:
-    """A router's document: from its listener (HOST:PORT) or a snapshot file; raises NotReachedError."""
+def fetch_document(router: str) -> dict[str, Any]:
+    """Return the document of a listener (HOST:PORT) or a snapshot file; raises RouterUnreachableError."""
     try:
         if Path(router).is_file():
-            told = json.loads(Path(router).read_bytes())
+            document = json.loads(Path(router).read_bytes())
         else:
             host, port = parse_address("router", router)
             connection = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
@@ -39,25 +39,27 @@
                 connection.request("GET", "/figures")
                 answer = connection.getresponse()
                 if answer.status != 200:
-                    raise NotReachedError(f"{router}: answered {answer.status}")
-                told = json.loads(answer.read())
+                    raise RouterUnreachableError(f"{router}: answered {answer.status}")
+                document = json.loads(answer.read())
             finally:
                 connection.close()
     except (OSError, ValueError, http.client.HTTPException) as error:
-        raise NotReachedError(f"{router}: {' '.join(str(error).split()) or type(error).__name__}") from None
-    if not isinstance(told, dict) or "figures" not in told:
-        raise NotReachedError(f"{router}: told something else than figures")
-    return told
+        raise RouterUnreachableError(
+            f"{router}: {' '.join(str(error).split()) or type(error).__name__}"
+        ) from None
+    if not isinstance(document, dict) or "figures" not in document:
+        raise RouterUnreachableError(f"{router}: told something else than figures")
+    return document
 
 
-def ask_all(routers: tuple[str, ...]) -> tuple[list[dict[str, Any]], list[str]]:
-    """All documents at one cut, and a line for each router that could not be reached."""
+def fetch_all(routers: tuple[str, ...]) -> tuple[list[dict[str, Any]], list[str]]:
+    """Return all documents of one cut, and an error line for each router without one."""
     documents, unreached = [], []
-    with ThreadPoolExecutor(min(len(routers), AT_ONCE)) as pool:
-        for future in [pool.submit(ask, router) for router in routers]:
+    with ThreadPoolExecutor(min(len(routers), MAX_CONCURRENT_FETCHES)) as pool:
+        for future in [pool.submit(fetch_document, router) for router in routers]:
             try:
                 documents.append(future.result())
-            except NotReachedError as error:
+            except RouterUnreachableError as error:
                 unreached.append(str(error))
     return documents, unreached
 
@@ -71,7 +73,7 @@
 @click.argument("routers", nargs=-1, required=True)
 def check(routers: tuple[str, ...]) -> None:
     """Exit 0: no breach at any ROUTER (HOST:PORT or snapshot file); 1: a breach; 2: one not reached."""
-    documents, unreached = ask_all(routers)
+    documents, unreached = fetch_all(routers)
     for line in unreached:
         click.echo(f"pebblepass: {line}", err=True)
     breached = False
@@ -100,7 +102,7 @@
         if number:
             time.sleep(every)
         at = time.time_ns()
-        documents, unreached = ask_all(routers)
+        documents, unreached = fetch_all(routers)
         for line in unreached:
             reached = False
             click.echo(f"pebblepass: {line}", err=True)
@@ -142,10 +144,10 @@
     if len(cuts) < 2:
         click.echo(f"pebblepass: {file}: a report needs two cuts in its time, found {len(cuts)}", err=True)
         sys.exit(2)
-    lines_added = fleet.add_up(cuts)
-    table = Table(*fleet.HEADS, box=None)
+    lines_added = fleet.sum_cuts(cuts)
+    table = Table(*fleet.COLUMNS, box=None)
     for line in lines_added:
-        table.add_row(*fleet.cells(line))
+        table.add_row(*fleet.table_cells(line))
     console = Console(highlight=False)
     (console if console.is_terminal else Console(highlight=False, width=WIDTH)).print(table)
     first, last = (
@@ -156,5 +158,5 @@
     if csv_file is not None:
         csv_file.write_text(fleet.as_csv(lines_added))
     if html is not None:
-        html.write_text(fleet.as_html(lines_added, fleet.over_time(cuts), f"{first} to {last}"))
+        html.write_text(fleet.as_html(lines_added, fleet.taken_over_time(cuts), f"{first} to {last}"))
     sys.exit(0 if closes else 1)
--- a/pebblepass/accounting/fleet.py
+++ b/pebblepass/accounting/fleet.py
@@ -22,8 +22,8 @@
 FLOWS = ("taken", "served_in_aim", "served_late", "refused", "failed", "gone")
 
 
-class FigureDocument(msgspec.Struct, frozen=True):
-    """What one router told at a cut; keys that are not needed here are passed over."""
+class RouterDocument(msgspec.Struct, frozen=True):
+    """One router's document in a cut; other keys of it are ignored."""
 
     router: str
     epoch: str
@@ -35,13 +35,13 @@
     """All routers at one moment."""
 
     unix_ns: int
-    routers: list[FigureDocument]
+    routers: list[RouterDocument]
     unreached: list[str] = []
     """Those that did not answer."""
 
 
 @dataclass(slots=True)
-class Line:
+class ReportLine:
     """One namespace and class over the time: what was open, what passed, and what is open."""
 
     namespace: str
@@ -63,7 +63,9 @@
         return self.open_before + self.taken == went + self.open_after
 
 
-NUMBERS = tuple(field.name for field in fields(Line) if field.name not in ("namespace", "request_class"))
+COUNT_FIELDS = tuple(
+    field.name for field in fields(ReportLine) if field.name not in ("namespace", "request_class")
+)
 
 
 def read_cuts(lines: Iterable[bytes], begin_ns: int = 0, end_ns: int | None = None) -> list[Cut]:
@@ -79,30 +81,30 @@
     return sorted(cuts, key=lambda cut: cut.unix_ns)
 
 
-def add_up(cuts: Sequence[Cut]) -> list[Line]:
+def sum_cuts(cuts: Sequence[Cut]) -> list[ReportLine]:
     """Add the routers up, line by line; the last line is the total."""
-    lines: dict[tuple[str, str], Line] = {}
-    last: dict[str, FigureDocument] = {}
+    lines: dict[tuple[str, str], ReportLine] = {}
+    last: dict[str, RouterDocument] = {}
     for cut in cuts:
         for document in cut.routers:
-            _pass(lines, last.get(document.router), document)
+            _add_flows(lines, last.get(document.router), document)
             last[document.router] = document
     for document in last.values():
         for row in document.figures:
             _line(lines, row).open_after += row.open
-    total = Line("all", "all")
+    total = ReportLine("all", "all")
     for line in lines.values():
-        for name in NUMBERS:
+        for name in COUNT_FIELDS:
             setattr(total, name, getattr(total, name) + getattr(line, name))
     return [*(lines[key] for key in sorted(lines)), total]
 
 
-def _line(lines: dict[tuple[str, str], Line], row: Row) -> Line:
-    return lines.setdefault((row.namespace, row.name), Line(row.namespace, row.name))
+def _line(lines: dict[tuple[str, str], ReportLine], row: Row) -> ReportLine:
+    return lines.setdefault((row.namespace, row.name), ReportLine(row.namespace, row.name))
 
 
-def _pass(
-    lines: dict[tuple[str, str], Line], before: FigureDocument | None, document: FigureDocument
+def _add_flows(
+    lines: dict[tuple[str, str], ReportLine], before: RouterDocument | None, document: RouterDocument
 ) -> None:
     """Add what passed at one router from one cut to the next."""
     held: dict[tuple[str, str], Row] = {}
@@ -122,39 +124,39 @@
             setattr(line, name, getattr(line, name) + passed)
 
 
-def over_time(cuts: Sequence[Cut]) -> dict[str, list[tuple[int, int]]]:
+def taken_over_time(cuts: Sequence[Cut]) -> dict[str, list[tuple[int, int]]]:
     """What was taken from each cut to the next, by namespace: the cut's time and the count."""
     series: dict[str, list[tuple[int, int]]] = defaultdict(list)
     for one, two in pairwise(cuts):
         taken: dict[str, int] = defaultdict(int)
-        for line in add_up((one, two))[:-1]:
+        for line in sum_cuts((one, two))[:-1]:
             taken[line.namespace] += line.taken
         for namespace, count in taken.items():
             series[namespace].append((two.unix_ns, count))
     return dict(series)
 
 
-HEADS = ("namespace", "class", *(name.replace("_", " ") for name in NUMBERS), "closes")
+COLUMNS = ("namespace", "class", *(name.replace("_", " ") for name in COUNT_FIELDS), "closes")
 
 
-def cells(line: Line) -> tuple[str, ...]:
+def table_cells(line: ReportLine) -> tuple[str, ...]:
     """A line as it is shown."""
-    numbers = (str(getattr(line, name)) for name in NUMBERS)
+    numbers = (str(getattr(line, name)) for name in COUNT_FIELDS)
     return line.namespace, line.request_class, *numbers, "yes" if line.closes else "NO"
 
 
-def as_csv(lines: Sequence[Line]) -> str:
+def as_csv(lines: Sequence[ReportLine]) -> str:
     """The table as CSV (RFC 4180)."""
     text = io.StringIO()
-    csv.writer(text).writerows([HEADS, *(cells(line) for line in lines)])
+    csv.writer(text).writerows([COLUMNS, *(table_cells(line) for line in lines)])
     return text.getvalue()
 
 
-def as_html(lines: Sequence[Line], series: dict[str, list[tuple[int, int]]], title: str) -> str:
+def as_html(lines: Sequence[ReportLine], series: dict[str, list[tuple[int, int]]], title: str) -> str:
     """The table as a page, with what was taken over the time as a plot."""
-    heads = "".join(f"<th>{escape(head)}</th>" for head in HEADS)
+    heads = "".join(f"<th>{escape(head)}</th>" for head in COLUMNS)
     rows = "".join(
-        "<tr>" + "".join(f"<td>{escape(cell)}</td>" for cell in cells(line)) + "</tr>" for line in lines
+        "<tr>" + "".join(f"<td>{escape(cell)}</td>" for cell in table_cells(line)) + "</tr>" for line in lines
     )
     times = [at for row in series.values() for at, _ in row]
     most = max((count for row in series.values() for _, count in row), default=1) or 1
--- a/pebblepass/accounting/ledger.py
+++ b/pebblepass/accounting/ledger.py
@@ -18,8 +18,8 @@
 OTHER = "(other)"
 """The namespace to which all go that the settings don't name: strangers must not make labels."""
 
-REMEMBERED = 256  # requests closed last, at least: a second answer is told apart from one for nothing
-MOST_BREACHES = 256  # that are kept until they are acknowledged; all are counted
+CLOSED_HISTORY = 256  # requests closed last, at least: a second answer is told apart from one for nothing
+MAX_PENDING_BREACHES = 256  # that are kept until they are acknowledged; all are counted
 SUB_BITS = 4  # a latency bucket is at most a sixteenth wide, as in HDR histograms (Tene)
 
 
@@ -116,15 +116,18 @@
     """All accounts of one router since its start."""
 
     def __init__(
-        self, aims: dict[str, int], namespaces: Iterable[str], told: Callable[[Breach], None] | None = None
+        self,
+        aims: dict[str, int],
+        namespaces: Iterable[str],
+        on_breach: Callable[[Breach], None] | None = None,
     ) -> None:
-        """`aims`: each class's aim in nanoseconds; `told` is called with each breach as it happens."""
+        """`aims`: each class's aim in nanoseconds; `on_breach` is called with each breach as it happens."""
         self._aims = aims
-        self._names: dict[str | None, str] = {name: name for name in namespaces}
+        self._namespace_labels: dict[str | None, str] = {name: name for name in namespaces}
         self._accounts: dict[tuple[str, str], Account] = {
             (name, namespace): Account(name, namespace)
             for name in aims
-            for namespace in (*self._names.values(), OTHER)
+            for namespace in (*self._namespace_labels.values(), OTHER)
         }
         self._entries: dict[str, _Entry] = {}
         # The daybooks: moves that are checked, and not yet posted to their accounts.
@@ -134,7 +137,7 @@
         # Those closed last, and those before them: two dictionaries in turn cost a request no removal.
         self._closed: dict[str, _Entry] = {}
         self._closed_before: dict[str, _Entry] = {}
-        self._told = told
+        self._on_breach = on_breach
         self._overdue: set[str] = set()
         self._unbalanced: set[tuple[str, str]] = set()
         self.breaches: list[Breach] = []
@@ -143,7 +146,7 @@
 
     # Moves
 
-    def take(
+    def open_request(
         self,
         request: str,
         request_class: str,
@@ -154,7 +157,7 @@
         path: str,
     ) -> None:
         """Enter a request that is owed a final answer by `due`."""
-        name = self._names.get(namespace, OTHER)
+        name = self._namespace_labels.get(namespace, OTHER)
         entry = (request_class, name, now, due, path, size)
         if request in self._entries:
             self._breach(BreachKind.TWICE_TAKEN, now, request, entry)
@@ -162,27 +165,27 @@
         self._entries[request] = entry
         self._taken.append(entry)
 
-    def serve(self, request: str, now: int, size: int, to_origin: bool | None = None) -> None:
+    def record_served(self, request: str, now: int, size: int, to_origin: bool | None = None) -> None:
         """Move a request to served; `to_origin` counts the attempt that brought the answer, in one step."""
         if (entry := self._close(request, now, "served")) is not None:
             self._served.append((entry, now, size, to_origin))
 
-    def refuse(self, request: str, now: int, reason: str) -> None:
+    def record_rejected(self, request: str, now: int, reason: str) -> None:
         """Move a request to refused."""
         if (entry := self._close(request, now, "refused")) is not None:
             self._accounts[entry[:2]].refused[reason] += 1
 
-    def fail(self, request: str, now: int, reason: str) -> None:
+    def record_failed(self, request: str, now: int, reason: str) -> None:
         """Move a request to failed."""
         if (entry := self._close(request, now, "failed")) is not None:
             self._accounts[entry[:2]].failed[reason] += 1
 
-    def leave(self, request: str, now: int) -> None:
+    def record_disconnected(self, request: str, now: int) -> None:
         """Move a request to gone: its client has left."""
         if (entry := self._close(request, now, "gone")) is not None:
             self._accounts[entry[:2]].gone += 1
 
-    def turn_away(
+    def record_unopened(
         self,
         request_class: str,
         namespace: str | None,
@@ -193,7 +196,7 @@
         failed: str = "",
     ) -> None:
         """Take a request and close it in one move: one that is never given to the decisions."""
-        account = self._accounts[request_class, self._names.get(namespace, OTHER)]
+        account = self._accounts[request_class, self._namespace_labels.get(namespace, OTHER)]
         account.taken += 1
         account.bytes_taken += size
         if refused:
@@ -201,12 +204,14 @@
         else:
             account.failed[failed] += 1
 
-    def attempt(self, request_class: str, namespace: str | None, outcome: str, to_origin: bool) -> None:
+    def record_attempt(
+        self, request_class: str, namespace: str | None, outcome: str, to_origin: bool
+    ) -> None:
         """Count the end of an attempt; it may come long after its request was closed."""
-        name = self._names.get(namespace, OTHER)
+        name = self._namespace_labels.get(namespace, OTHER)
         self._attempts.append((request_class, name, outcome, to_origin))
 
-    def _post(self) -> None:
+    def _post_moves(self) -> None:
         """Post what stands in the daybooks to the accounts.
 
         Many at once, as the same few steps in a row cost a fraction of what they cost between a request's
@@ -239,7 +244,7 @@
     @property
     def accounts(self) -> dict[tuple[str, str], Account]:
         """All accounts, by class and namespace, with all moves posted."""
-        self._post()
+        self._post_moves()
         return self._accounts
 
     def _close(self, request: str, now: int, what: str) -> _Entry | None:
@@ -250,13 +255,13 @@
             self._breach(kind, now, request, before, what)
             return None
         self._closed[request] = entry
-        if len(self._closed) >= REMEMBERED:
+        if len(self._closed) >= CLOSED_HISTORY:
             self._closed, self._closed_before = {}, self._closed
         if self._overdue:
             self._overdue.discard(request)
         return entry
 
-    def carry(self, rows: Iterable[dict[str, Any]]) -> None:
+    def import_rows(self, rows: Iterable[dict[str, Any]]) -> None:
         """Open with a predecessor's closing balance, in the form of `figures`.
 
         An account that the settings don't know any longer goes to the other namespaces' account of its class;
@@ -265,7 +270,7 @@
         for row in rows:
             if row["class"] not in self._aims:
                 continue
-            account = self._accounts[row["class"], self._names.get(row["namespace"], OTHER)]
+            account = self._accounts[row["class"], self._namespace_labels.get(row["namespace"], OTHER)]
             account.taken += row["taken"]
             account.served_in_aim += row["served_in_aim"]
             account.served_late += row["served_late"]
@@ -306,8 +311,8 @@
     def acknowledge(self, number: int) -> int:
         """Take note of all breaches up to this number; returns how many that were."""
         kept = [breach for breach in self.breaches if breach.number > number]
-        noted, self.breaches = len(self.breaches) - len(kept), kept
-        return noted
+        acknowledged, self.breaches = len(self.breaches) - len(kept), kept
+        return acknowledged
 
     def _breach(self, kind: BreachKind, now: int, request: str, entry: _Entry | None, what: str = "") -> None:
         self.breach_count += 1
@@ -321,10 +326,10 @@
             namespace=namespace,
             path=f"{path}: {what}" if path and what else path or what,
         )
-        if len(self.breaches) < MOST_BREACHES:
+        if len(self.breaches) < MAX_PENDING_BREACHES:
             self.breaches.append(breach)
-        if self._told is not None:
-            self._told(breach)
+        if self._on_breach is not None:
+            self._on_breach(breach)
 
     # Export
 
@@ -334,9 +339,9 @@
         rows = [(account.copy(), counts[key]) for key, account in self.accounts.items() if account.taken]
         return Cut(rows, self.breach_count, tuple(self.breaches))
 
-    def figures(self) -> list[dict[str, Any]]:
+    def export_rows(self) -> list[dict[str, Any]]:
         """Every account in plain values, in one order; accounts in which nothing ever stood are left out."""
-        return self.cut().figures()
+        return self.cut().export_rows()
 
 
 @dataclass(frozen=True, slots=True)
@@ -349,7 +354,7 @@
     breaches: tuple[Breach, ...]
     """Those not yet acknowledged."""
 
-    def figures(self) -> list[dict[str, Any]]:
+    def export_rows(self) -> list[dict[str, Any]]:
         """Every account in plain values, in one order."""
         return [
             {
--- a/pebblepass/accounting/listener.py
+++ b/pebblepass/accounting/listener.py
@@ -1,7 +1,7 @@
 """The operator's listener: the ledger over HTTP/1.1, and breaches as a stream of server-sent events.
 
 `GET /figures` JSON; `GET /metrics` OpenMetrics; `GET /breaches` the stream (WHATWG HTML, Server-sent events);
-`POST /breaches/acknowledge?through=N` takes note of breaches. What to say comes from `Pages`.
+`POST /breaches/acknowledge?through=N` takes note of breaches. What to say comes from `AccountingPages`.
 """
 
 from __future__ import annotations
@@ -31,28 +31,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pages:
-    """What the listener tells."""
+class AccountingPages:
+    """Where the pages come from."""
 
     figures: Callable[[], Awaitable[bytes]]
     metrics: Callable[[], Awaitable[tuple[str, bytes]]]
     """The content type, and the text."""
     acknowledge: Callable[[int], int]
-    """Takes note of breaches up to a number; returns how many those were."""
+    """Acknowledges breaches up to a number; returns how many."""
     pending: Callable[[], list[bytes]]
-    """The events of the breaches that nobody has taken note of."""
+    """The events of unacknowledged breaches."""
 
 
-class FiguresListener:
-    """The listener, its connections and its subscribers."""
+class AccountingServer:
+    """The accounting pages over HTTP, and the subscribers of breaches."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, pages: Pages) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, pages: AccountingPages) -> None:
         self.pages = pages
         self.subscribers: dict[Connection, None] = {}
         self._server = HttpServer(loop, self._respond, LIMITS)
 
     async def listen(self, address: Address) -> Address:
-        """Listen; raises OSError where the address can't be had. Returns the address."""
+        """Listen, and return the bound address; raises OSError if it can't be bound."""
         return await self._server.listen(address)
 
     def publish(self, event: bytes) -> None:
@@ -61,7 +61,7 @@
             subscriber.push(event, MAX_UNREAD_BYTES)
 
     def close(self) -> None:
-        """End."""
+        """Stop listening and abort all connections."""
         self._server.close()
 
     async def _respond(self, connection: Connection, method: str, target: str) -> Page | None:
--- a/pebblepass/accounting/metrics.py
+++ b/pebblepass/accounting/metrics.py
@@ -36,14 +36,14 @@
 
 
 class CutCollector:
-    """Tells one cut through the ledger."""
+    """Collects the metrics of one cut of the ledger."""
 
     def __init__(self, cut: Cut) -> None:
         self._cut = cut
 
     def collect(self) -> Iterator[Metric]:
         """Called by prometheus_client."""
-        rows = self._cut.figures()
+        rows = self._cut.export_rows()
         for key, words in _COUNTS:
             family = CounterMetricFamily(f"pebblepass_{key}", words, labels=LABELS)
             for row in rows:
@@ -90,7 +90,7 @@
 
 
 def exposition(cut: Cut) -> bytes:
-    """The whole text of a scrape."""
+    """Return the text of a scrape."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(CutCollector(cut))
     text: bytes = generate_latest(registry)  # type: ignore[no-untyped-call]
--- a/pebblepass/accounting/service.py
+++ b/pebblepass/accounting/service.py
@@ -1,4 +1,4 @@
-"""The ledger at work in a running router: audits, telling of breaches, export, snapshots."""
+"""The ledger in a running router: audits, breach reports, export pages, snapshots."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
 
 from pebblepass.accounting import snapshot
 from pebblepass.accounting.ledger import Breach, Ledger
-from pebblepass.accounting.listener import FiguresListener, Pages
+from pebblepass.accounting.listener import AccountingPages, AccountingServer
 from pebblepass.accounting.webhook import Webhook
 from pebblepass.decisions.interface import Settings
-from pebblepass.operator_config import FiguresSection
+from pebblepass.operator_config import AccountingSection
 from pebblepass.wire.address import Address, parse_address
 
-AUDIT_S = 0.08  # breaches are told within 0.1 s
-SLACK_NS = 120_000_000  # after its deadline in which a request may still get its answer
+AUDIT_INTERVAL_S = 0.08  # breaches are reported within 0.1 s
+DEADLINE_SLACK_NS = 120_000_000  # after its deadline a request may still be answered for so long
 
 T = TypeVar("T")
 
 log = logging.getLogger("pebblepass")
 
 
-def make_ledger(settings: Settings, told: Callable[[Breach], None] | None = None) -> Ledger:
-    """A ledger with the settings' classes and namespaces."""
+def make_ledger(settings: Settings, on_breach: Callable[[Breach], None] | None = None) -> Ledger:
+    """Return a ledger with the settings' classes and namespaces."""
     aims = {cls.name: cls.latency_target for cls in settings.classes}
-    return Ledger(aims, (tenant.name for tenant in settings.tenants), told)
+    return Ledger(aims, (tenant.name for tenant in settings.tenants), on_breach)
 
 
-class FiguresService:
-    """What surrounds the ledger; nothing of it stands in the way of a request."""
+class AccountingService:
+    """Owns the ledger of a router; its own work never delays a request."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        section: FiguresSection,
+        section: AccountingSection,
         router: str,
         settings: Settings,
         unix_ns: Callable[[], int],
@@ -53,18 +53,21 @@
         self._loop, self._section, self._router = loop, section, router
         self._unix_ns = unix_ns
         self._file = Path(section.directory) / f"{router}.figures.json" if section.directory else None
-        self.ledger = make_ledger(settings, self._breached)
+        self.ledger = make_ledger(settings, self._report_breach)
         self.epoch, self.unknown = fresh_epoch, 0
         if self._file is not None:
             try:
-                opening = snapshot.opening(self._file, router, fresh_epoch)
+                initial = snapshot.load_initial_state(self._file, router, fresh_epoch)
             except snapshot.SnapshotError as error:
                 raise snapshot.SnapshotError(f"{self._file}: {error}") from None
-            self.epoch, self.unknown = opening.epoch, opening.unknown
-            self.ledger.carry(opening.rows)
+            self.epoch, self.unknown = initial.epoch, initial.unknown
+            self.ledger.import_rows(initial.rows)
         self._address = parse_address("figures.listen", section.listen) if section.listen else None
-        self._listener = FiguresListener(
-            loop, Pages(self._figures, self._metrics, self.ledger.acknowledge, self._pending)
+        self._listener = AccountingServer(
+            loop,
+            AccountingPages(
+                self._export_page, self._metrics_page, self.ledger.acknowledge, self._pending_events
+            ),
         )
         self._webhook = _webhook(loop, section.webhook) if section.webhook else None
         # One for the disk, which may hang, and one for the pages; a thread begins with its first work.
@@ -77,7 +80,10 @@
     async def start(
         self, now: Callable[[], int], open_requests: Callable[[], Collection[str]]
     ) -> Address | None:
-        """Begin; `open_requests` gives the ids that are owed an answer. Raises OSError on the address."""
+        """Start audits, pages and snapshots; raises OSError if the address can't be bound.
+
+        `open_requests` returns the ids of requests without a final answer.
+        """
         self._now, self._open = now, open_requests
         bound = await self._listener.listen(self._address) if self._address is not None else None
         self._audit()
@@ -86,7 +92,7 @@
         return bound
 
     def stop(self, closing: bool) -> None:
-        """End; `closing`: in good order, so that a successor can go on with these figures."""
+        """Stop; `closing`: write a closing balance, so that a successor can continue it."""
         for timer in self._timers.values():
             timer.cancel()
         # Danger: a snapshot that is still under way must not come after the closing one.
@@ -97,10 +103,10 @@
             self._webhook.close()
         self._listener.close()
 
-    def line(self) -> str:
-        """All in one line, for who can't have a listener."""
+    def summary_line(self) -> str:
+        """Return the totals in one line, for operators without a listener."""
         total: dict[str, int] = {}
-        for row in self.ledger.figures():
+        for row in self.ledger.export_rows():
             for name in ("taken", "served", "refused", "failed", "gone", "open"):
                 total[name] = total.get(name, 0) + row[name]
         told = " ".join(f"{name} {count}" for name, count in total.items())
@@ -109,10 +115,10 @@
     # Checks
 
     def _audit(self) -> None:
-        self._timers["audit"] = self._loop.call_later(AUDIT_S, self._audit)
-        self.ledger.audit(self._now(), SLACK_NS, self._open())
+        self._timers["audit"] = self._loop.call_later(AUDIT_INTERVAL_S, self._audit)
+        self.ledger.audit(self._now(), DEADLINE_SLACK_NS, self._open())
 
-    def _breached(self, breach: Breach) -> None:
+    def _report_breach(self, breach: Breach) -> None:
         log.error("breach %d: %s: %s %s", breach.number, breach.kind.value, breach.request, breach.path)
         self._listener.publish(_event(breach))
         if self._webhook is not None:
@@ -120,7 +126,7 @@
 
     # Export
 
-    async def _figures(self) -> bytes:
+    async def _export_page(self) -> bytes:
         cut = self.ledger.cut()
         facts: dict[str, Any] = {
             "router": self._router,
@@ -132,21 +138,21 @@
         }
 
         def encode() -> bytes:
-            return msgspec.json.encode({**facts, "figures": cut.figures()}) + b"\n"
+            return msgspec.json.encode({**facts, "figures": cut.export_rows()}) + b"\n"
 
-        return await self._apart(encode)
+        return await self._run_in_worker(encode)
 
-    async def _metrics(self) -> tuple[str, bytes]:
+    async def _metrics_page(self) -> tuple[str, bytes]:
         from pebblepass.accounting.metrics import CONTENT_TYPE, exposition  # only who scrapes pays for it
 
         cut = self.ledger.cut()
-        return CONTENT_TYPE, await self._apart(lambda: exposition(cut))
+        return CONTENT_TYPE, await self._run_in_worker(lambda: exposition(cut))
 
-    def _apart(self, work: Callable[[], T]) -> asyncio.Future[T]:
-        """Work on a cut, or with the disk, in another thread: requests go on meanwhile."""
+    def _run_in_worker(self, work: Callable[[], T]) -> asyncio.Future[T]:
+        """Run work on a cut or the disk in another thread, beside the requests."""
         return self._loop.run_in_executor(self._workers, work)
 
-    def _pending(self) -> list[bytes]:
+    def _pending_events(self) -> list[bytes]:
         return [_event(breach) for breach in self.ledger.breaches]
 
     # Snapshots
@@ -156,21 +162,21 @@
         self._timers["snapshot"] = self._loop.call_later(due, self._write_regularly)
         # Guards against a disk that hangs: its snapshots are left out, and don't pile up.
         if self._writing is None or self._writing.done():
-            self._writing = self._apart(self._snapshot(closing=False))
+            self._writing = self._run_in_worker(self._snapshot(closing=False))
 
     def _snapshot(self, closing: bool) -> Callable[[], None]:
-        """What writes the ledger down as it stands now."""
+        """Return a function that writes the ledger as it is now."""
         file, cut, now = self._file, self.ledger.cut(), self._unix_ns()
         assert file is not None
 
         def write() -> None:
             try:
                 data = snapshot.encode(
-                    self._router, self.epoch, now, closing, cut.breach_count, cut.figures()
+                    self._router, self.epoch, now, closing, cut.breach_count, cut.export_rows()
                 )
-                snapshot.write(file, data)
+                snapshot.write_file(file, data)
             except OSError as error:
-                log.error("%s: %s", file, error.strerror)
+                log.error("%s: writing the accounting snapshot failed: %s", file, error.strerror)
 
         return write
 
--- a/pebblepass/accounting/snapshot.py
+++ b/pebblepass/accounting/snapshot.py
@@ -14,7 +14,7 @@
 
 
 class SnapshotError(ValueError):
-    """A snapshot can't be used; the text is one plain line."""
+    """A snapshot can't be used; the text is one line."""
 
 
 class Row(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -55,13 +55,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Opening:
-    """With what a router begins."""
+class InitialState:
+    """The accounting state with which a router starts."""
 
     epoch: str
     rows: list[dict[str, Any]]
     unknown: int
-    """Requests that the last snapshot of a killed predecessor left open: what became of them nobody knows."""
+    """Requests left open in the last snapshot of a killed predecessor; their outcome is unknown."""
 
 
 def encode(
@@ -97,7 +97,7 @@
     return snapshot
 
 
-def opening(path: Path, router: str, fresh_epoch: str) -> Opening:
+def load_initial_state(path: Path, router: str, fresh_epoch: str) -> InitialState:
     """What a router opens with; a closing balance is used once, and then no longer closes.
 
     Raises SnapshotError where the file there can't be used.
@@ -105,16 +105,16 @@
     try:
         data = path.read_bytes()
     except FileNotFoundError:
-        return Opening(fresh_epoch, [], 0)
+        return InitialState(fresh_epoch, [], 0)
     except OSError as error:
         raise SnapshotError(str(error.strerror)) from None
     snapshot = decode(data, router)
     left_open = sum(row.open for row in snapshot.figures)
     if not snapshot.closing or left_open:
-        return Opening(fresh_epoch, [], left_open)
-    return Opening(snapshot.epoch, [msgspec.to_builtins(row) for row in snapshot.figures], 0)
+        return InitialState(fresh_epoch, [], left_open)
+    return InitialState(snapshot.epoch, [msgspec.to_builtins(row) for row in snapshot.figures], 0)
 
 
-def write(path: Path, data: bytes) -> None:
+def write_file(path: Path, data: bytes) -> None:
     """Write a file so that a reader sees the old or the new one, never a part; raises OSError."""
     replace_whole(Folder(path.parent), path.name, data)
--- a/pebblepass/daemon/__main__.py
+++ b/pebblepass/daemon/__main__.py
@@ -22,8 +22,8 @@
 from pebblepass.daemon.loop import DaemonLoop
 
 if TYPE_CHECKING:
-    from pebblepass.accounting.service import FiguresService
-    from pebblepass.operator_config import FiguresSection, FleetSection, ManyKeysSection
+    from pebblepass.accounting.service import AccountingService
+    from pebblepass.operator_config import AccountingSection, FleetSection, MultiGetSection
 
 daemon_class = Daemon  # a trial of a broken program puts another here
 OPERATOR_VARIABLE = "PEBBLEPASS_OPERATOR"
@@ -37,9 +37,9 @@
 
     def __init__(self, environ: Mapping[str, str], limit: Limit) -> None:
         self._path, self._limit = environ.get(OPERATOR_VARIABLE), limit
-        self.figures: FiguresSection | None = None
+        self.figures: AccountingSection | None = None
         """What the ledger is told; read at the start only."""
-        self.many_keys: ManyKeysSection | None = None
+        self.many_keys: MultiGetSection | None = None
         """Whether many keys are read at once, and within which bounds; read at the start only."""
         self.fleet: FleetSection | None = None
         """The fleet that this router belongs to; read at the start only."""
@@ -93,16 +93,18 @@
     return taken
 
 
-def open_figures(loop: asyncio.AbstractEventLoop, config: Config, section: FiguresSection) -> FiguresService:
+def open_figures(
+    loop: asyncio.AbstractEventLoop, config: Config, section: AccountingSection
+) -> AccountingService:
     """Open the ledger; raises ValueError in one plain line where it can't be opened."""
-    from pebblepass.accounting.service import FiguresService
+    from pebblepass.accounting.service import AccountingService
 
     epoch = os.urandom(8).hex()
-    return FiguresService(loop, section, config.name, config.settings, time.time_ns, epoch)
+    return AccountingService(loop, section, config.name, config.settings, time.time_ns, epoch)
 
 
 async def serve(
-    config: Config, operator: OperatorFile, figures: FiguresService | None, early: list[int]
+    config: Config, operator: OperatorFile, figures: AccountingService | None, early: list[int]
 ) -> None:
     """Run until SIGTERM, and then until all that was taken is answered.
 
@@ -130,7 +132,7 @@
     loop.add_signal_handler(signal.SIGHUP, reload)
     if figures is not None:
         daemon.host.ledger = figures.ledger
-        loop.add_signal_handler(signal.SIGUSR1, lambda: log.info("%s", figures.line()))
+        loop.add_signal_handler(signal.SIGUSR1, lambda: log.info("%s", figures.summary_line()))
         await figures.start(daemon.host.now, daemon.host.open_requests)
     await daemon.start()
     if early:
--- a/pebblepass/daemon/attempts.py
+++ b/pebblepass/daemon/attempts.py
@@ -329,9 +329,9 @@
             # Accounted for first: to cut the client off ends its connection, as if it had left by itself.
             if ledger is not None and not request.accounted:
                 if outcome is Outcome.OK:
-                    ledger.serve(request.id, now, self._length)
+                    ledger.record_served(request.id, now, self._length)
                 else:
-                    ledger.fail(request.id, now, "cut off")
+                    ledger.record_failed(request.id, now, "cut off")
             request.accounted = True
             if outcome is Outcome.OK:
                 host.counters.answered[request.command.fields["c"]] += 1
@@ -346,11 +346,11 @@
             reply.send(resp.bulk(value))
             host.counters.answered[request.command.fields["c"]] += 1
             if ledger is not None:
-                ledger.serve(request.id, now, len(value), self._to_origin)
+                ledger.record_served(request.id, now, len(value), self._to_origin)
                 ledger = None  # told of both
         if ledger is not None:
             fields = request.command.fields
-            ledger.attempt(fields["c"], fields.get("t"), outcome.value, self._to_origin)
+            ledger.record_attempt(fields["c"], fields.get("t"), outcome.value, self._to_origin)
         latency = self._latency or self._elapsed(now)
         load, stale = host.parse_load_report(report), self._spared or self.connection_failed
         told = request.closed, latency, note, load, stale, self.connection_rejected
--- a/pebblepass/daemon/daemon.py
+++ b/pebblepass/daemon/daemon.py
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from pebblepass.daemon.fleet import FleetPart
     from pebblepass.daemon.succession import Succession
-    from pebblepass.operator_config import FleetSection, ManyKeysSection
+    from pebblepass.operator_config import FleetSection, MultiGetSection
 
 READY_S = 1.0  # the wait for discovery's first list, after which the known one must do
 START_SHARE = 0.4  # of the cores that it has, that the start may have taken when clients come
@@ -105,7 +105,7 @@
         self._control: ControlServer | None = None
         self._fleet: FleetPart | None = None
 
-    def read_many(self, section: ManyKeysSection) -> None:
+    def read_many(self, section: MultiGetSection) -> None:
         """Take reads of many keys; before the start."""
         # Loaded only where the operator wants it.
         from pebblepass.daemon.multi_get.reads import MultiGetReads
--- a/pebblepass/daemon/multi_get/batches.py
+++ b/pebblepass/daemon/multi_get/batches.py
@@ -153,8 +153,8 @@
         if host.ledger is not None:
             fields = read.command.fields
             for name, entry in zip(names, entries, strict=True):
-                host.ledger.serve(name, now, bulk_length(entry))
-                host.ledger.attempt(fields["c"], fields.get("t"), Outcome.OK.value, False)
+                host.ledger.record_served(name, now, bulk_length(entry))
+                host.ledger.record_attempt(fields["c"], fields.get("t"), Outcome.OK.value, False)
         host.counters.answered[read.command.fields["c"]] += len(names)
         read.gathering.end_all([key.number for key in taken], entries)
         reads.schedule(read)
--- a/pebblepass/daemon/multi_get/reads.py
+++ b/pebblepass/daemon/multi_get/reads.py
@@ -28,7 +28,7 @@
 if TYPE_CHECKING:
     from pebblepass.daemon.attempts import Attempt
     from pebblepass.daemon.router import RouterHost
-    from pebblepass.operator_config import ManyKeysSection
+    from pebblepass.operator_config import MultiGetSection
 
 PATH = "RESP2 client, many keys"
 STARVED_RETRY_S = 0.01
@@ -52,7 +52,7 @@
         loop: asyncio.AbstractEventLoop,
         host: RouterHost,
         pool: Pool,
-        section: ManyKeysSection,
+        section: MultiGetSection,
         memory: int,
     ) -> None:
         """`memory`: the router's, in bytes."""
@@ -138,7 +138,7 @@
             cls, tenant = command.fields["c"], command.fields.get("t")
             for number, key in enumerate(read.gathering.keys):
                 size = command.key_size(key)
-                host.ledger.take(read.request_id(number), cls, tenant, now, read.deadline, size, PATH)
+                host.ledger.open_request(read.request_id(number), cls, tenant, now, read.deadline, size, PATH)
         read.reply.request = read
         read.reply.free_command()
         read.reply.start(read.gathering.head, read)
@@ -177,9 +177,9 @@
             host.drop_request(request, failed)
         elif host.ledger is not None:  # it was never requested
             if failed:
-                host.ledger.fail(request_id, host.now(), failed)
+                host.ledger.record_failed(request_id, host.now(), failed)
             else:
-                host.ledger.leave(request_id, host.now())
+                host.ledger.record_disconnected(request_id, host.now())
 
     def drop(self, read: MultiGet) -> None:
         """Cancel a command's queued keys, and withdraw its batches."""
--- a/pebblepass/daemon/router.py
+++ b/pebblepass/daemon/router.py
@@ -229,7 +229,7 @@
             deadline = now - reply.unread_ns + command.timeout_ms * NS_PER_MS
             if self.ledger is not None:
                 tenant = fields.get("t")
-                self.ledger.take(request_id, fields["c"], tenant, now, deadline, command.size, PATH)
+                self.ledger.open_request(request_id, fields["c"], tenant, now, deadline, command.size, PATH)
             self.open(OpenRequest(request_id, command, reply, deadline))
             return
         reply.free_command()
@@ -278,7 +278,7 @@
             (self.counters.deferred if refused else self.counters.errored)[cls] += 1
         if self.ledger is not None and cls in self.classes:
             tenant = command.fields.get("t")
-            self.ledger.turn_away(cls, tenant, self.now(), command.size, PATH, refused, failed)
+            self.ledger.record_unopened(cls, tenant, self.now(), command.size, PATH, refused, failed)
 
     def client_disconnected(self, reply: ReplySlot) -> None:
         """The client that waits for this reply has left."""
@@ -293,9 +293,9 @@
             self.counters.errored[request.command.fields["c"]] += 1
         if self.ledger is not None and not request.accounted:
             if failed:
-                self.ledger.fail(request.id, self.now(), failed)
+                self.ledger.record_failed(request.id, self.now(), failed)
             else:
-                self.ledger.leave(request.id, self.now())
+                self.ledger.record_disconnected(request.id, self.now())
         request.closed = request.accounted = True
         if isinstance(request.reply.source, Attempt):
             request.reply.source.client_left()
@@ -316,7 +316,7 @@
         """The router ends: what is still owed an answer has failed, whatever becomes of its connection."""
         if self.ledger is not None:
             for request_id in self.open_requests():
-                self.ledger.fail(request_id, self.now(), "router ended")
+                self.ledger.record_failed(request_id, self.now(), "router ended")
         if self.many is not None:
             self.many.abandon()
         for request in self._requests.values():
@@ -335,9 +335,9 @@
             (self.counters.deferred if refused else self.counters.errored)[request.command.fields["c"]] += 1
             if self.ledger is not None:
                 if refused:
-                    self.ledger.refuse(request_id, self.now(), refused)
+                    self.ledger.record_rejected(request_id, self.now(), refused)
                 else:
-                    self.ledger.fail(request_id, self.now(), failed)
+                    self.ledger.record_failed(request_id, self.now(), failed)
             request.reply.send(data)
             request.withdraw()
             self.forget_if_settled(request)
--- a/pebblepass/operator_config/__init__.py
+++ b/pebblepass/operator_config/__init__.py
@@ -1,24 +1,24 @@
-"""The operator's own file: one checked schema, a section for each subsystem.
+"""The operator's file: one validated schema, with a section for each subsystem.
 
-`run` loads this only where `PEBBLEPASS_OPERATOR` names a file; without one every subsystem is off.
+`run` loads it only if `PEBBLEPASS_OPERATOR` names a file; without one every subsystem is off.
 """
 
-from pebblepass.operator_config.checked import FileError, decode_toml, describe, read_toml
+from pebblepass.operator_config.loader import FileError, decode_toml, describe, read_toml
 from pebblepass.operator_config.schema import (
-    FiguresSection,
+    AccountingSection,
     FleetSection,
     LogSection,
-    ManyKeysSection,
+    MultiGetSection,
     Operator,
     load_operator,
 )
 
 __all__ = [
-    "FiguresSection",
+    "AccountingSection",
     "FileError",
     "FleetSection",
     "LogSection",
-    "ManyKeysSection",
+    "MultiGetSection",
     "Operator",
     "decode_toml",
     "describe",
--- a/pebblepass/operator_config/checked.py
+++ b/pebblepass/operator_config/loader.py
@@ -1,28 +1,37 @@
-"""TOML files decoded into frozen structs; whatever can't be used is one plain line that names the key."""
+"""Loads TOML files into frozen structs and validates them; an error is one line that names the key."""
 
 from __future__ import annotations
 
 import re
 from collections.abc import Iterator
 from pathlib import Path
-from typing import Any, TypeVar, get_type_hints
+from typing import Any, NamedTuple, TypeVar, get_type_hints
 
 import msgspec
 
 T = TypeVar("T", bound=msgspec.Struct)
 
-_PLACE = re.compile(r" - at `\$(.*)`$", re.S)
-_STEP = re.compile(r"\.([A-Za-z_][A-Za-z_0-9-]*)|\[(\d+|\.\.\.)\]")
+_ERROR_PATH = re.compile(r" - at `\$(.*)`$", re.S)
+_PATH_STEP = re.compile(r"\.([A-Za-z_][A-Za-z_0-9-]*)|\[(\d+|\.\.\.)\]")
 _UNKNOWN = re.compile(r"Object contains unknown field `(.*)`", re.S)
 _MISSING = re.compile(r"Object missing required field `(.*)`", re.S)
 
 
 class FileError(Exception):
-    """A file can't be used; the text is one plain line that names the file and the place."""
+    """A file can't be used; the text is one line that names the file and the key."""
+
+
+class ConfigEntry(NamedTuple):
+    """One key in force."""
+
+    name: str
+    """Dotted, as in `figures.listen`."""
+    value: Any
+    description: str
 
 
 def read_toml(path: str | Path, kind: type[T]) -> T:
-    """Read a file; raises FileError."""
+    """Read and validate a file; raises FileError."""
     try:
         data = Path(path).read_bytes()
     except OSError as error:
@@ -31,7 +40,7 @@
 
 
 def decode_toml(name: str, data: bytes, kind: type[T]) -> T:
-    """Decode a file's bytes, whole or not at all; raises FileError."""
+    """Decode and validate a file's bytes; `name` stands in errors. Raises FileError."""
     try:
         return msgspec.toml.decode(data, type=kind)
     except msgspec.ValidationError as error:
@@ -40,35 +49,46 @@
         raise FileError(f"{name}: not TOML: {_one_line(str(error))}") from None
 
 
-def describe(value: msgspec.Struct, prefix: str = "") -> Iterator[tuple[str, Any, str]]:
-    """Every key that is in force, as its dotted name, its value and its meaning."""
+def describe(value: msgspec.Struct, prefix: str = "") -> Iterator[ConfigEntry]:
+    """Yield every key in force: its dotted name, its value and its description."""
     hints = _hints(type(value))
     for field in msgspec.structs.fields(type(value)):
-        name, held = prefix + field.encode_name, getattr(value, field.name)
-        meaning = _meaning(hints[field.name])
-        if isinstance(held, msgspec.Struct):
-            yield from describe(held, name + ".")
-        elif isinstance(held, tuple | list) and held and isinstance(held[0], msgspec.Struct):
-            for place, entry in enumerate(held):
-                yield from describe(entry, f"{name}[{place}].")
+        name, setting = prefix + field.encode_name, getattr(value, field.name)
+        if isinstance(setting, msgspec.Struct):
+            yield from describe(setting, name + ".")
+        elif isinstance(setting, tuple | list) and setting and isinstance(setting[0], msgspec.Struct):
+            for index, entry in enumerate(setting):
+                yield from describe(entry, f"{name}[{index}].")
         else:
-            yield name, held, meaning
+            yield ConfigEntry(name, setting, _description(hints[field.name]))
 
 
 def _explain(message: str, kind: type[msgspec.Struct]) -> str:
-    place = _PLACE.search(message)
-    steps = [a or b for a, b in _STEP.findall(place[1])] if place else []
-    what = _PLACE.sub("", message)
-    for pattern, words in ((_UNKNOWN, "unknown key"), (_MISSING, "missing key")):
-        if found := pattern.search(what):
-            steps, what = [*steps, found[1]], words
+    path = _ERROR_PATH.search(message)
+    steps = [key or index for key, index in _PATH_STEP.findall(path[1])] if path else []
+    problem = _ERROR_PATH.sub("", message)
+    for pattern, replacement in ((_UNKNOWN, "unknown key"), (_MISSING, "missing key")):
+        if found := pattern.search(problem):
+            steps, problem = [*steps, found[1]], replacement
+    problem = problem[:1].lower() + problem[1:]
+    name = _dotted_name(steps)
+    description = _description_at(kind, steps)
+    text = f"{name}: {problem}" if name else problem
+    return _one_line(f"{text} ({description})" if description else text)
+
+
+def _dotted_name(steps: list[str]) -> str:
     name = ""
     for step in steps:
-        name += f"[{step}]" if step.isdigit() or step == "..." else f".{step}" if name else step
-    meaning = _meaning_at(kind, steps)
-    what = what[0].lower() + what[1:] if what else what
-    told = f"{name}: {what}" if name else what
-    return _one_line(f"{told} ({meaning})" if meaning else told)
+        if _is_index(step):
+            name += f"[{step}]"
+        else:
+            name += f".{step}" if name else step
+    return name
+
+
+def _is_index(step: str) -> bool:
+    return step.isdigit() or step == "..."
 
 
 def _one_line(text: str) -> str:
@@ -79,7 +99,7 @@
     return get_type_hints(kind, include_extras=True)
 
 
-def _meaning(hint: Any) -> str:
+def _description(hint: Any) -> str:
     for extra in getattr(hint, "__metadata__", ()):
         if isinstance(extra, msgspec.Meta) and extra.description:
             return extra.description
@@ -96,11 +116,11 @@
         yield from _structs(hint.__origin__)
 
 
-def _meaning_at(kind: type[msgspec.Struct], steps: list[str]) -> str:
+def _description_at(kind: type[msgspec.Struct], steps: list[str]) -> str:
     kinds: list[type[msgspec.Struct]] = [kind]
-    meaning = ""
+    description = ""
     for step in steps:
-        if step.isdigit() or step == "...":
+        if _is_index(step):
             continue
         found = [
             (inner, field)
@@ -112,6 +132,6 @@
             return ""
         inner, field = found[0]
         hint = _hints(inner)[field.name]
-        meaning = _meaning(hint)
+        description = _description(hint)
         kinds = list(dict.fromkeys(_structs(hint)))
-    return meaning
+    return description
--- a/pebblepass/operator_config/schema.py
+++ b/pebblepass/operator_config/schema.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from pebblepass.operator_config.checked import FileError, read_toml
+from pebblepass.operator_config.loader import FileError, read_toml
 
 
 class LogSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -23,7 +23,7 @@
     ] = 5
 
 
-class FiguresSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class AccountingSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """`[figures]`: the ledger. Without this section the router keeps none."""
 
     listen: Annotated[
@@ -42,7 +42,7 @@
     ] = ""
 
 
-class ManyKeysSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class MultiGetSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """`[many_keys]`: reads of many keys, `KV.MGET`. Without this section the command is unknown."""
 
     keys_in_flight: Annotated[
@@ -113,8 +113,8 @@
     """The whole file; a section that is left out leaves its subsystem as it is by default."""
 
     log: Annotated[LogSection, msgspec.Meta(description="the log")] = LogSection()
-    figures: Annotated[FiguresSection | None, msgspec.Meta(description="the ledger")] = None
-    many_keys: Annotated[ManyKeysSection | None, msgspec.Meta(description="reads of many keys, KV.MGET")] = (
+    figures: Annotated[AccountingSection | None, msgspec.Meta(description="the ledger")] = None
+    many_keys: Annotated[MultiGetSection | None, msgspec.Meta(description="reads of many keys, KV.MGET")] = (
         None
     )
     fleet: Annotated[FleetSection | None, msgspec.Meta(description="a fleet of routers")] = None
--- a/pebblepass/simulation/routers.py
+++ b/pebblepass/simulation/routers.py
@@ -18,10 +18,10 @@
 import msgspec
 
 from pebblepass.accounting import snapshot
-from pebblepass.accounting.service import FiguresService
+from pebblepass.accounting.service import AccountingService
 from pebblepass.daemon.config import read_config
 from pebblepass.daemon.daemon import Daemon
-from pebblepass.operator_config import FiguresSection, ManyKeysSection
+from pebblepass.operator_config import AccountingSection, MultiGetSection
 from pebblepass.simulation.clock import VirtualLoop
 from pebblepass.simulation.recovery import RouterState
 from pebblepass.wire.address import Address
@@ -80,7 +80,7 @@
         """`many`: whether it takes reads of many keys."""
         self._loop, self._unix_ns, self._make, self._many = loop, unix_ns, make, many
         self._daemon: Daemon | None = None
-        self._figures: list[FiguresService] = []  # one for each start
+        self._figures: list[AccountingService] = []  # one for each start
         self._killed = False
 
     async def start(self, told: dict[str, Any]) -> None:
@@ -88,10 +88,10 @@
         config = read_config(told, {})
         self._daemon = self._make(self._loop, config, self._unix_ns)
         if self._many:
-            self._daemon.read_many(ManyKeysSection())
+            self._daemon.read_many(MultiGetSection())
         host, starts = self._daemon.host, len(self._figures)
-        figures = FiguresService(
-            self._loop, FiguresSection(), config.name, config.settings, self._unix_ns, f"start {starts}"
+        figures = AccountingService(
+            self._loop, AccountingSection(), config.name, config.settings, self._unix_ns, f"start {starts}"
         )
         self._figures.append(figures)
         host.ledger = figures.ledger
@@ -119,7 +119,7 @@
         """All its ledgers; None once it was killed. It runs on: its open entries are told as such."""
         if self._killed:
             return None
-        return [row for figures in self._figures for row in figures.ledger.figures()]
+        return [row for figures in self._figures for row in figures.ledger.export_rows()]
 
     def reload(self, discovery: Address) -> None:
         """Move its watch, as the reload of a file does."""
--- a/tests/accounting/test_fleet.py
+++ b/tests/accounting/test_fleet.py
@@ -15,7 +15,7 @@
 import pytest
 from click.testing import CliRunner, Result
 
-from pebblepass.accounting.fleet import Cut, Line, add_up, as_html, over_time, read_cuts
+from pebblepass.accounting.fleet import Cut, ReportLine, as_html, read_cuts, sum_cuts, taken_over_time
 from pebblepass.cli import main
 from tests.accounting.test_service import ROW
 
@@ -45,20 +45,20 @@
 
 
 def test_what_passed_between_two_cuts_is_added_over_the_routers() -> None:
-    lines = add_up(
+    lines = sum_cuts(
         cuts(
             [document("r0", "e", row(served=5, open=2)), document("r1", "f", row(served=1, open=1))],
             [document("r0", "e", row(served=9, refused=1, open=1)), document("r1", "f", row(served=4))],
         )
     )
-    assert lines[0] == Line(
+    assert lines[0] == ReportLine(
         "public", "read", open_before=3, taken=6, served_in_aim=7, refused=1, open_after=1
     )
     assert all(line.closes for line in lines)
 
 
 def test_a_new_epoch_begins_at_zero_and_what_was_open_is_unknown() -> None:
-    lines = add_up(
+    lines = sum_cuts(
         cuts(
             [document("r0", "e", row(served=100, open=3))],
             [document("r0", "e", row(served=110, open=4))],
@@ -71,7 +71,7 @@
 
 
 def test_a_router_that_comes_later_counts_from_its_first_cut() -> None:
-    lines = add_up(
+    lines = sum_cuts(
         cuts(
             [document("r0", "e", row(served=1))],
             [document("r0", "e", row(served=2)), document("r1", "f", row(served=50, open=2))],
@@ -83,12 +83,12 @@
 
 
 def test_figures_that_went_astray_do_not_close() -> None:
-    lines = add_up(cuts([document("r0", "e", row(open=2))], [document("r0", "e", row(open=1, taken=2))]))
+    lines = sum_cuts(cuts([document("r0", "e", row(open=2))], [document("r0", "e", row(open=1, taken=2))]))
     assert [line.closes for line in lines] == [False, False]
 
 
 def test_namespaces_stand_apart_and_in_the_total() -> None:
-    lines = add_up(
+    lines = sum_cuts(
         cuts(
             [document("r0", "e", row("public"), row("municipal"))],
             [document("r0", "e", row("public", served=2), row("municipal", gone=1))],
@@ -103,8 +103,8 @@
         [document("r0", "e", row(served=4))],
         [document("r0", "e", row(served=4))],
     )
-    assert over_time(held) == {"public": [(S, 3), (2 * S, 0)]}
-    assert "<polyline" in as_html(add_up(held), over_time(held), "a morning")
+    assert taken_over_time(held) == {"public": [(S, 3), (2 * S, 0)]}
+    assert "<polyline" in as_html(sum_cuts(held), taken_over_time(held), "a morning")
 
 
 # The command
--- a/tests/accounting/test_ledger.py
+++ b/tests/accounting/test_ledger.py
@@ -10,9 +10,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from pebblepass.accounting.ledger import (
-    MOST_BREACHES,
+    CLOSED_HISTORY,
+    MAX_PENDING_BREACHES,
     OTHER,
-    REMEMBERED,
     Breach,
     BreachKind,
     Ledger,
@@ -30,11 +30,11 @@
 
 
 def take(made: Ledger, request: str = "q", cls: str = "fetch", namespace: str | None = "public") -> None:
-    made.take(request, cls, namespace, now=0, due=1000 * MS, size=100, path="RESP2 client")
+    made.open_request(request, cls, namespace, now=0, due=1000 * MS, size=100, path="RESP2 client")
 
 
 def only(made: Ledger) -> dict[str, object]:
-    (row,) = made.figures()
+    (row,) = made.export_rows()
     return row
 
 
@@ -42,7 +42,7 @@
     made, told = ledger()
     take(made)
     assert only(made)["open"] == 1
-    made.serve("q", 20 * MS, 2000)
+    made.record_served("q", 20 * MS, 2000)
     row = only(made)
     assert (row["taken"], row["served"], row["served_in_aim"], row["open"]) == (1, 1, 1, 0)
     assert (row["bytes_taken"], row["bytes_served"]) == (100, 2000)
@@ -54,12 +54,12 @@
     made, told = ledger()
     for name in "abcdef":
         take(made, name)
-    made.serve("a", 300 * MS, 1)
-    made.serve("b", 301 * MS, 1)
-    made.refuse("c", MS, "shed")
-    made.refuse("d", MS, "limit")
-    made.fail("e", MS, "attempts")
-    made.leave("f", MS)
+    made.record_served("a", 300 * MS, 1)
+    made.record_served("b", 301 * MS, 1)
+    made.record_rejected("c", MS, "shed")
+    made.record_rejected("d", MS, "limit")
+    made.record_failed("e", MS, "attempts")
+    made.record_disconnected("f", MS)
     row = only(made)
     assert (row["served_in_aim"], row["served_late"], row["gone"]) == (1, 1, 1)
     assert row["refused_by_reason"] == {"limit": 1, "shed": 1}
@@ -71,8 +71,8 @@
 def test_a_second_final_answer_is_one_breach_with_the_place() -> None:
     made, told = ledger()
     take(made)
-    made.refuse("q", MS, "shed")
-    made.serve("q", 2 * MS, 1)
+    made.record_rejected("q", MS, "shed")
+    made.record_served("q", 2 * MS, 1)
     (breach,) = told
     assert breach.kind is BreachKind.TWICE_CLOSED
     assert breach.as_dict() == {
@@ -89,7 +89,7 @@
 
 def test_an_answer_for_nothing_is_one_breach() -> None:
     made, told = ledger()
-    made.fail("never-asked", MS, "attempts")
+    made.record_failed("never-asked", MS, "attempts")
     assert [breach.kind for breach in told] == [BreachKind.NEVER_TAKEN]
 
 
@@ -132,7 +132,7 @@
 def test_a_figure_that_was_changed_behind_the_ledgers_back_does_not_add_up() -> None:
     made, told = ledger()
     take(made)
-    made.serve("q", MS, 1)
+    made.record_served("q", MS, 1)
     made.accounts["fetch", "public"].served_in_aim += 1
     made.audit(MS, 0, ())
     made.audit(MS, 0, ())
@@ -153,8 +153,8 @@
 
 def test_what_is_turned_away_is_taken_and_closed_in_one_move() -> None:
     made, told = ledger()
-    made.turn_away("fetch", "public", MS, 10, "RESP2 client", refused="connections")
-    made.turn_away("fetch", "public", MS, 10, "RESP2 client", failed="duplicate id")
+    made.record_unopened("fetch", "public", MS, 10, "RESP2 client", refused="connections")
+    made.record_unopened("fetch", "public", MS, 10, "RESP2 client", failed="duplicate id")
     row = only(made)
     assert (row["taken"], row["refused"], row["failed"], row["open"]) == (2, 1, 1, 0)
     made.audit(MS, 0, ())
@@ -164,9 +164,9 @@
 def test_an_attempt_that_ends_after_its_request_still_counts() -> None:
     made, _ = ledger()
     take(made)
-    made.leave("q", MS)
-    made.attempt("fetch", "public", "ok", to_origin=True)
-    made.attempt("fetch", "unheard-of", "ok", to_origin=True)
+    made.record_disconnected("q", MS)
+    made.record_attempt("fetch", "public", "ok", to_origin=True)
+    made.record_attempt("fetch", "unheard-of", "ok", to_origin=True)
     row = only(made)
     assert (row["attempts"], row["origin_fetches"]) == ({"ok": 1}, 1)
 
@@ -175,30 +175,30 @@
     made, told = ledger()
     for name, to_origin in (("a", None), ("b", False), ("c", True)):
         take(made, name)
-        made.serve(name, MS, 1, to_origin)
+        made.record_served(name, MS, 1, to_origin)
     row = only(made)
     assert (row["served"], row["attempts"], row["origin_fetches"], told) == (3, {"ok": 2}, 1, [])
 
 
 def test_breaches_are_kept_until_they_are_acknowledged_and_the_list_is_bounded() -> None:
     made, told = ledger()
-    for number in range(MOST_BREACHES + 10):
-        made.leave(f"nobody-{number}", 0)
-    assert len(made.breaches) == MOST_BREACHES
-    assert made.breach_count == len(told) == MOST_BREACHES + 10
+    for number in range(MAX_PENDING_BREACHES + 10):
+        made.record_disconnected(f"nobody-{number}", 0)
+    assert len(made.breaches) == MAX_PENDING_BREACHES
+    assert made.breach_count == len(told) == MAX_PENDING_BREACHES + 10
     assert made.acknowledge(10) == 10
     assert made.breaches[0].number == 11
-    assert made.acknowledge(made.breach_count) == MOST_BREACHES - 10
+    assert made.acknowledge(made.breach_count) == MAX_PENDING_BREACHES - 10
     assert made.breaches == []
 
 
 def test_what_was_closed_is_remembered_only_so_long() -> None:
     made, told = ledger()
-    for number in range(2 * REMEMBERED):
+    for number in range(2 * CLOSED_HISTORY):
         take(made, f"q{number}")
-        made.leave(f"q{number}", 0)
-    made.leave("q0", 0)
-    made.leave(f"q{REMEMBERED}", 0)
+        made.record_disconnected(f"q{number}", 0)
+    made.record_disconnected("q0", 0)
+    made.record_disconnected(f"q{CLOSED_HISTORY}", 0)
     assert [breach.kind for breach in told] == [BreachKind.NEVER_TAKEN, BreachKind.TWICE_CLOSED]
 
 
@@ -233,7 +233,7 @@
     @rule(name=names, cls=strategies.sampled_from(list(AIMS)), ns=strategies.sampled_from(["public", "x"]))
     def take(self, name: str, cls: str, ns: str) -> None:
         self.now += MS
-        self.ledger.take(name, cls, ns, self.now, self.now + 1000 * MS, 1, "test")
+        self.ledger.open_request(name, cls, ns, self.now, self.now + 1000 * MS, 1, "test")
         if name in self.open:
             self.breaches += 1
             return
@@ -246,13 +246,13 @@
         self.now += MS
         match how:
             case "served":
-                self.ledger.serve(name, self.now, 1)
+                self.ledger.record_served(name, self.now, 1)
             case "refused":
-                self.ledger.refuse(name, self.now, "shed")
+                self.ledger.record_rejected(name, self.now, "shed")
             case "failed":
-                self.ledger.fail(name, self.now, "attempts")
+                self.ledger.record_failed(name, self.now, "attempts")
             case _:
-                self.ledger.leave(name, self.now)
+                self.ledger.record_disconnected(name, self.now)
         key = self.open.pop(name, None)
         if key is None:
             self.breaches += 1
@@ -261,7 +261,7 @@
 
     @rule(name=names)
     def attempt(self, name: str) -> None:
-        self.ledger.attempt("fetch", name, "ok", to_origin=False)
+        self.ledger.record_attempt("fetch", name, "ok", to_origin=False)
 
     @invariant()
     def agrees(self) -> None:
@@ -269,7 +269,7 @@
             return
         self.ledger.audit(self.now, 10**12, self.open)
         assert len(self.told) == self.breaches
-        for row in self.ledger.figures():
+        for row in self.ledger.export_rows():
             key = (str(row["class"]), str(row["namespace"]))
             for how in ("taken", "served", "refused", "failed", "gone"):
                 assert row[how] == self.model[key, how]
--- a/tests/accounting/test_rehearsed.py
+++ b/tests/accounting/test_rehearsed.py
@@ -63,15 +63,15 @@
 
 
 def test_figures_that_differ_fail_the_rehearsal(monkeypatch: pytest.MonkeyPatch) -> None:
-    refuse = Ledger.refuse
+    record_rejected = Ledger.record_rejected
 
     def mistaken(self: Ledger, request: str, now: int, reason: str) -> None:
         if reason == "limit":
-            self.fail(request, now, reason)
+            self.record_failed(request, now, reason)
         else:
-            refuse(self, request, now, reason)
+            record_rejected(self, request, now, reason)
 
-    monkeypatch.setattr(Ledger, "refuse", mistaken)
+    monkeypatch.setattr(Ledger, "record_rejected", mistaken)
     lines = verdict(rehearse(make_plan(LEAVING, 1)))
     assert lines
     assert all(line.startswith("figures differ: r") for line in lines)
@@ -90,7 +90,7 @@
         super()._answer(request_id, data, refused, failed)
         if not self.done and self.ledger is not None:
             self.done = True
-            self.ledger.refuse(request_id, self.now(), refused)
+            self.ledger.record_rejected(request_id, self.now(), refused)
 
 
 class Forgets(RouterHost):
@@ -114,7 +114,7 @@
     def forget_if_settled(self, request: OpenRequest) -> None:
         if not self.done and request.closed and self.ledger is not None and not request.accounted:
             self.done = True
-            self.ledger.leave(request.id, self.now())
+            self.ledger.record_disconnected(request.id, self.now())
         super().forget_if_settled(request)
 
 
@@ -126,7 +126,7 @@
     def client_disconnected(self, reply: Any) -> None:
         if not self.done and self.ledger is not None:
             self.done = True
-            self.ledger.serve("nothing", self.now(), 1)
+            self.ledger.record_served("nothing", self.now(), 1)
         super().client_disconnected(reply)
 
 
@@ -162,14 +162,14 @@
 
 def test_the_ledger_knows_attempts_and_where_they_went() -> None:
     held: list[tuple[str, bool]] = []
-    attempt = Ledger.attempt
+    attempt = Ledger.record_attempt
 
     def noted(self: Ledger, cls: str, namespace: str | None, outcome: str, to_origin: bool) -> None:
         held.append((outcome, to_origin))
         attempt(self, cls, namespace, outcome, to_origin)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(Ledger, "attempt", noted)
+        patch.setattr(Ledger, "record_attempt", noted)
         report = rehearse(make_plan(LEAVING, 3))
     assert verdict(report) == []
     assert ("miss", False) in held
--- a/tests/accounting/test_service.py
+++ b/tests/accounting/test_service.py
@@ -16,11 +16,11 @@
 
 from pebblepass.accounting.ledger import OTHER
 from pebblepass.accounting.listener import MAX_CONNECTIONS, MAX_HEAD_BYTES
-from pebblepass.accounting.service import AUDIT_S, SLACK_NS, FiguresService
+from pebblepass.accounting.service import AUDIT_INTERVAL_S, DEADLINE_SLACK_NS, AccountingService
 from pebblepass.accounting.snapshot import SnapshotError, decode, encode
-from pebblepass.accounting.webhook import MOST_WAITING
+from pebblepass.accounting.webhook import MAX_QUEUED
 from pebblepass.emulators.ports import take_port
-from pebblepass.operator_config import FiguresSection
+from pebblepass.operator_config import AccountingSection
 from pebblepass.simulation.clock import VirtualLoop
 from tests.decisions.cases import MS, settings
 from tests.virtual import played
@@ -38,8 +38,8 @@
     def __init__(self, loop: VirtualLoop, **section: Any) -> None:
         self.loop = loop
         self.open: set[str] = set()
-        self.service = FiguresService(
-            loop, FiguresSection(**section), "n1", settings(), loop.unix_ns, "epoch-1"
+        self.service = AccountingService(
+            loop, AccountingSection(**section), "n1", settings(), loop.unix_ns, "epoch-1"
         )
         self.ledger = self.service.ledger
 
@@ -53,7 +53,7 @@
     def take(self, request: str, namespace: str = "a", due_ms: int = 1000) -> None:
         self.open.add(request)
         now = self.now()
-        self.ledger.take(request, "read", namespace, now, now + due_ms * MS, 10, "test")
+        self.ledger.open_request(request, "read", namespace, now, now + due_ms * MS, 10, "test")
 
 
 async def get(address: tuple[str, int], words: str) -> tuple[int, dict[str, str], bytes]:
@@ -91,7 +91,7 @@
         address = await running.start()
         reader, _ = await subscribed(address)
         begun = loop.time()
-        running.ledger.leave("nobody", running.now())
+        running.ledger.record_disconnected("nobody", running.now())
         told = await next_event(reader)
         assert (told["kind"], told["request"]) == ("an answer for nothing", "nobody")
         assert loop.time() - begun < 0.1
@@ -114,8 +114,8 @@
         running.take("q", due_ms=500)
         told = await next_event(reader)
         assert told["kind"] == "never closed"
-        due = begun + 0.5 + SLACK_NS / 1e9
-        assert due <= loop.time() <= due + AUDIT_S + 0.001 <= due + 0.1
+        due = begun + 0.5 + DEADLINE_SLACK_NS / 1e9
+        assert due <= loop.time() <= due + AUDIT_INTERVAL_S + 0.001 <= due + 0.1
         running.service.stop(closing=True)
 
     played(work)
@@ -133,7 +133,7 @@
         assert len(listener.subscribers) == 2
         for number in range(2000):
             begun = loop.time()
-            running.ledger.leave(f"nobody-{number}", running.now())
+            running.ledger.record_disconnected(f"nobody-{number}", running.now())
             assert (await next_event(reader))["request"] == f"nobody-{number}"
             assert loop.time() - begun < 0.1
         assert len(listener.subscribers) == 1
@@ -147,7 +147,7 @@
         running = Running(loop, listen=free_listen())
         address = await running.start()
         for number in range(3):
-            running.ledger.leave(f"nobody-{number}", running.now())
+            running.ledger.record_disconnected(f"nobody-{number}", running.now())
         status, _, body = await get(address, "POST /breaches/acknowledge?through=2")
         assert (status, body) == (200, b'{"acknowledged":2}\n')
         reader, _ = await subscribed(address)
@@ -164,9 +164,9 @@
         for number in range(4):
             running.take(f"q{number}")
         running.take("other", namespace="invented")
-        running.ledger.serve("q0", running.now() + 20 * MS, 100)
-        running.ledger.refuse("q1", running.now(), "shed")
-        running.ledger.fail("q2", running.now(), "attempts")
+        running.ledger.record_served("q0", running.now() + 20 * MS, 100)
+        running.ledger.record_rejected("q1", running.now(), "shed")
+        running.ledger.record_failed("q2", running.now(), "attempts")
         _, _, body = await get(address, "GET /figures")
         rows = {row["namespace"]: row for row in json.loads(body)["figures"]}
         status, headers, text = await get(address, "GET /metrics")
@@ -262,7 +262,7 @@
         running = Running(loop, webhook=hook)
         await running.start()
         for number in range(3):
-            running.ledger.leave(f"nobody-{number}", running.now())
+            running.ledger.record_disconnected(f"nobody-{number}", running.now())
         await asyncio.sleep(20)
         assert [post["number"] for _, post in posts] == [1, 1, 1, 2, 3]
         pauses = [later - sooner for (sooner, _), (later, _) in pairwise(posts[:3])]
@@ -279,12 +279,12 @@
         running = Running(loop, webhook=hook)
         await running.start()
         begun = loop.time()
-        for number in range(3 * MOST_WAITING):
-            running.ledger.leave(f"nobody-{number}", running.now())
+        for number in range(3 * MAX_QUEUED):
+            running.ledger.record_disconnected(f"nobody-{number}", running.now())
         assert loop.time() == begun
         webhook = running.service._webhook
         assert webhook is not None
-        assert webhook.dropped == 2 * MOST_WAITING
+        assert webhook.dropped == 2 * MAX_QUEUED
         await asyncio.sleep(10)
         assert webhook.posted == 0
         assert len(posts) > 1  # given up after its time, and tried again
@@ -302,13 +302,13 @@
         first = Running(loop, directory=str(tmp_path))
         await first.start()
         first.take("q")
-        first.ledger.serve("q", first.now() + 17 * MS, 100)
-        first.ledger.attempt("read", "a", "ok", to_origin=True)
+        first.ledger.record_served("q", first.now() + 17 * MS, 100)
+        first.ledger.record_attempt("read", "a", "ok", to_origin=True)
         first.open.clear()
-        before = first.ledger.figures()
+        before = first.ledger.export_rows()
         first.service.stop(closing=True)
         second = Running(loop, directory=str(tmp_path))
-        assert second.ledger.figures() == before
+        assert second.ledger.export_rows() == before
         assert (second.service.epoch, second.service.unknown) == ("epoch-1", 0)
 
     played(work)
@@ -321,10 +321,10 @@
         first.take("q", due_ms=5000)
         first.take("r", due_ms=5000)
         await asyncio.sleep(1.5)  # killed here: nothing is written at its end
-        second = FiguresService(
-            loop, FiguresSection(directory=str(tmp_path)), "n1", settings(), loop.unix_ns, "epoch-2"
+        second = AccountingService(
+            loop, AccountingSection(directory=str(tmp_path)), "n1", settings(), loop.unix_ns, "epoch-2"
         )
-        assert (second.epoch, second.unknown, second.ledger.figures()) == ("epoch-2", 2, [])
+        assert (second.epoch, second.unknown, second.ledger.export_rows()) == ("epoch-2", 2, [])
         first.service.stop(closing=False)
 
     played(work)
@@ -334,12 +334,12 @@
     async def work(loop: VirtualLoop) -> None:
         first = Running(loop, directory=str(tmp_path))
         first.take("q")
-        first.ledger.leave("q", 0)
+        first.ledger.record_disconnected("q", 0)
         first.service.stop(closing=True)
         second = Running(loop, directory=str(tmp_path))
         await second.start()  # and is killed
-        third = FiguresService(
-            loop, FiguresSection(directory=str(tmp_path)), "n1", settings(), loop.unix_ns, "epoch-3"
+        third = AccountingService(
+            loop, AccountingSection(directory=str(tmp_path)), "n1", settings(), loop.unix_ns, "epoch-3"
         )
         assert third.epoch == "epoch-3"
         second.service.stop(closing=False)
@@ -410,11 +410,11 @@
 def test_one_line_tells_all() -> None:
     async def work(loop: VirtualLoop) -> None:
         running = Running(loop)
-        assert running.service.line() == "figures: nothing taken; breaches 0"
+        assert running.service.summary_line() == "figures: nothing taken; breaches 0"
         running.take("q")
         running.take("r", namespace="b")
-        running.ledger.refuse("q", 0, "shed")
-        assert running.service.line() == (
+        running.ledger.record_rejected("q", 0, "shed")
+        assert running.service.summary_line() == (
             "figures: taken 2 served 0 refused 1 failed 0 gone 0 open 1; breaches 0"
         )
 
@@ -431,12 +431,12 @@
         under_way.set()
         assert go_on.wait(60)
 
-    monkeypatch.setattr("pebblepass.accounting.snapshot.write", hang)
+    monkeypatch.setattr("pebblepass.accounting.snapshot.write_file", hang)
 
     async def work() -> None:
         loop = asyncio.get_running_loop()
-        section = FiguresSection(listen=free_listen(), directory=str(tmp_path), snapshot_every_s=0.1)
-        service = FiguresService(loop, section, "n1", settings(), time.time_ns, "epoch-1")
+        section = AccountingSection(listen=free_listen(), directory=str(tmp_path), snapshot_every_s=0.1)
+        service = AccountingService(loop, section, "n1", settings(), time.time_ns, "epoch-1")
         bound = await service.start(time.monotonic_ns, lambda: ())
         assert bound is not None
         try:
--- a/tests/compatibility/forms.py
+++ b/tests/compatibility/forms.py
@@ -19,7 +19,7 @@
 from pebblepass.accounting import fleet, snapshot
 from pebblepass.accounting import metrics as accounting_metrics
 from pebblepass.accounting.ledger import Breach, BreachKind, Ledger
-from pebblepass.accounting.service import FiguresService, make_ledger
+from pebblepass.accounting.service import AccountingService, make_ledger
 from pebblepass.adapter import Adapter
 from pebblepass.consensus import messages
 from pebblepass.consensus import metrics as consensus_metrics
@@ -39,7 +39,7 @@
 from pebblepass.handover import messages as handover
 from pebblepass.handover import router_snapshot
 from pebblepass.handover.listener import SOCKET_NAME
-from pebblepass.operator_config import FiguresSection, describe, load_operator
+from pebblepass.operator_config import AccountingSection, describe, load_operator
 from pebblepass.peers import links
 from pebblepass.scale.figures import Look, by_role, of_changes
 from pebblepass.scale.hollow import CountingService
@@ -214,12 +214,12 @@
 
 def carried(rows: list[dict[str, Any]]) -> list[dict[str, Any]]:
     """The rows of a ledger that has opened with these."""
-    return _ledger(rows).figures()
+    return _ledger(rows).export_rows()
 
 
 def _ledger(rows: list[dict[str, Any]]) -> Ledger:
     ledger = make_ledger(settings())
-    ledger.carry(rows)
+    ledger.import_rows(rows)
     return ledger
 
 
@@ -230,7 +230,7 @@
 
 def cuts_table(lines: list[bytes]) -> str:
     """The table of cuts that were collected, as CSV."""
-    return fleet.as_csv(fleet.add_up(fleet.read_cuts(lines)))
+    return fleet.as_csv(fleet.sum_cuts(fleet.read_cuts(lines)))
 
 
 def breach() -> dict[str, Any]:
@@ -244,10 +244,10 @@
 async def accounting_pages(folder: Path, rows: list[dict[str, Any]]) -> dict[str, bytes]:
     """What the ledger's listener answers to each call, and the names of the files that it keeps."""
     loop = asyncio.get_running_loop()
-    section = FiguresSection(listen=f"127.0.0.1:{take_port()}", directory=str(folder))
-    service = FiguresService(loop, section, ROUTER, settings(), lambda: _UNIX, "epoch-5")
-    service.ledger.carry(rows)
-    service.ledger.leave("request-8", 9)
+    section = AccountingSection(listen=f"127.0.0.1:{take_port()}", directory=str(folder))
+    service = AccountingService(loop, section, ROUTER, settings(), lambda: _UNIX, "epoch-5")
+    service.ledger.import_rows(rows)
+    service.ledger.record_disconnected("request-8", 9)
     address = await service.start(lambda: 0, tuple)
     assert address is not None
     told = {}
--- a/tests/multi_get/site.py
+++ b/tests/multi_get/site.py
@@ -19,7 +19,7 @@
 from pebblepass.emulators.ports import take_port
 from pebblepass.emulators.registry import RegistryAgent
 from pebblepass.emulators.witness import Nobody
-from pebblepass.operator_config import ManyKeysSection
+from pebblepass.operator_config import MultiGetSection
 from pebblepass.simulation.clock import VirtualLoop
 from pebblepass.wire.resp import bulk, command
 from tests.crossings import Advertised, advertised_ms
@@ -164,7 +164,7 @@
         loop: VirtualLoop,
         fate: Fate = well,
         nodes: int = 4,
-        section: ManyKeysSection = ManyKeysSection(),  # noqa: B008
+        section: MultiGetSection = MultiGetSection(),  # noqa: B008
         ceilings: dict[str, Any] | None = None,
         memory_mb: int = 192,
     ) -> None:
@@ -238,7 +238,7 @@
 
     def row(self) -> dict[str, Any]:
         """The ledger's account of the reads."""
-        (row,) = [row for row in self.ledger.figures() if row["class"] == "get"] or [{}]
+        (row,) = [row for row in self.ledger.export_rows() if row["class"] == "get"] or [{}]
         return row
 
     async def settle(self) -> None:
--- a/tests/multi_get/test_reads.py
+++ b/tests/multi_get/test_reads.py
@@ -8,7 +8,7 @@
 import pytest
 
 from pebblepass.daemon.multi_get.reads import MultiGetReads
-from pebblepass.operator_config import ManyKeysSection
+from pebblepass.operator_config import MultiGetSection
 from tests.multi_get.site import LONG, WAY_S, Fate, Site, marks, on_site, values, well
 
 KEYS = [f"pkg/{number}" for number in range(60)]
@@ -89,7 +89,7 @@
         assert late == []
         assert any(place != "s0" and at > drained_at for at, place, _, _ in site.attempts)
 
-    section = ManyKeysSection(keys_in_flight=8, part_keys=2, parts_of_server=1)
+    section = MultiGetSection(keys_in_flight=8, part_keys=2, parts_of_server=1)
     on_site(test, fate=lambda place, key, time: "slow0.1", section=section)
 
 
@@ -171,7 +171,7 @@
         ):
             client.send(*text.encode().split())
             await client.answer()
-        assert site.ledger.figures() == []
+        assert site.ledger.export_rows() == []
         assert site.attempts == []
         assert marks(await client.many(["a", "none"])) == ["a of q", "miss"]
 
@@ -217,7 +217,7 @@
         assert row["gone"] + row["served"] == 60
         assert row["gone"] > 30
 
-    section = ManyKeysSection(keys_in_flight=8)
+    section = MultiGetSection(keys_in_flight=8)
     on_site(test, fate=lambda place, key, time: "slow0.1", section=section)
 
 
@@ -351,7 +351,7 @@
         assert answer == values(KEYS)
         assert 0 < site.as_one < 20
 
-    on_site(test, section=ManyKeysSection(node_kinds=("std",)))
+    on_site(test, section=MultiGetSection(node_kinds=("std",)))
 
 
 def test_a_node_that_speaks_the_command_and_withholds_a_key_costs_that_key_alone() -> None:
@@ -364,7 +364,7 @@
         )
         assert answer[33] in ("late", "refused")
 
-    on_site(test, fate=only(pkg_33="silent"), section=ManyKeysSection(node_kinds=("std",)))
+    on_site(test, fate=only(pkg_33="silent"), section=MultiGetSection(node_kinds=("std",)))
 
 
 def test_a_client_that_stops_reading_stops_its_own_gathering_only() -> None:
@@ -395,7 +395,7 @@
         await one.answer()
         assert site.row()["refused_by_reason"]["commands of many keys"] == 2
 
-    on_site(test, fate=lambda place, key, time: "silent", section=ManyKeysSection(commands=1))
+    on_site(test, fate=lambda place, key, time: "silent", section=MultiGetSection(commands=1))
 
 
 def test_the_last_slow_key_has_a_second_copy_within_the_budget() -> None:
--- a/tests/simulation/test_rehearsal.py
+++ b/tests/simulation/test_rehearsal.py
@@ -321,13 +321,13 @@
         Fault(kind="router-stall", at_s=1 + place / 7, for_s=pause_ms / 1000, place=0) for place in range(40)
     )
     outcomes: list[str] = []
-    attempt = Ledger.attempt
+    attempt = Ledger.record_attempt
 
     def noted(self: Ledger, cls: str, namespace: str | None, outcome: str, to_origin: bool) -> None:
         outcomes.append(outcome)
         attempt(self, cls, namespace, outcome, to_origin)
 
-    monkeypatch.setattr(Ledger, "attempt", noted)
+    monkeypatch.setattr(Ledger, "record_attempt", noted)
     report = rehearse(make_plan(healthy(stalls), 3))
     assert verdict(report) == []
     assert set(outcomes) <= {"ok", "miss"}  # none was given up, and so none was made again
--- a/tests/simulation/test_scenario.py
+++ b/tests/simulation/test_scenario.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from pebblepass.operator_config.checked import FileError
+from pebblepass.operator_config.loader import FileError
 from pebblepass.simulation.scenario import MOST_PROCESSES, Scenario, load_scenario
 
 
