--- a/pebblepass/accounting/__init__.py
+++ b/pebblepass/accounting/__init__.py
@@ -1,6 +1,6 @@
-"""The ledger of a router: where every request went, checked by the router itself.
+"""The ledger of a router: every request in exactly one account, audited by the router itself.
 
-Off unless the operator's file has a section `[figures]`.
+Off unless the operator's file has the section `[figures]`.
 """
 
 from pebblepass.accounting.ledger import OTHER, Breach, BreachKind, Ledger
--- a/pebblepass/accounting/fleet.py
+++ b/pebblepass/accounting/fleet.py
@@ -1,8 +1,8 @@
-"""The figures of many routers over a time: cuts, what passed between them, and whether it closes. No I/O.
+"""Sums the accounts of many routers over a period, and checks that they balance. No I/O.
 
-A cut holds the documents (`/figures`, or snapshots) of all routers at one moment. Between two cuts of one
-epoch what passed is the difference; where a router has begun another epoch its counts began at zero, and what
-it had left open at the cut before is unknown: never zero, and never guessed.
+A cut holds the documents (`/figures`, or snapshots) of all routers at one moment. Within one epoch of a
+router the flow between two cuts is their difference. In a new epoch the counts begin at zero, and the outcome
+of requests that were open in the cut before is unknown.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class Cut(msgspec.Struct, frozen=True):
-    """All routers at one moment."""
+    """The documents of all routers at one moment."""
 
     unix_ns: int
     routers: list[RouterDocument]
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class ReportLine:
-    """One namespace and class over the time: what was open, what passed, and what is open."""
+    """One namespace and class over the period: open before, closed by outcome, open after."""
 
     namespace: str
     request_class: str
@@ -58,9 +58,9 @@
 
     @property
     def closes(self) -> bool:
-        """Whether all that was open or taken is accounted for."""
-        went = self.served_in_aim + self.served_late + self.refused + self.failed + self.gone + self.unknown
-        return self.open_before + self.taken == went + self.open_after
+        """Whether the line balances."""
+        closed = self.served_in_aim + self.served_late + self.refused + self.failed + self.gone + self.unknown
+        return self.open_before + self.taken == closed + self.open_after
 
 
 COUNT_FIELDS = tuple(
@@ -69,7 +69,7 @@
 
 
 def read_cuts(lines: Iterable[bytes], begin_ns: int = 0, end_ns: int | None = None) -> list[Cut]:
-    """The cuts of a file, one JSON value a line, within the time; raises ValueError in one plain line."""
+    """Return the cuts within the period from lines of JSON; raises ValueError in one line."""
     cuts = []
     for number, line in enumerate(lines, 1):
         try:
@@ -82,7 +82,7 @@
 
 
 def sum_cuts(cuts: Sequence[Cut]) -> list[ReportLine]:
-    """Add the routers up, line by line; the last line is the total."""
+    """Sum all routers, a line for each namespace and class; the last line is the total."""
     lines: dict[tuple[str, str], ReportLine] = {}
     last: dict[str, RouterDocument] = {}
     for cut in cuts:
@@ -106,26 +106,26 @@
 def _add_flows(
     lines: dict[tuple[str, str], ReportLine], before: RouterDocument | None, document: RouterDocument
 ) -> None:
-    """Add what passed at one router from one cut to the next."""
-    held: dict[tuple[str, str], Row] = {}
+    """Add the flow at one router from one cut to the next."""
+    earlier_rows: dict[tuple[str, str], Row] = {}
     if before is None:
         for row in document.figures:
             _line(lines, row).open_before += row.open
         return
     if before.epoch == document.epoch:
-        held = {(row.namespace, row.name): row for row in before.figures}
+        earlier_rows = {(row.namespace, row.name): row for row in before.figures}
     else:
         for row in before.figures:
             _line(lines, row).unknown += row.open
     for row in document.figures:
-        line, earlier = _line(lines, row), held.get((row.namespace, row.name))
+        line, earlier = _line(lines, row), earlier_rows.get((row.namespace, row.name))
         for name in FLOWS:
-            passed = getattr(row, name) - (getattr(earlier, name) if earlier is not None else 0)
-            setattr(line, name, getattr(line, name) + passed)
+            flow = getattr(row, name) - (getattr(earlier, name) if earlier is not None else 0)
+            setattr(line, name, getattr(line, name) + flow)
 
 
 def taken_over_time(cuts: Sequence[Cut]) -> dict[str, list[tuple[int, int]]]:
-    """What was taken from each cut to the next, by namespace: the cut's time and the count."""
+    """Return by namespace the Unix time of each cut and the requests taken since the one before."""
     series: dict[str, list[tuple[int, int]]] = defaultdict(list)
     for one, two in pairwise(cuts):
         taken: dict[str, int] = defaultdict(int)
@@ -140,20 +140,20 @@
 
 
 def table_cells(line: ReportLine) -> tuple[str, ...]:
-    """A line as it is shown."""
+    """Return a line's cells for a table."""
     numbers = (str(getattr(line, name)) for name in COUNT_FIELDS)
     return line.namespace, line.request_class, *numbers, "yes" if line.closes else "NO"
 
 
 def as_csv(lines: Sequence[ReportLine]) -> str:
-    """The table as CSV (RFC 4180)."""
+    """Return the table as CSV (RFC 4180)."""
     text = io.StringIO()
     csv.writer(text).writerows([COLUMNS, *(table_cells(line) for line in lines)])
     return text.getvalue()
 
 
 def as_html(lines: Sequence[ReportLine], series: dict[str, list[tuple[int, int]]], title: str) -> str:
-    """The table as a page, with what was taken over the time as a plot."""
+    """Return the table as an HTML page with a plot of the requests taken."""
     heads = "".join(f"<th>{escape(head)}</th>" for head in COLUMNS)
     rows = "".join(
         "<tr>" + "".join(f"<td>{escape(cell)}</td>" for cell in table_cells(line)) + "</tr>" for line in lines
--- a/pebblepass/accounting/ledger.py
+++ b/pebblepass/accounting/ledger.py
@@ -1,8 +1,8 @@
-"""The ledger: every request in exactly one account, and what was taken equals the sum. No I/O, no clock.
+"""The ledger: every request stands in exactly one account, and the sums balance. No I/O, no clock.
 
-For each class and namespace: taken = served + refused + failed + gone + open. A request is entered once, when
-it is taken, and moved once, from open to one of the others. The open ones are counted from the entries
-themselves, never from a counter beside the others, so that a move that was missed or made twice shows.
+For each class and namespace: taken = served + refused + failed + gone + open. A request is opened once and
+closed once, into one of the other counts. Open requests are counted from the entries themselves, never by a
+counter of their own, so that a move that was missed or made twice is found.
 
 Times are nanoseconds of the caller's clock; sizes are bytes.
 """
@@ -16,15 +16,15 @@
 from typing import Any
 
 OTHER = "(other)"
-"""The namespace to which all go that the settings don't name: strangers must not make labels."""
+"""The label of all namespaces that the settings don't name: clients must not create labels."""
 
-CLOSED_HISTORY = 256  # requests closed last, at least: a second answer is told apart from one for nothing
-MAX_PENDING_BREACHES = 256  # that are kept until they are acknowledged; all are counted
+CLOSED_HISTORY = 256  # closed requests remembered at least: tells a second answer from one without a request
+MAX_PENDING_BREACHES = 256  # kept until they are acknowledged; all are counted
 SUB_BITS = 4  # a latency bucket is at most a sixteenth wide, as in HDR histograms (Tene)
 
 
 class BreachKind(Enum):
-    """What can be wrong with an entry."""
+    """What can be wrong with an entry or an account."""
 
     TWICE_TAKEN = "taken twice"
     TWICE_CLOSED = "a second final answer"
@@ -45,10 +45,10 @@
     request_class: str
     namespace: str
     path: str
-    """From where the request came and what was being done with it."""
+    """The interface that the request came by, and the move that failed."""
 
     def as_dict(self) -> dict[str, Any]:
-        """The breach in plain values."""
+        """Return the breach in plain values, as it is reported."""
         return {
             "number": self.number,
             "kind": self.kind.value,
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class Account:
-    """The figures of one class in one namespace."""
+    """The counts of one class in one namespace."""
 
     request_class: str
     namespace: str
@@ -82,31 +82,31 @@
     """Served requests by latency bucket; `bucket_bounds` gives a bucket's times."""
 
     def copy(self) -> Account:
-        """These figures as they are now."""
+        """Return a copy that later moves do not change."""
         copies = {name: getattr(self, name).copy() for name in ("refused", "failed", "attempts", "latency")}
         return replace(self, **copies)
 
     @property
     def closed(self) -> int:
-        """All that stand in an account other than open."""
+        """How many requests are closed."""
         done = self.served_in_aim + self.served_late + self.gone
         return done + sum(self.refused.values()) + sum(self.failed.values())
 
 
 _Entry = tuple[str, str, int, int, str, int]
-"""A request's class, namespace, when it was taken and is due, its path and size: a tuple, as one is made for
-each request."""
+"""A request's class, namespace, time of opening, deadline, path and size; a plain tuple, since one is made
+for each request."""
 
 
 def bucket(latency_ns: int) -> int:
-    """The number of the latency's bucket: microseconds, a power of two split in sixteen."""
+    """Return the histogram bucket of a latency: a sixteenth of a power of two, in microseconds."""
     micros = latency_ns // 1000
     shift = max(micros.bit_length() - SUB_BITS - 1, 0)
     return (shift << SUB_BITS) + (micros >> shift)
 
 
 def bucket_bounds(number: int) -> tuple[int, int]:
-    """The microseconds of a bucket: from the first, to under the second."""
+    """Return the bounds of a bucket in microseconds: the first included, the second excluded."""
     shift = max((number >> SUB_BITS) - 1, 0)
     base = number - (shift << SUB_BITS)
     return base << shift, (base + 1) << shift
@@ -121,7 +121,7 @@
         namespaces: Iterable[str],
         on_breach: Callable[[Breach], None] | None = None,
     ) -> None:
-        """`aims`: each class's aim in nanoseconds; `on_breach` is called with each breach as it happens."""
+        """`aims`: latency objective of each class in nanoseconds; `on_breach` is called with each breach."""
         self._aims = aims
         self._namespace_labels: dict[str | None, str] = {name: name for name in namespaces}
         self._accounts: dict[tuple[str, str], Account] = {
@@ -130,18 +130,18 @@
             for namespace in (*self._namespace_labels.values(), OTHER)
         }
         self._entries: dict[str, _Entry] = {}
-        # The daybooks: moves that are checked, and not yet posted to their accounts.
+        # Moves that are checked, but not yet added to their accounts.
         self._taken: list[_Entry] = []
         self._served: list[tuple[_Entry, int, int, bool | None]] = []
         self._attempts: list[tuple[str, str, str, bool]] = []
-        # Those closed last, and those before them: two dictionaries in turn cost a request no removal.
+        # Closed requests in two generations: dropping the older one saves a removal per request.
         self._closed: dict[str, _Entry] = {}
         self._closed_before: dict[str, _Entry] = {}
         self._on_breach = on_breach
         self._overdue: set[str] = set()
         self._unbalanced: set[tuple[str, str]] = set()
         self.breaches: list[Breach] = []
-        """Those not yet acknowledged, up to a bound."""
+        """Unacknowledged breaches, at most MAX_PENDING_BREACHES."""
         self.breach_count = 0
 
     # Moves
@@ -156,7 +156,7 @@
         size: int,
         path: str,
     ) -> None:
-        """Enter a request that is owed a final answer by `due`."""
+        """Open a request that must get its final answer by `due`."""
         name = self._namespace_labels.get(namespace, OTHER)
         entry = (request_class, name, now, due, path, size)
         if request in self._entries:
@@ -166,22 +166,22 @@
         self._taken.append(entry)
 
     def record_served(self, request: str, now: int, size: int, to_origin: bool | None = None) -> None:
-        """Move a request to served; `to_origin` counts the attempt that brought the answer, in one step."""
+        """Close a request as served; `to_origin`, unless None, also counts the attempt that served it."""
         if (entry := self._close(request, now, "served")) is not None:
             self._served.append((entry, now, size, to_origin))
 
     def record_rejected(self, request: str, now: int, reason: str) -> None:
-        """Move a request to refused."""
+        """Close a request as rejected."""
         if (entry := self._close(request, now, "refused")) is not None:
             self._accounts[entry[:2]].refused[reason] += 1
 
     def record_failed(self, request: str, now: int, reason: str) -> None:
-        """Move a request to failed."""
+        """Close a request as failed."""
         if (entry := self._close(request, now, "failed")) is not None:
             self._accounts[entry[:2]].failed[reason] += 1
 
     def record_disconnected(self, request: str, now: int) -> None:
-        """Move a request to gone: its client has left."""
+        """Close a request whose client has disconnected."""
         if (entry := self._close(request, now, "gone")) is not None:
             self._accounts[entry[:2]].gone += 1
 
@@ -195,7 +195,7 @@
         refused: str = "",
         failed: str = "",
     ) -> None:
-        """Take a request and close it in one move: one that is never given to the decisions."""
+        """Count a request that ends before it reaches the decision module, as rejected or failed."""
         account = self._accounts[request_class, self._namespace_labels.get(namespace, OTHER)]
         account.taken += 1
         account.bytes_taken += size
@@ -212,10 +212,10 @@
         self._attempts.append((request_class, name, outcome, to_origin))
 
     def _post_moves(self) -> None:
-        """Post what stands in the daybooks to the accounts.
+        """Add the recorded moves to the accounts.
 
-        Many at once, as the same few steps in a row cost a fraction of what they cost between a request's
-        others; nobody sees the accounts meanwhile.
+        In batches, as the same few steps in a row cost less than between the other steps of each request;
+        nothing reads the accounts in between.
         """
         accounts, aims = self._accounts, self._aims
         for name, namespace, _, _, _, size in self._taken:
@@ -243,7 +243,7 @@
 
     @property
     def accounts(self) -> dict[tuple[str, str], Account]:
-        """All accounts, by class and namespace, with all moves posted."""
+        """All accounts by class and namespace, up to date."""
         self._post_moves()
         return self._accounts
 
@@ -262,10 +262,10 @@
         return entry
 
     def import_rows(self, rows: Iterable[dict[str, Any]]) -> None:
-        """Open with a predecessor's closing balance, in the form of `figures`.
+        """Add a predecessor's closing balance, in the form of `export_rows`.
 
-        An account that the settings don't know any longer goes to the other namespaces' account of its class;
-        one of a class that is gone is left out.
+        A namespace that the settings no longer name is added to OTHER; a class that they no longer name is
+        left out.
         """
         for row in rows:
             if row["class"] not in self._aims:
@@ -287,9 +287,10 @@
     # Checks
 
     def audit(self, now: int, slack: int, open_requests: Collection[str] | None = None) -> None:
-        """Check every account, and the entries against the requests that their owner says are open.
+        """Check every account, and the entries against the requests that are open at the router.
 
-        `slack`: nanoseconds after its due time in which an entry may still be closed. A fault is told once.
+        `slack`: nanoseconds after its deadline in which an entry may still be closed. Each fault is reported
+        once.
         """
         counts: Counter[tuple[str, str]] = Counter()
         for request, entry in self._entries.items():
@@ -309,9 +310,9 @@
                 self._breach(BreachKind.NO_BALANCE, now, "", (*key, 0, 0, "", 0))
 
     def acknowledge(self, number: int) -> int:
-        """Take note of all breaches up to this number; returns how many that were."""
-        kept = [breach for breach in self.breaches if breach.number > number]
-        acknowledged, self.breaches = len(self.breaches) - len(kept), kept
+        """Acknowledge all breaches up to this number; return how many those were."""
+        pending = [breach for breach in self.breaches if breach.number > number]
+        acknowledged, self.breaches = len(self.breaches) - len(pending), pending
         return acknowledged
 
     def _breach(self, kind: BreachKind, now: int, request: str, entry: _Entry | None, what: str = "") -> None:
@@ -334,28 +335,28 @@
     # Export
 
     def cut(self) -> Cut:
-        """All accounts as they stand now; cheap, and free for another thread to work on."""
+        """Return a copy of all accounts, cheaply, that another thread may use."""
         counts = Counter(entry[:2] for entry in self._entries.values())
         rows = [(account.copy(), counts[key]) for key, account in self.accounts.items() if account.taken]
         return Cut(rows, self.breach_count, tuple(self.breaches))
 
     def export_rows(self) -> list[dict[str, Any]]:
-        """Every account in plain values, in one order; accounts in which nothing ever stood are left out."""
+        """Return every account with any request in plain values, sorted by class and namespace."""
         return self.cut().export_rows()
 
 
 @dataclass(frozen=True, slots=True)
 class Cut:
-    """The accounts at one moment, in which something ever stood."""
+    """The accounts with any request, at one moment."""
 
     rows: list[tuple[Account, int]]
-    """Each account, and how many stand open in it."""
+    """Each account with its number of open requests."""
     breach_count: int
     breaches: tuple[Breach, ...]
-    """Those not yet acknowledged."""
+    """Unacknowledged breaches."""
 
     def export_rows(self) -> list[dict[str, Any]]:
-        """Every account in plain values, in one order."""
+        """Return every account in plain values, sorted by class and namespace."""
         return [
             {
                 "class": account.request_class,
--- a/pebblepass/accounting/listener.py
+++ b/pebblepass/accounting/listener.py
@@ -1,7 +1,7 @@
 """The operator's listener: the ledger over HTTP/1.1, and breaches as a stream of server-sent events.
 
 `GET /figures` JSON; `GET /metrics` OpenMetrics; `GET /breaches` the stream (WHATWG HTML, Server-sent events);
-`POST /breaches/acknowledge?through=N` takes note of breaches. What to say comes from `AccountingPages`.
+`POST /breaches/acknowledge?through=N` acknowledges breaches. The contents come from `AccountingPages`.
 """
 
 from __future__ import annotations
@@ -66,11 +66,11 @@
 
     async def _respond(self, connection: Connection, method: str, target: str) -> Page | None:
         parts, pages = urlsplit(target), self.pages
-        wanted = "POST" if parts.path == "/breaches/acknowledge" else "GET"
+        expected_method = "POST" if parts.path == "/breaches/acknowledge" else "GET"
         if parts.path not in ("/figures", "/metrics", "/breaches", "/breaches/acknowledge"):
             return Page(404, b"no such page\n")
-        if method != wanted:
-            return Page(405, f"{wanted} only\n".encode())
+        if method != expected_method:
+            return Page(405, f"{expected_method} only\n".encode())
         if parts.path == "/figures":
             return Page(200, await pages.figures(), "application/json")
         if parts.path == "/metrics":
--- a/pebblepass/accounting/metrics.py
+++ b/pebblepass/accounting/metrics.py
@@ -78,12 +78,12 @@
     def _latency(rows: list[dict[str, Any]]) -> Metric:
         family = HistogramMetricFamily("pebblepass_latency_seconds", "Time to a served answer", labels=LABELS)
         for row in rows:
-            buckets, count, held = [], 0, deque(row["latency_us"])
+            buckets, count, remaining = [], 0, deque(row["latency_us"])
             for bound in BOUNDS_US:
-                while held and held[0][1] <= bound:
-                    count += held.popleft()[2]
+                while remaining and remaining[0][1] <= bound:
+                    count += remaining.popleft()[2]
                 buckets.append((str(bound / 1e6), count))
-            count += sum(n for _, _, n in held)
+            count += sum(n for _, _, n in remaining)
             total = sum((least + above) / 2 * n for least, above, n in row["latency_us"]) / 1e6
             family.add_metric([row["class"], row["namespace"]], [*buckets, ("+Inf", count)], total)
         return family
--- a/pebblepass/accounting/snapshot.py
+++ b/pebblepass/accounting/snapshot.py
@@ -40,16 +40,16 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A whole snapshot."""
+    """A complete snapshot."""
 
     format: str
     version: int
     router: str
     epoch: str
-    """One run of counts without a gap; a planned restart goes on in it, a killed router begins another."""
+    """One series of counts without a gap: continued by a planned restart, a new one after a kill."""
     written_unix_ns: int
     closing: bool
-    """Written at a planned end, with nothing open: a successor may open with it."""
+    """Written at a planned stop, without open requests: a successor may continue it."""
     breaches: int
     figures: list[Row]
 
@@ -67,8 +67,8 @@
 def encode(
     router: str, epoch: str, unix_ns: int, closing: bool, breaches: int, figures: list[dict[str, Any]]
 ) -> bytes:
-    """A snapshot as it is written."""
-    told = {
+    """Return the bytes of a snapshot."""
+    document = {
         "format": FORMAT,
         "version": VERSION,
         "router": router,
@@ -78,11 +78,11 @@
         "breaches": breaches,
         "figures": figures,
     }
-    return msgspec.json.encode(told) + b"\n"
+    return msgspec.json.encode(document) + b"\n"
 
 
 def decode(data: bytes, router: str) -> Snapshot:
-    """Read a snapshot of this router; raises SnapshotError where it is broken or another's."""
+    """Parse a snapshot of this router; raises SnapshotError if it is broken or another router's."""
     try:
         snapshot = msgspec.json.decode(data, type=Snapshot)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -98,9 +98,9 @@
 
 
 def load_initial_state(path: Path, router: str, fresh_epoch: str) -> InitialState:
-    """What a router opens with; a closing balance is used once, and then no longer closes.
+    """Return the state to start with, continuing the epoch of a closing balance.
 
-    Raises SnapshotError where the file there can't be used.
+    Raises SnapshotError if the file can't be used.
     """
     try:
         data = path.read_bytes()
@@ -116,5 +116,5 @@
 
 
 def write_file(path: Path, data: bytes) -> None:
-    """Write a file so that a reader sees the old or the new one, never a part; raises OSError."""
+    """Replace a file atomically; raises OSError."""
     replace_whole(Folder(path.parent), path.name, data)
