--- a/pebblepass/accounting/listener.py
+++ b/pebblepass/accounting/listener.py
@@ -35,8 +35,7 @@
     """Where the pages come from."""
 
     figures: Callable[[], Awaitable[bytes]]
-    metrics: Callable[[], Awaitable[tuple[str, bytes]]]
-    """The content type, and the text."""
+    metrics: Callable[[], Awaitable[Page]]
     acknowledge: Callable[[int], int]
     """Acknowledges breaches up to a number; returns how many."""
     pending: Callable[[], list[bytes]]
@@ -74,8 +73,7 @@
         if parts.path == "/figures":
             return Page(200, await pages.figures(), "application/json")
         if parts.path == "/metrics":
-            kind, text = await pages.metrics()
-            return Page(200, text, kind)
+            return await pages.metrics()
         if parts.path == "/breaches":
             self._subscribe(connection)
             return None
--- a/pebblepass/accounting/service.py
+++ b/pebblepass/accounting/service.py
@@ -16,6 +16,7 @@
 from pebblepass.accounting.ledger import Breach, Ledger
 from pebblepass.accounting.listener import AccountingPages, AccountingServer
 from pebblepass.accounting.webhook import Webhook
+from pebblepass.control.http_server import Page
 from pebblepass.decisions.interface import Settings
 from pebblepass.operator_config import AccountingSection
 from pebblepass.wire.address import Address, parse_address
@@ -142,11 +143,12 @@
 
         return await self._run_in_worker(encode)
 
-    async def _metrics_page(self) -> tuple[str, bytes]:
+    async def _metrics_page(self) -> Page:
         from pebblepass.accounting.metrics import CONTENT_TYPE, exposition  # only who scrapes pays for it
 
         cut = self.ledger.cut()
-        return CONTENT_TYPE, await self._run_in_worker(lambda: exposition(cut))
+        text = await self._run_in_worker(lambda: exposition(cut))
+        return Page(200, text, CONTENT_TYPE)
 
     def _run_in_worker(self, work: Callable[[], T]) -> asyncio.Future[T]:
         """Run work on a cut or the disk in another thread, beside the requests."""
