--- a/pebblepass/accounting/listener.py
+++ b/pebblepass/accounting/listener.py
@@ -1,7 +1,7 @@
 """The operator's listener: the ledger over HTTP/1.1, and breaches as a stream of server-sent events.
 
 `GET /figures` JSON; `GET /metrics` OpenMetrics; `GET /breaches` the stream (WHATWG HTML, Server-sent events);
-`POST /breaches/acknowledge?through=N` takes note of breaches. What to say comes from `Pages`.
+`POST /breaches/acknowledge?through=N` acknowledges breaches. The contents come from `AccountingPages`.
 """
 
 from __future__ import annotations
@@ -11,64 +11,69 @@
 from dataclasses import dataclass
 from urllib.parse import parse_qs, urlsplit
 
-from pebblepass.control.shell import Bounds, Connection, Page, Shell
+from pebblepass.control.http_server import Connection, HttpServer, Page, ServerLimits
 from pebblepass.wire.address import Address
 
-MOST_CONNECTIONS = 32
-MOST_HEAD = 16 << 10
-MOST_UNREAD = 64 << 10  # a subscriber that takes no more than this is dropped
-BOUNDS = Bounds(
-    connections=MOST_CONNECTIONS, head=MOST_HEAD, waiting=16, idle_s=10.0, one_call=False, make_room=False
+MAX_CONNECTIONS = 32
+MAX_HEAD_BYTES = 16 << 10
+MAX_UNREAD_BYTES = 64 << 10  # a subscriber that takes no more than this is dropped
+LIMITS = ServerLimits(
+    connections=MAX_CONNECTIONS,
+    head_bytes=MAX_HEAD_BYTES,
+    queued_requests=16,
+    idle_timeout_s=10.0,
+    one_call=False,
+    evict_idle=False,
+)
+STREAM_HEAD = (
+    b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\n\r\n: open\n\n"
 )
-STREAM = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\n\r\n: open\n\n"
 
 
 @dataclass(frozen=True, slots=True)
-class Pages:
-    """What the listener tells."""
+class AccountingPages:
+    """Where the pages come from."""
 
     figures: Callable[[], Awaitable[bytes]]
-    metrics: Callable[[], Awaitable[tuple[str, bytes]]]
-    """The content type, and the text."""
+    metrics: Callable[[], Awaitable[Page]]
     acknowledge: Callable[[int], int]
-    """Takes note of breaches up to a number; returns how many those were."""
+    """Acknowledges breaches up to a number; returns how many."""
     pending: Callable[[], list[bytes]]
-    """The events of the breaches that nobody has taken note of."""
+    """The events of unacknowledged breaches."""
 
 
-class FiguresListener:
-    """The listener, its connections and its subscribers."""
+class AccountingServer:
+    """The accounting pages over HTTP, and the subscribers of breaches."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, pages: Pages) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, pages: AccountingPages) -> None:
         self.pages = pages
         self.subscribers: dict[Connection, None] = {}
-        self._shell = Shell(loop, self._respond, BOUNDS)
+        self._server = HttpServer(loop, self._respond, LIMITS)
 
     async def listen(self, address: Address) -> Address:
-        """Listen; raises OSError where the address can't be had. Returns the address."""
-        return await self._shell.listen(address)
+        """Listen, and return the bound address; raises OSError if it can't be bound."""
+        return await self._server.listen(address)
 
     def publish(self, event: bytes) -> None:
         """Send an event to every subscriber; one that does not read is dropped, and delays nobody."""
         for subscriber in list(self.subscribers):
-            subscriber.push(event, MOST_UNREAD)
+            subscriber.push(event, MAX_UNREAD_BYTES)
 
     def close(self) -> None:
-        """End."""
-        self._shell.close()
+        """Stop listening and abort all connections."""
+        self._server.close()
 
     async def _respond(self, connection: Connection, method: str, target: str) -> Page | None:
         parts, pages = urlsplit(target), self.pages
-        wanted = "POST" if parts.path == "/breaches/acknowledge" else "GET"
+        expected_method = "POST" if parts.path == "/breaches/acknowledge" else "GET"
         if parts.path not in ("/figures", "/metrics", "/breaches", "/breaches/acknowledge"):
             return Page(404, b"no such page\n")
-        if method != wanted:
-            return Page(405, f"{wanted} only\n".encode())
+        if method != expected_method:
+            return Page(405, f"{expected_method} only\n".encode())
         if parts.path == "/figures":
             return Page(200, await pages.figures(), "application/json")
         if parts.path == "/metrics":
-            kind, text = await pages.metrics()
-            return Page(200, text, kind)
+            return await pages.metrics()
         if parts.path == "/breaches":
             self._subscribe(connection)
             return None
@@ -78,11 +83,11 @@
         return Page(200, b'{"acknowledged":%d}\n' % pages.acknowledge(int(through)), "application/json")
 
     def _subscribe(self, connection: Connection) -> None:
-        def ended() -> None:
+        def unsubscribe() -> None:
             self.subscribers.pop(connection, None)
 
-        connection.ended = ended
-        connection.stream(STREAM)
+        connection.on_closed = unsubscribe
+        connection.start_stream(STREAM_HEAD)
         self.subscribers[connection] = None
         for event in self.pages.pending():
-            connection.push(event, MOST_UNREAD)
+            connection.push(event, MAX_UNREAD_BYTES)
--- a/pebblepass/accounting/snapshot.py
+++ b/pebblepass/accounting/snapshot.py
@@ -14,7 +14,7 @@
 
 
 class SnapshotError(ValueError):
-    """A snapshot can't be used; the text is one plain line."""
+    """A snapshot can't be used; the text is one line."""
 
 
 class Row(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -40,35 +40,35 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A whole snapshot."""
+    """A complete snapshot."""
 
     format: str
     version: int
     router: str
     epoch: str
-    """One run of counts without a gap; a planned restart goes on in it, a killed router begins another."""
+    """One series of counts without a gap: continued by a planned restart, a new one after a kill."""
     written_unix_ns: int
     closing: bool
-    """Written at a planned end, with nothing open: a successor may open with it."""
+    """Written at a planned stop, without open requests: a successor may continue it."""
     breaches: int
     figures: list[Row]
 
 
 @dataclass(frozen=True, slots=True)
-class Opening:
-    """With what a router begins."""
+class InitialState:
+    """The accounting state with which a router starts."""
 
     epoch: str
     rows: list[dict[str, Any]]
     unknown: int
-    """Requests that the last snapshot of a killed predecessor left open: what became of them nobody knows."""
+    """Requests left open in the last snapshot of a killed predecessor; their outcome is unknown."""
 
 
 def encode(
     router: str, epoch: str, unix_ns: int, closing: bool, breaches: int, figures: list[dict[str, Any]]
 ) -> bytes:
-    """A snapshot as it is written."""
-    told = {
+    """Return the bytes of a snapshot."""
+    document = {
         "format": FORMAT,
         "version": VERSION,
         "router": router,
@@ -78,11 +78,11 @@
         "breaches": breaches,
         "figures": figures,
     }
-    return msgspec.json.encode(told) + b"\n"
+    return msgspec.json.encode(document) + b"\n"
 
 
 def decode(data: bytes, router: str) -> Snapshot:
-    """Read a snapshot of this router; raises SnapshotError where it is broken or another's."""
+    """Parse a snapshot of this router; raises SnapshotError if it is broken or another router's."""
     try:
         snapshot = msgspec.json.decode(data, type=Snapshot)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -97,24 +97,24 @@
     return snapshot
 
 
-def opening(path: Path, router: str, fresh_epoch: str) -> Opening:
-    """What a router opens with; a closing balance is used once, and then no longer closes.
+def load_initial_state(path: Path, router: str, fresh_epoch: str) -> InitialState:
+    """Return the state to start with, continuing the epoch of a closing balance.
 
-    Raises SnapshotError where the file there can't be used.
+    Raises SnapshotError if the file can't be used.
     """
     try:
         data = path.read_bytes()
     except FileNotFoundError:
-        return Opening(fresh_epoch, [], 0)
+        return InitialState(fresh_epoch, [], 0)
     except OSError as error:
         raise SnapshotError(str(error.strerror)) from None
     snapshot = decode(data, router)
     left_open = sum(row.open for row in snapshot.figures)
     if not snapshot.closing or left_open:
-        return Opening(fresh_epoch, [], left_open)
-    return Opening(snapshot.epoch, [msgspec.to_builtins(row) for row in snapshot.figures], 0)
+        return InitialState(fresh_epoch, [], left_open)
+    return InitialState(snapshot.epoch, [msgspec.to_builtins(row) for row in snapshot.figures], 0)
 
 
-def write(path: Path, data: bytes) -> None:
-    """Write a file so that a reader sees the old or the new one, never a part; raises OSError."""
+def write_file(path: Path, data: bytes) -> None:
+    """Replace a file atomically; raises OSError."""
     replace_file(Directory(path.parent), path.name, data)
--- a/pebblepass/daemon/fleet.py
+++ b/pebblepass/daemon/fleet.py
@@ -18,7 +18,7 @@
 from pebblepass.consensus.reports import history, status
 from pebblepass.consensus.service import ConsensusService, ServiceCallbacks, open_log
 from pebblepass.consensus.setup import ReplicaSetup, genesis
-from pebblepass.control.shell import Page
+from pebblepass.control.http_server import Page
 from pebblepass.daemon.config import ConfigError
 from pebblepass.decisions import PolicyChanged, Settings
 from pebblepass.operator_config import FleetSection
--- a/tests/compatibility/forms.py
+++ b/tests/compatibility/forms.py
@@ -19,7 +19,7 @@
 from pebblepass.accounting import fleet, snapshot
 from pebblepass.accounting import metrics as accounting_metrics
 from pebblepass.accounting.ledger import Breach, BreachKind, Ledger
-from pebblepass.accounting.service import FiguresService, make_ledger
+from pebblepass.accounting.service import AccountingService, make_ledger
 from pebblepass.adapter import Adapter
 from pebblepass.consensus import messages, records
 from pebblepass.consensus import metrics as consensus_metrics
@@ -37,16 +37,18 @@
 from pebblepass.consensus.reports import history, status
 from pebblepass.consensus.service import FILE, FORMAT, VERSION, ServiceCallbacks, open_log
 from pebblepass.consensus.setup import ReplicaSetup, genesis
+from pebblepass.control.control_server import ControlServer, ControlSources
 from pebblepass.control.counters import Counters
-from pebblepass.control.operations import ControlAddress, Told
 from pebblepass.daemon.config import load_config
 from pebblepass.decisions import ServerState, interface
 from pebblepass.decisions.settings import read_settings
 from pebblepass.discovery.endpoint_list import ClockOffset, encode_endpoint_list, parse_endpoint_list
 from pebblepass.emulators.ports import take_port
+from pebblepass.handover import errors as handover_errors
 from pebblepass.handover import messages as handover
-from pebblepass.handover.channel import DOOR
-from pebblepass.operator_config import FiguresSection, describe, load_operator
+from pebblepass.handover import router_snapshot
+from pebblepass.handover.listener import SOCKET_NAME
+from pebblepass.operator_config import AccountingSection, describe, load_operator
 from pebblepass.peers import links
 from pebblepass.scale.figures import Look, by_role, of_changes
 from pebblepass.scale.hollow import CountingService
@@ -178,17 +180,17 @@
 CLOCK = ClockOffset(NOW, _UNIX)
 HANDOVER_MESSAGE = Form(handover.decode, handover.encode)
 HANDOVER_ACCOUNT = Form(
-    lambda data: handover.read_account(data, NOW, CLOCK.monotonic),
-    lambda account: handover.write_account(account, CLOCK.unix_ms),
+    lambda data: router_snapshot.decode_snapshot(data, NOW, CLOCK.monotonic),
+    lambda account: router_snapshot.encode_snapshot(account, CLOCK.unix_ms),
 )
-HandoverError = handover.HandoverError
-HANDOVER_SOCKET = DOOR
+HandoverError = handover_errors.HandoverError
+HANDOVER_SOCKET = SOCKET_NAME
 """The name of the socket at which the two processes meet."""
 
 
 def account_parts(account: bytes) -> list[bytes]:
     """The messages in which an account travels."""
-    return [handover.encode(part) for part in handover.parts(account)]
+    return [handover.encode(chunk) for chunk in handover.split_snapshot(account)]
 
 
 # Accounting
@@ -221,12 +223,12 @@
 
 def carried(rows: list[dict[str, Any]]) -> list[dict[str, Any]]:
     """The rows of a ledger that has opened with these."""
-    return _ledger(rows).figures()
+    return _ledger(rows).export_rows()
 
 
 def _ledger(rows: list[dict[str, Any]]) -> Ledger:
     ledger = make_ledger(settings())
-    ledger.carry(rows)
+    ledger.import_rows(rows)
     return ledger
 
 
@@ -237,7 +239,7 @@
 
 def cuts_table(lines: list[bytes]) -> str:
     """The table of cuts that were collected, as CSV."""
-    return fleet.as_csv(fleet.add_up(fleet.read_cuts(lines)))
+    return fleet.as_csv(fleet.sum_cuts(fleet.read_cuts(lines)))
 
 
 def breach() -> dict[str, Any]:
@@ -251,10 +253,10 @@
 async def accounting_pages(folder: Path, rows: list[dict[str, Any]]) -> dict[str, bytes]:
     """What the ledger's listener answers to each call, and the names of the files that it keeps."""
     loop = asyncio.get_running_loop()
-    section = FiguresSection(listen=f"127.0.0.1:{take_port()}", directory=str(folder))
-    service = FiguresService(loop, section, ROUTER, settings(), lambda: _UNIX, "epoch-5")
-    service.ledger.carry(rows)
-    service.ledger.leave("request-8", 9)
+    section = AccountingSection(listen=f"127.0.0.1:{take_port()}", directory=str(folder))
+    service = AccountingService(loop, section, ROUTER, settings(), lambda: _UNIX, "epoch-5")
+    service.ledger.import_rows(rows)
+    service.ledger.record_disconnected("request-8", 9)
     address = await service.start(lambda: 0, tuple)
     assert address is not None
     told = {}
@@ -421,8 +423,8 @@
 async def control_pages() -> dict[str, bytes]:
     """What the control address answers to each call, when the router is ready and when it is not."""
     ready = [True]
-    told = Told(lambda: ready[0], counter_lines)
-    control = ControlAddress(asyncio.get_running_loop(), told)
+    sources = ControlSources(lambda: ready[0], counter_lines)
+    control = ControlServer(asyncio.get_running_loop(), sources)
     address = await control.listen(("127.0.0.1", 0))
     pages = {
         call: await http_call(address, call)
