--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -20,8 +20,9 @@
 import hiredis
 
 from pebblepass.daemon.caches import CacheConnection
+from pebblepass.daemon.connection_pool import Pool
 from pebblepass.daemon.daemon import CLIENT_SHARE, OWN_DESCRIPTORS
-from pebblepass.daemon.upstream import Answer, Exchange, Pool
+from pebblepass.daemon.exchange import Answer, Exchange
 from pebblepass.decisions import Outcome
 from pebblepass.simulation.clock import VirtualLoop
 from pebblepass.wire.address import Address
--- a/pebblepass/daemon/attempts.py
+++ b/pebblepass/daemon/attempts.py
@@ -9,8 +9,8 @@
 from pebblepass.control.counters import Counters
 from pebblepass.daemon import deadline_propagation
 from pebblepass.daemon.deadlines import Deadline
+from pebblepass.daemon.exchange import Answer, Exchange, ValueSource
 from pebblepass.daemon.lag import LoopLag, after_poll
-from pebblepass.daemon.upstream import Answer, Exchange, ValueSource
 from pebblepass.decisions import AttemptEnded, Event, Outcome, StreamStarted
 from pebblepass.wire import http, resp
 from pebblepass.wire.address import Address
--- a/pebblepass/daemon/caches.py
+++ b/pebblepass/daemon/caches.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from pebblepass.daemon.upstream import Answer, Connection, Exchange, Server
+from pebblepass.daemon.exchange import Answer, Exchange
+from pebblepass.daemon.server_connection import Connection, Server
 from pebblepass.decisions import CacheNote, Outcome
 from pebblepass.wire.answers import AnswerCutter, AnswerError, CutAnswer
 
--- a/pebblepass/daemon/daemon.py
+++ b/pebblepass/daemon/daemon.py
@@ -15,9 +15,9 @@
 from pebblepass.control.operations import CALLERS, ControlAddress, Told
 from pebblepass.daemon.client_server import ClientServer
 from pebblepass.daemon.config import Config, ConfigError, reload_discovery
+from pebblepass.daemon.connection_pool import Pool
 from pebblepass.daemon.inherited import adopt
 from pebblepass.daemon.router import RouterHost
-from pebblepass.daemon.upstream import Pool
 from pebblepass.decisions import ListKind
 from pebblepass.decisions.interface import NS_PER_S
 from pebblepass.discovery.registry import Clock, Discovery, Listing, read_listing
--- a/pebblepass/daemon/multi_get/batches.py
+++ b/pebblepass/daemon/multi_get/batches.py
@@ -5,9 +5,9 @@
 from typing import TYPE_CHECKING
 
 from pebblepass.daemon import deadline_propagation
+from pebblepass.daemon.exchange import Answer, Exchange, ValueSource
 from pebblepass.daemon.lag import after_poll
 from pebblepass.daemon.multi_get.reading import MultiGet
-from pebblepass.daemon.upstream import Answer, Exchange, ValueSource
 from pebblepass.decisions import BatchServed, HedgeDue, Outcome
 from pebblepass.multi_get import Batch
 from pebblepass.wire.address import Address
--- a/pebblepass/daemon/multi_get/entries.py
+++ b/pebblepass/daemon/multi_get/entries.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from pebblepass.daemon.upstream import ValueSource
+from pebblepass.daemon.exchange import ValueSource
 from pebblepass.multi_get import State
 
 if TYPE_CHECKING:
--- a/pebblepass/daemon/multi_get/reads.py
+++ b/pebblepass/daemon/multi_get/reads.py
@@ -7,11 +7,11 @@
 from typing import TYPE_CHECKING
 
 from pebblepass.daemon.attempts import OpenRequest
+from pebblepass.daemon.connection_pool import Pool
 from pebblepass.daemon.multi_get.batches import BatchExchange
 from pebblepass.daemon.multi_get.entries import KeyAttempt, KeyReply
 from pebblepass.daemon.multi_get.reading import NS_PER_MS, MultiGet
 from pebblepass.daemon.reply import Reply
-from pebblepass.daemon.upstream import Pool
 from pebblepass.decisions import BatchArrived, Effect, Outcome, SendBatch
 from pebblepass.multi_get import (
     BatchBounds,
--- a/pebblepass/daemon/origin.py
+++ b/pebblepass/daemon/origin.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from pebblepass.daemon.upstream import Answer, Connection, Server
+from pebblepass.daemon.exchange import Answer
+from pebblepass.daemon.server_connection import Connection, Server
 from pebblepass.decisions import Outcome
 from pebblepass.wire.http import HttpError, HttpReader
 from pebblepass.wire.resp import LARGE, MAX_ANSWER
--- a/pebblepass/daemon/reply.py
+++ b/pebblepass/daemon/reply.py
@@ -5,8 +5,8 @@
 from collections import deque
 from typing import TYPE_CHECKING, Any, Protocol
 
+from pebblepass.daemon.exchange import ValueSource
 from pebblepass.daemon.memory_budget import MemoryBudget
-from pebblepass.daemon.upstream import ValueSource
 
 if TYPE_CHECKING:
     from pebblepass.daemon.greetings import ClientSession
--- a/pebblepass/daemon/router.py
+++ b/pebblepass/daemon/router.py
@@ -11,10 +11,11 @@
 from pebblepass.control.counters import Counters
 from pebblepass.daemon.attempts import Attempt, OpenRequest, ReplySlot
 from pebblepass.daemon.caches import CacheConnection
+from pebblepass.daemon.connection_pool import Pool
 from pebblepass.daemon.deadlines import Deadline, Deadlines
+from pebblepass.daemon.exchange import Answer, Exchange
 from pebblepass.daemon.lag import LoopLag
 from pebblepass.daemon.origin import OriginConnection
-from pebblepass.daemon.upstream import Answer, Exchange, Pool
 from pebblepass.decisions import (
     Action,
     AttemptEnded,
--- a/pebblepass/daemon/succession.py
+++ b/pebblepass/daemon/succession.py
@@ -10,8 +10,8 @@
 
 from pebblepass.daemon.client_server import ClientServer
 from pebblepass.daemon.connection_handover import ConnectionHandover
+from pebblepass.daemon.connection_pool import Pool
 from pebblepass.daemon.router import RouterHost
-from pebblepass.daemon.upstream import Pool
 from pebblepass.decisions import ListKind, StateImported
 from pebblepass.discovery.registry import Clock, Discovery, read_listing, write_listing
 from pebblepass.handover.knowledge import aged
--- a/tests/daemon/test_crossings.py
+++ b/tests/daemon/test_crossings.py
@@ -8,7 +8,8 @@
 
 import pytest
 
-from pebblepass.daemon.upstream import REST_S, Connection
+from pebblepass.daemon.connection_pool import REST_S
+from pebblepass.daemon.server_connection import Connection
 from pebblepass.decisions import ServerState
 from tests.crossings import LONG_DIALS, Bed, PeerLine, crossing
 from tests.sockets import http_answer
--- a/tests/daemon/test_gone.py
+++ b/tests/daemon/test_gone.py
@@ -16,8 +16,8 @@
 import pytest
 
 from pebblepass.daemon.client_connection import MAX_PIPELINE, ClientConnection
+from pebblepass.daemon.connection_pool import REST_S
 from pebblepass.daemon.multi_get.batches import BatchExchange
-from pebblepass.daemon.upstream import REST_S
 from pebblepass.decisions import Send
 from tests.crossings import ADDRESS, LONG_DIALS, Bed, ClientLine, PeerLine, asked, crossing
 from tests.multi_get.site import Site, on_site
--- a/tests/daemon/test_orders.py
+++ b/tests/daemon/test_orders.py
@@ -22,10 +22,12 @@
     caches,
     client_connection,
     client_server,
+    connection_pool,
     daemon,
+    exchange,
     reply,
     router,
-    upstream,
+    server_connection,
 )
 from pebblepass.daemon.daemon import ACCEPT_S, Daemon
 from pebblepass.decisions import Outcome, ServerState
@@ -275,7 +277,7 @@
         return None
 
     with (
-        patch.object(upstream.Pool, "_next_waiting", next_waiting),
+        patch.object(connection_pool.Pool, "_next_waiting", next_waiting),
         patch.object(attempts.OpenRequest, "withdraw", lambda self: None),
     ):
         yield
@@ -317,23 +319,26 @@
 @contextmanager
 def stale_never_ran() -> Iterator[None]:
     """A kept connection that breaks without an answer counts as one that never ran."""
-    whole = upstream.Exchange.end
+    whole = exchange.Exchange.end
 
-    def end(self: Any, outcome: Outcome, answer: Any = upstream.NOTHING) -> None:
+    def end(self: Any, outcome: Outcome, answer: Any = exchange.NOTHING) -> None:
         whole(
             self,
             Outcome.CONNECT_FAILED if self.connection_failed and outcome is Outcome.RESET else outcome,
             answer,
         )
 
-    with patch.object(upstream.Exchange, "end", end):
+    with patch.object(exchange.Exchange, "end", end):
         yield
 
 
 @contextmanager
 def takes_late_answers() -> Iterator[None]:
     """A connection is used again at once, whatever stands unread on it."""
-    with patch.object(upstream, "REST_S", 0.0), patch.object(upstream.Connection, "quiet", True):
+    with (
+        patch.object(connection_pool, "REST_S", 0.0),
+        patch.object(server_connection.Connection, "quiet", True),
+    ):
         yield
 
 
--- a/tests/daemon/test_upstream.py
+++ b/tests/daemon/test_upstream.py
@@ -9,8 +9,10 @@
 import pytest
 
 from pebblepass.daemon.caches import CacheConnection
+from pebblepass.daemon.connection_pool import Pool
+from pebblepass.daemon.exchange import Answer, Exchange, ValueSource
 from pebblepass.daemon.origin import OriginConnection
-from pebblepass.daemon.upstream import PER_SERVER, Answer, Exchange, Pool, ValueSource
+from pebblepass.daemon.server_connection import PER_SERVER, Connection
 from pebblepass.decisions import Outcome
 from pebblepass.emulators.ports import take_port
 from pebblepass.simulation.clock import VirtualLoop
@@ -223,7 +225,7 @@
             exchange = stand.submit(b"r%d" % cut)
             await until(lambda it=exchange: it.connection is not None, "a connection")  # type: ignore[misc]
             connection = exchange.connection
-            assert connection is not None
+            assert isinstance(connection, Connection)
             connection.data_received(answer[:cut])
             assert not exchange.is_over
             connection.data_received(answer[cut:])
--- a/tests/daemon/test_whole_answers.py
+++ b/tests/daemon/test_whole_answers.py
@@ -9,9 +9,10 @@
 from hypothesis import given, strategies
 
 from pebblepass.daemon.caches import CacheConnection
+from pebblepass.daemon.exchange import Answer, Exchange, ValueSource
 from pebblepass.daemon.gathered import GatherBudget
 from pebblepass.daemon.origin import OriginConnection
-from pebblepass.daemon.upstream import Answer, Exchange, Server, ValueSource
+from pebblepass.daemon.server_connection import Server
 from pebblepass.decisions import CacheNote, Outcome
 from pebblepass.wire.address import Address
 from pebblepass.wire.resp import MAX_ANSWER
