--- a/pebblepass/accounting/webhook.py
+++ b/pebblepass/accounting/webhook.py
@@ -94,8 +94,8 @@
         if not self.status_came.done():
             self.status_came.set_exception(error)
 
-    def body_starts(self, length: int | None) -> None:
+    def body_started(self, length: int | None) -> None:
         pass
 
-    def body_came(self, data: bytes) -> None:
+    def body_received(self, data: bytes) -> None:
         pass
--- /dev/null
+++ b/pebblepass/connection_limits/eviction.py
@@ -0,0 +1,52 @@
+"""Which client connection is evicted for a new one at the connection limit. No I/O, no clock."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from enum import Enum
+from typing import TypeVar
+
+IDLE_GRACE_S = 0.25
+"""A client that sends request after request sends the next one within this time."""
+PARTIAL_COMMAND_GRACE_S = 0.9
+"""Maximum pause between two pieces of a command from a slow but live client."""
+NEW_CONNECTION_GRACE_S = 0.005
+"""Time from the start of a connection to its first byte, for a client that has a request to send."""
+
+T = TypeVar("T")
+
+
+class Activity(Enum):
+    """What a connection is doing."""
+
+    NEW = "no command received yet"
+    PARTIAL_COMMAND = "a command partially received, no reply pending"
+    IDLE = "between two commands"
+    REPLY_PENDING = "waiting for a reply"
+
+
+# In order: the first activity that has a connection inactive for at least the grace period gives up the one
+# that has been inactive for longest. An idle client may be about to send its next request; one that pauses in
+# the middle of a command has usually stopped.
+_EVICTION_ORDER = (
+    (Activity.IDLE, IDLE_GRACE_S),
+    (Activity.PARTIAL_COMMAND, PARTIAL_COMMAND_GRACE_S),
+    (Activity.IDLE, 0.0),
+    (Activity.NEW, NEW_CONNECTION_GRACE_S),
+)
+
+
+def choose_eviction(connections: Iterable[tuple[T, Activity, float]]) -> T | None:
+    """Return the connection to evict, of some that each come with their activity and seconds of inactivity.
+
+    Returns None if all wait for replies, or were active just now.
+    """
+    longest: dict[Activity, tuple[float, T]] = {}
+    for connection, activity, inactive_s in connections:
+        known = longest.get(activity)
+        if known is None or inactive_s > known[0]:
+            longest[activity] = inactive_s, connection
+    for activity, grace_s in _EVICTION_ORDER:
+        if activity in longest and longest[activity][0] >= grace_s:
+            return longest[activity][1]
+    return None
--- a/pebblepass/daemon/__main__.py
+++ b/pebblepass/daemon/__main__.py
@@ -84,12 +84,14 @@
         from pebblepass.accounting.listener import MOST_CONNECTIONS
 
         listens = MOST_CONNECTIONS if ledger.listen else 0
-        taken += descriptors.figures(listens, bool(ledger.directory), bool(ledger.webhook))
+        taken += descriptors.accounting_descriptors(listens, bool(ledger.directory), bool(ledger.webhook))
     if section is not None:
         from pebblepass.peers.links import STRANGERS
 
         coming = len(section.members) - 1 if name in section.voters else 0
-        taken += descriptors.fleet(len(section.voters), coming, STRANGERS, bool(section.directory))
+        taken += descriptors.fleet_descriptors(
+            len(section.voters), coming, STRANGERS, bool(section.directory)
+        )
     return taken
 
 
--- a/pebblepass/daemon/client_connection.py
+++ b/pebblepass/daemon/client_connection.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Protocol, cast
 
-from pebblepass.connection_limits.places import Standing
+from pebblepass.connection_limits.eviction import Activity
 from pebblepass.daemon.client_liveness import ClientLiveness
 from pebblepass.daemon.memory_budget import MemoryBudget
 from pebblepass.daemon.reply import Reply
@@ -199,7 +199,7 @@
             return
         if self.refusing or self.server.shutting_down:
             self._closes_when_idle = True
-            reply.send(b"-BUSY\r\n")
+            reply.send(b"-REPLY_PENDING\r\n")
             self.server.host.record_rejection(
                 command, refused="connections" if self.refusing else "router ends"
             )
@@ -326,13 +326,13 @@
         return not self.replies and not self.reader.need
 
     @property
-    def standing(self) -> Standing:
+    def activity(self) -> Activity:
         """Its state, by which connections are chosen for eviction."""
         if self.replies or self.in_handover:
-            return Standing.BUSY
+            return Activity.REPLY_PENDING
         if self.reader.need:
-            return Standing.MIDWAY
-        return Standing.BETWEEN if self.has_sent_command else Standing.NEW
+            return Activity.PARTIAL_COMMAND
+        return Activity.IDLE if self.has_sent_command else Activity.NEW
 
     def finish(self, even_midway: bool) -> None:
         """Close once nothing is open; `even_midway`: also with a partial command."""
--- a/pebblepass/daemon/client_server.py
+++ b/pebblepass/daemon/client_server.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from pebblepass.connection_limits.descriptors import REFUSERS
-from pebblepass.connection_limits.places import choose_eviction
+from pebblepass.connection_limits.descriptors import MAX_REJECTED_CONNECTIONS
+from pebblepass.connection_limits.eviction import choose_eviction
 from pebblepass.daemon.client_connection import ClientConnection
 from pebblepass.daemon.client_timeouts import enforce_timeouts
 from pebblepass.daemon.memory_budget import MemoryBudget
@@ -33,10 +33,15 @@
     """The listener and all clients' connections, within the limit on descriptors."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, host: Host, limit: int, budget: int, refusers: int = REFUSERS
+        self,
+        loop: asyncio.AbstractEventLoop,
+        host: Host,
+        limit: int,
+        budget: int,
+        rejected: int = MAX_REJECTED_CONNECTIONS,
     ) -> None:
-        """`limit` connections are served; the commands of `refusers` more are rejected."""
-        self.loop, self.host, self._limit, self._refusers = loop, host, limit, refusers
+        """`limit` connections are served; the commands of `rejected` more are rejected."""
+        self.loop, self.host, self._limit, self._rejected_limit = loop, host, limit, rejected
         self.poll_socket: Callable[[int, int], int] = socket_poller(loop).poll
         self.lag: PollTimes = host.lag
         self.shutting_down = False
@@ -73,7 +78,7 @@
         now = self.loop.time()
         for _ in range(MAX_EVICTION_CHECKS):
             candidate = choose_eviction(
-                (each, each.standing, now - each.last_used_at) for each in self._connections
+                (each, each.activity, now - each.last_used_at) for each in self._connections
             )
             if candidate is None or not candidate.has_unread():
                 return candidate
@@ -121,7 +126,7 @@
             evicted = self._eviction_candidate()
             if evicted is not None:
                 evicted.abort()
-            elif len(self._connections) < self._limit + self._refusers:
+            elif len(self._connections) < self._limit + self._rejected_limit:
                 connection.refusing = True
             else:
                 connection.abort()
--- a/pebblepass/daemon/connection_handover.py
+++ b/pebblepass/daemon/connection_handover.py
@@ -19,7 +19,7 @@
         connection, transport = self.connection, self.connection.transport
         if transport is None or not connection.is_transferable:
             return False
-        if connection.reader.held_bytes > MAX_PARTIAL_COMMAND:
+        if connection.reader.buffered_bytes > MAX_PARTIAL_COMMAND:
             return False
         # Danger: replies that the kernel has not accepted are lost with this process.
         if transport.get_write_buffer_size():
@@ -37,7 +37,7 @@
         session = connection.session
         handshake = (session.protocol, session.name, session.number) if session is not None else (0, b"", 0)
         return ConnectionState(
-            connection.reader.held, max(int(age_s * 1000), 0), connection.has_sent_command, *handshake
+            connection.reader.buffered, max(int(age_s * 1000), 0), connection.has_sent_command, *handshake
         )
 
     def cancel(self) -> None:
--- a/pebblepass/daemon/daemon.py
+++ b/pebblepass/daemon/daemon.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING
 
-from pebblepass.connection_limits.descriptors import callers, own, split
+from pebblepass.connection_limits.descriptors import allocate, caller_limit, own_descriptors
 from pebblepass.control.operations import CALLERS, ControlAddress, Told
 from pebblepass.daemon.client_server import ClientServer
 from pebblepass.daemon.config import Config, ConfigError, reload_discovery
@@ -78,16 +78,18 @@
         `beside`: descriptors that the operator's sections take.
         """
         self._loop, self._config = loop, config
-        self._callers = callers(config.sockets, CALLERS) if config.ops is not None else 0
+        self._callers = caller_limit(config.sockets, CALLERS) if config.ops is not None else 0
         inherited = config.inherited is not None
-        self._split = split(config.sockets, own(self._callers, inherited, beside))
+        self._allocation = allocate(config.sockets, own_descriptors(self._callers, inherited, beside))
         dial_timeout, idle_close = config.dial_timeout / NS_PER_S, config.idle_close / NS_PER_S
         reports = bool(config.settings.load_fields)
         gather = int(config.memory * GATHER_SHARE)
-        self._pool = Pool(loop, self._split.servers, dial_timeout, idle_close, reports, gather)
+        self._pool = Pool(loop, self._allocation.servers, dial_timeout, idle_close, reports, gather)
         self.host = self.host_class(loop, config.settings, config.seed, self._pool, config.max_open)
         budget = int(config.memory * BUDGET_SHARE)
-        self.clients = ClientServer(loop, self.host, self._split.served, budget, self._split.refusers)
+        self.clients = ClientServer(
+            loop, self.host, self._allocation.served, budget, self._allocation.rejected
+        )
         clock = self._clock = Clock(self.host.now(), unix_ns())
         self._succession: Succession | None = None
         self._settled_at = loop.time() + settling(spent, config.cores)
@@ -149,7 +151,9 @@
         folder = os.environ.get("TMPDIR") or tempfile.gettempdir()
         budget = int(self._config.memory * BUDGET_SHARE)
         routed = Routed(self._loop, self.host, self.clients, self._pool, self._discovery, self._clock, budget)
-        self._succession = Succession(routed, listener, folder, self._split.own + self._split.refusers)
+        self._succession = Succession(
+            routed, listener, folder, self._allocation.own + self._allocation.rejected
+        )
         await self._succession.begin()
         if self._succession.told:
             self._loop.call_later(READY_S, self._make_do)
--- a/pebblepass/daemon/multi_get/batches.py
+++ b/pebblepass/daemon/multi_get/batches.py
@@ -11,7 +11,7 @@
 from pebblepass.decisions import BatchServed, HedgeDue, Outcome
 from pebblepass.multi_get import Batch
 from pebblepass.wire.address import Address
-from pebblepass.wire.answers import AnswerError
+from pebblepass.wire.answers import AnswerFormatError
 from pebblepass.wire.resp import MANY, bulk_length, command, read_command
 
 if TYPE_CHECKING:
@@ -106,7 +106,7 @@
         self.array_expected = False
         if count != len(self._batch.items) and count >= 0:
             # With another length, an answer would be attributed to the wrong key.
-            raise AnswerError("answers to another number of keys")
+            raise AnswerFormatError("answers to another number of keys")
         self._single_error = count < 0
 
     _single_error = False
--- a/pebblepass/daemon/origin.py
+++ b/pebblepass/daemon/origin.py
@@ -35,7 +35,7 @@
 
     def eof_received(self) -> None:
         """Take the end of the origin's sending, which may be the end of an answer."""
-        if self.exchange is not None and self._rest is None and self.ended():
+        if self.exchange is not None and self._rest is None and self.is_complete_at_eof():
             self._take()
 
     def _take(self) -> None:
@@ -52,7 +52,7 @@
     def _end(self, value: bytes | None) -> None:
         status, report = self.status, self.headers.get(b"server-load")
         not_started = self.headers.get(b"not-started") == b"1"
-        self.retired = not self.answer_done() or self.retired
+        self.retired = not self.finish_response() or self.retired
         if status == 200:
             self.finish(Outcome.OK, Answer(value, None, report))
         elif status in _NOT_THERE and self.exchange is not None and not self.exchange.is_write:
@@ -62,7 +62,7 @@
         else:
             self.finish(Outcome.ERROR, Answer(report=report))
 
-    def body_starts(self, length: int | None) -> None:
+    def body_started(self, length: int | None) -> None:
         """Pass a long value on as it comes; a short one, or one of unknown length, is gathered."""
         if length is not None and length > MAX_ANSWER:
             raise HttpError("value too long")
@@ -70,7 +70,7 @@
             self._streaming = True
             self.exchange.value_started(length, self)
 
-    def body_came(self, data: bytes) -> None:
+    def body_received(self, data: bytes) -> None:
         """Gather a part of the body, or pass it on."""
         if self._streaming:
             if self.exchange is not None:
--- a/pebblepass/discovery/registry.py
+++ b/pebblepass/discovery/registry.py
@@ -135,21 +135,21 @@
             self.close()
 
     def eof_received(self) -> None:
-        if self.ended():
+        if self.is_complete_at_eof():
             self._take()
 
     def _take(self) -> None:
         status, body = self.status, bytes(self._body)
         self._body.clear()
-        if not self.answer_done():
+        if not self.finish_response():
             self.close()
         if self._answer is not None and not self._answer.done():
             self._answer.set_result((status, body))
 
-    def body_starts(self, length: int | None) -> None:
+    def body_started(self, length: int | None) -> None:
         pass
 
-    def body_came(self, data: bytes) -> None:
+    def body_received(self, data: bytes) -> None:
         self._body += data
         if len(self._body) > MAX_BODY:
             raise HttpError("list too long")
--- a/pebblepass/wire/answers.py
+++ b/pebblepass/wire/answers.py
@@ -1,8 +1,8 @@
-"""Cache servers' answers off the wire, cut from a connection's bytes without a step beyond an answer's end.
+"""Parses cache servers' answers from a connection's bytes, without reading beyond the end of an answer.
 
 An answer is an array of a value (or null), how it went, and a load report (PROTOCOL, Routers to cache
-servers), an error line, or what a probe gets. Where many are expected on one connection, the first byte
-behind an answer is the next one's: a reader that takes in all that came could not tell where one ends.
+servers), an error line, or what a health check gets. Where several are expected on one connection, the first
+byte after an answer is the next one's: a parser that consumes all input could not tell where one ends.
 """
 
 from __future__ import annotations
@@ -13,180 +13,187 @@
 
 from pebblepass.wire.resp import LARGE, MAX_ANSWER
 
-MAX_REST = 8 << 10  # all of an answer but its value: far more than a note and a load report take
+MAX_METADATA = (
+    8 << 10
+)  # bytes of an answer without its value: far more than its cache note and load report take
 
-_WHOLE = re.compile(rb"\*3\r\n\$(\d{1,8})\r\n")
-_AFTER_VALUE = re.compile(rb"\r\n\$3\r\nhit\r\n\$(\d{1,4})\r\n([^\r\n]*)\r\n")
-_LINE = re.compile(rb"(?:\*(\d{1,5}|-1)|\$(\d{1,8}|-1)|([+:-][^\r\n]*))\r\n")
-# Guards against waiting out a request's time for the rest of what can't become a line: a short broken one
-# is all that its server sends.
-_BEGUN = re.compile(rb"(?:\*(?:-1?|\d{1,5})?|\$(?:-1?|\d{1,8})?|[+:-][^\r\n]*)\r?")
+_HIT_HEADER = re.compile(rb"\*3\r\n\$(\d{1,8})\r\n")
+_HIT_TRAILER = re.compile(rb"\r\n\$3\r\nhit\r\n\$(\d{1,4})\r\n([^\r\n]*)\r\n")
+_HEADER_LINE = re.compile(rb"(?:\*(\d{1,5}|-1)|\$(\d{1,8}|-1)|([+:-][^\r\n]*))\r\n")
+# Guards against waiting until the attempt's timeout for the rest of what can't become a line: a short
+# malformed line may be all that its server sends.
+_PARTIAL_HEADER_LINE = re.compile(rb"(?:\*(?:-1?|\d{1,5})?|\$(?:-1?|\d{1,8})?|[+:-][^\r\n]*)\r?")
 
 
-class AnswerError(Exception):
-    """The bytes are no answer; the text says why."""
+class AnswerFormatError(Exception):
+    """The bytes are not an answer; the text says why."""
 
 
-class CutAnswer(Struct):
-    """One answer: its array's places, or its line."""
+class ParsedAnswer(Struct):
+    """One answer: its array's elements, or its line."""
 
-    places: list[bytes | None] = field(default_factory=list)
-    """Value, how it went, load report; empty where it is no array."""
+    elements: list[bytes | None] = field(default_factory=list)
+    """Value, cache note, load report; empty if the answer is not an array."""
     line: bytes | None = None
-    """An error or status line with its mark, or a probe's bulk string behind a `$`."""
+    """An error or status line with its mark, or a health check's bulk string after a `$`."""
 
 
-class AnswerCutter:
-    """Cuts one connection's bytes into answers; a value over 64 KiB is passed on by its owner."""
+class AnswerParser:
+    """Parses the answers on one connection; the owner takes a value over 64 KiB out of `buffered` itself."""
 
     def __init__(self) -> None:
-        self.held = b""
-        """What came of an answer under way."""
-        self._need = 0
-        self._places: list[bytes | None] | None = None  # behind a long value: what came of its array
+        self.buffered = b""
+        """The bytes received of a partial answer."""
+        self._needed_bytes = 0
+        self._elements: list[bytes | None] | None = (
+            None  # after a long value: the elements received of its array
+        )
         self._count = 0
-        self.long = 0
-        """The length of the value that the bytes in `held` are now to be taken from, by its owner."""
+        self.long_value_length = 0
+        """Length in bytes of the long value that the owner is to take out of `buffered` now, or 0."""
 
     def feed(self, data: bytes) -> None:
-        """Take what came."""
-        self.held = self.held + data if self.held else data
+        """Add received bytes."""
+        self.buffered = self.buffered + data if self.buffered else data
 
     @property
-    def midway(self) -> bool:
-        """Whether an answer is under way."""
-        return bool(self.held) or self._places is not None
+    def has_partial_answer(self) -> bool:
+        """Whether an answer is partially received."""
+        return bool(self.buffered) or self._elements is not None
 
-    def value_taken(self) -> None:
-        """The long value's bytes have been taken out of `held`, without its line end."""
-        self.long = 0
+    def long_value_received(self) -> None:
+        """Record that the owner has taken the long value out of `buffered`, without its line end."""
+        self.long_value_length = 0
 
-    def array(self) -> int | None:
-        """Take the head of an array of answers; None: not whole yet, -1: an error line instead."""
-        found = self._line(0)
+    def array_length(self) -> int | None:
+        """Consume an array's header and return its length; None: incomplete, -1: an error line instead."""
+        found = self._match_header(0)
         if found is None:
             return None
         if found[1] is None:
             return -1
-        self.held = self.held[found.end() :]
+        self.buffered = self.buffered[found.end() :]
         return int(found[1])
 
-    def next(self) -> CutAnswer | None:
-        """The next answer; None: more must come, or a long value is to be taken. Raises AnswerError."""
-        data = self.held
-        if len(data) < self._need or not data:
+    def next_answer(self) -> ParsedAnswer | None:
+        """Return the next answer; None if it is incomplete, or the owner is to take a long value.
+
+        Raises AnswerFormatError.
+        """
+        data = self.buffered
+        if len(data) < self._needed_bytes or not data:
             return None
-        self._need = 0
-        if self._places is None:
-            if (answer := self._whole_hit(data)) is not None:
+        self._needed_bytes = 0
+        if self._elements is None:
+            if (answer := self._plain_hit(data)) is not None:
                 return answer
-            found = self._line(0)
+            found = self._match_header(0)
             if found is None:
                 return None
             if found[1] is None:
-                return self._single(found)
+                return self._finish_line(found)
             count = int(found[1])
             if not 1 <= count <= 9:
-                raise AnswerError("an array without places, or with too many")
+                raise AnswerFormatError("an array without elements, or with too many")
             return self._array([], count, found.end())
-        # Behind a long value stands its line end, and then the rest of its array.
+        # A long value is followed by its line end, and then the rest of its array.
         if data[:2] != b"\r\n"[: len(data[:2])]:
-            raise AnswerError("a value of another length than it told")
-        return self._array(self._places, self._count, 2) if len(data) >= 2 else None
+            raise AnswerFormatError("a value of another length than announced")
+        return self._array(self._elements, self._count, 2) if len(data) >= 2 else None
 
-    def hits(self, most: int) -> list[bytes]:
-        """The next answers that are hits in the usual form and whole, `most` at most: each value as it came,
+    def next_hits(self, limit: int) -> list[bytes]:
+        """Return the values of up to `limit` complete hits in the usual form, each as its bulk string.
 
-        a bulk string. What follows them, and whatever is not that plain, is left for `next`.
+        What follows them, and answers in any other form, are left for `next_answer`.
         """
-        data, at, entries = self.held, 0, list[bytes]()
-        if self._places is not None or len(data) < self._need:
+        data, at, entries = self.buffered, 0, list[bytes]()
+        if self._elements is not None or len(data) < self._needed_bytes:
             return entries
-        while len(entries) < most:
-            head = _WHOLE.match(data, at)
+        while len(entries) < limit:
+            head = _HIT_HEADER.match(data, at)
             if head is None:
                 break
             end = head.end() + int(head[1])
-            rest = _AFTER_VALUE.match(data, end)
+            rest = _HIT_TRAILER.match(data, end)
             if end - head.end() > LARGE or rest is None or len(rest[2]) != int(rest[1]):
                 break
             entries.append(data[at + 4 : end + 2])
             at = rest.end()
         if entries:
-            self.held, self._need = data[at:], 0
+            self.buffered, self._needed_bytes = data[at:], 0
         return entries
 
-    def _whole_hit(self, data: bytes) -> CutAnswer | None:
-        """The answer, if it is a hit in the usual form and whole: nearly all are; None: look closer."""
-        head = _WHOLE.match(data)
+    def _plain_hit(self, data: bytes) -> ParsedAnswer | None:
+        """Return a complete hit in the usual form, as nearly all answers are; None: parse in full."""
+        head = _HIT_HEADER.match(data)
         if head is None:
             return None
         start, length = head.end(), int(head[1])
-        rest = _AFTER_VALUE.match(data, start + length)
+        rest = _HIT_TRAILER.match(data, start + length)
         if length > LARGE or rest is None or len(rest[2]) != int(rest[1]):
             return None
-        self.held = data[rest.end() :]
-        return CutAnswer([data[start : start + length], b"hit", rest[2]])
+        self.buffered = data[rest.end() :]
+        return ParsedAnswer([data[start : start + length], b"hit", rest[2]])
 
-    def _single(self, found: re.Match[bytes]) -> CutAnswer | None:
+    def _finish_line(self, found: re.Match[bytes]) -> ParsedAnswer | None:
         if found[3] is not None:
-            self.held = self.held[found.end() :]
-            return CutAnswer(line=found[3])
+            self.buffered = self.buffered[found.end() :]
+            return ParsedAnswer(line=found[3])
         length = int(found[2])
-        if length < 0 or length > MAX_REST:
-            raise AnswerError("a bulk string that is no answer")
-        if (text := self._bulk(found.end(), length)) is None:
+        if length < 0 or length > MAX_METADATA:
+            raise AnswerFormatError("a bulk string that is not an answer")
+        if (text := self._bulk_string(found.end(), length)) is None:
             return None
-        self.held = self.held[found.end() + length + 2 :]
-        return CutAnswer(line=b"$" + text)
-
-    def _array(self, places: list[bytes | None], count: int, at: int) -> CutAnswer | None:
-        """Cut the rest of an array's places from `at` on."""
-        places = places.copy()
-        while len(places) < count:
-            found = self._line(at)
+        self.buffered = self.buffered[found.end() + length + 2 :]
+        return ParsedAnswer(line=b"$" + text)
+
+    def _array(self, elements: list[bytes | None], count: int, at: int) -> ParsedAnswer | None:
+        """Parse the rest of an array's elements from `at` on."""
+        elements = elements.copy()
+        while len(elements) < count:
+            found = self._match_header(at)
             if found is None:
                 return None
             at = found.end()
             if found[2] is None:
-                if not places or found[1] not in (None, b"-1") or (found[3] or b"").startswith(b"-"):
-                    raise AnswerError("an array that does not begin with a value")
-                places.append(None if found[3] is None else found[3][1:])
+                if not elements or found[1] not in (None, b"-1") or (found[3] or b"").startswith(b"-"):
+                    raise AnswerFormatError("an array that does not begin with a value")
+                elements.append(None if found[3] is None else found[3][1:])
                 continue
             length = int(found[2])
             if length < 0:
-                places.append(None)
+                elements.append(None)
                 continue
-            if not places and length > LARGE:
+            if not elements and length > LARGE:
                 if length > MAX_ANSWER:
-                    raise AnswerError("a value too long")
-                self.held = self.held[at:]
-                self.long, self._places, self._count = length, [b""], count
+                    raise AnswerFormatError("a value too long")
+                self.buffered = self.buffered[at:]
+                self.long_value_length, self._elements, self._count = length, [b""], count
                 return None
-            if places and length > MAX_REST:
-                raise AnswerError("more beside the value than an answer has")
-            if (text := self._bulk(at, length)) is None:
+            if elements and length > MAX_METADATA:
+                raise AnswerFormatError("a cache note or load report too long")
+            if (text := self._bulk_string(at, length)) is None:
                 return None
-            places.append(text)
+            elements.append(text)
             at += length + 2
-        self.held, self._places = self.held[at:], None
-        return CutAnswer(places)
+        self.buffered, self._elements = self.buffered[at:], None
+        return ParsedAnswer(elements)
 
-    def _bulk(self, at: int, length: int) -> bytes | None:
-        data, end = self.held, at + length
-        # Danger: a length that does not fit would cut the value, or add to it what follows.
+    def _bulk_string(self, at: int, length: int) -> bytes | None:
+        data, end = self.buffered, at + length
+        # Danger: a wrong length would truncate the value, or append to it what follows.
         line_end = data[end : end + 2]
         if line_end != b"\r\n"[: len(line_end)]:
-            raise AnswerError("a value of another length than it told")
+            raise AnswerFormatError("a value of another length than announced")
         if len(line_end) < 2:
-            self._need = end + 2 if len(data) <= end else 0
+            self._needed_bytes = end + 2 if len(data) <= end else 0
             return None
         return data[at:end]
 
-    def _line(self, at: int) -> re.Match[bytes] | None:
-        found = _LINE.match(self.held, at)
+    def _match_header(self, at: int) -> re.Match[bytes] | None:
+        found = _HEADER_LINE.match(self.buffered, at)
         if found is None:
-            tail = self.held[at : at + MAX_REST + 1]
-            if tail and (len(tail) > MAX_REST or not _BEGUN.fullmatch(tail)):
-                raise AnswerError("a line that can't be read")
+            tail = self.buffered[at : at + MAX_METADATA + 1]
+            if tail and (len(tail) > MAX_METADATA or not _PARTIAL_HEADER_LINE.fullmatch(tail)):
+                raise AnswerFormatError("an invalid line")
         return found
--- a/pebblepass/wire/http.py
+++ b/pebblepass/wire/http.py
@@ -1,106 +1,109 @@
-"""A small HTTP/1.1 client on one connection: a request at a time, and never sent twice."""
+"""HTTP/1.1 for a client: encodes requests, and reads the responses of one connection, one at a time."""
 
 from __future__ import annotations
 
 import httptools
 
-MAX_HEAD = 32 << 10
+MAX_HEADER_BYTES = 32 << 10
 
 
 class HttpError(Exception):
-    """The bytes are no HTTP/1.1 answer."""
+    """The bytes are not an HTTP/1.1 response."""
 
 
 class HttpReader:
-    """Reads the answers of one connection; a subclass takes their parts."""
+    """Reads the responses of one connection; a subclass receives their bodies."""
 
     def __init__(self) -> None:
-        self._next_answer()
+        self._reset()
 
-    def _next_answer(self) -> None:
+    def _reset(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self.headers: dict[bytes, bytes] = {}
-        self._head = 0
-        self._in_body = self._whole = self._keep = False
+        self._header_bytes = 0
+        self._in_body = self._complete = self._reusable = False
         self.status = 0
-        """The status code of the answer being read, once its head is whole."""
+        """The status code of the response being read, once its header is complete."""
 
     def read(self, data: bytes) -> bool:
-        """Read a part of an answer; returns whether the answer is whole."""
+        """Read a part of a response; returns whether the response is complete.
+
+        Raises HttpError.
+        """
         if not self._in_body:
-            self._head += len(data)
+            self._header_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            # Guards a good answer against what follows it: noise or a copy ends the connection's use only.
-            if not self._whole:
+            # Guards a complete response against what follows it: that only ends the use of the connection.
+            if not self._complete:
                 raise HttpError(str(error) or type(error).__name__) from None
-            self._keep = False
-        if not self._in_body and self._head > MAX_HEAD:
-            raise HttpError("head too long")
-        return self._whole
+            self._reusable = False
+        if not self._in_body and self._header_bytes > MAX_HEADER_BYTES:
+            raise HttpError("header too long")
+        return self._complete
 
-    def ended(self) -> bool:
-        """Take the orderly end of the stream; returns whether the answer is whole with it.
+    def is_complete_at_eof(self) -> bool:
+        """Handle the orderly end of the stream; returns whether that completes the response.
 
         A body without a length and not in chunks goes on until the connection's end (RFC 9112, 6.3). A reset
-        is no such end: whoever sees one does not ask.
+        is no such end: do not call this after one.
         """
         framed = b"content-length" in self.headers or b"transfer-encoding" in self.headers
-        if self._in_body and not self._whole and not framed:
-            self._whole, self._keep = True, False
+        if self._in_body and not self._complete and not framed:
+            self._complete, self._reusable = True, False
             return True
         return False
 
-    def answer_done(self) -> bool:
-        """Go on to the next answer; returns whether the connection can be used again."""
-        keep = self._keep
-        self._next_answer()
-        return keep
+    def finish_response(self) -> bool:
+        """Prepare for the next response; returns whether the connection can be reused."""
+        reusable = self._reusable
+        self._reset()
+        return reusable
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Called by httptools."""
-        if not self._whole:
-            self.headers[name.lower()] = value.strip(b" \t")  # httptools leaves what may stand behind it
+        if not self._complete:
+            self.headers[name.lower()] = value.strip(b" \t")  # httptools leaves trailing whitespace
 
     def on_headers_complete(self) -> None:
-        """Called by httptools; an interim answer (1xx) has no body and says nothing that is wanted."""
-        if self._whole or self._parser.get_status_code() < 200:
+        """Called by httptools; an interim response (1xx) has no body, and is ignored."""
+        if self._complete or self._parser.get_status_code() < 200:
             return
         self.status = self._parser.get_status_code()
         self._in_body = True
         length = self.headers.get(b"content-length")
-        self.body_starts(int(length) if length is not None and length.isdigit() else None)
+        self.body_started(int(length) if length is not None and length.isdigit() else None)
 
     def on_body(self, data: bytes) -> None:
         """Called by httptools."""
-        if not self._whole:
-            self.body_came(data)
+        if not self._complete:
+            self.body_received(data)
 
     def on_message_begin(self) -> None:
-        """Called by httptools: a second answer in the same bytes is none that was asked for."""
-        if self._whole:
-            self._keep = False
+        """Called by httptools: a second response in the same bytes belongs to no request."""
+        if self._complete:
+            self._reusable = False
 
     def on_message_complete(self) -> None:
         """Called by httptools."""
-        if self._in_body and not self._whole:
-            self._whole = True
-            self._keep = self._parser.should_keep_alive()
-        elif not self._whole:
-            self.headers.clear()  # those of an interim answer
-
-    def body_starts(self, length: int | None) -> None:
-        """Take the end of the head and the body's length, if it is stated."""
+        if self._in_body and not self._complete:
+            self._complete = True
+            self._reusable = self._parser.should_keep_alive()
+        elif not self._complete:
+            self.headers.clear()  # those of an interim response
+
+    def body_started(self, length: int | None) -> None:
+        """Handle the end of the header; `length` is the body's in bytes, if it is stated."""
         raise NotImplementedError
 
-    def body_came(self, data: bytes) -> None:
-        """Take a part of the body."""
+    def body_received(self, data: bytes) -> None:
+        """Handle a part of the body."""
         raise NotImplementedError
 
 
 def request(method: str, target: str, host: str, headers: bytes = b"", body: bytes | None = None) -> bytes:
-    """Write a request down; `headers` are whole lines."""
+    """Encode a request; `headers` are complete lines."""
     length = b"" if body is None else b"Content-Length: %d\r\n" % len(body)
     head = f"{method} {target} HTTP/1.1\r\nHost: {host}\r\n".encode("ascii")
     return b"%b%b%b\r\n%b" % (head, headers, length, body or b"")
--- a/pebblepass/wire/resp.py
+++ b/pebblepass/wire/resp.py
@@ -16,17 +16,17 @@
 MAX_VALUE = 64 << 10  # PROTOCOL: values hold at most 64 KiB
 MAX_ANSWER = 4 << 20  # a server's value is taken up to this length, in parts where it is over LARGE
 LARGE = 64 << 10
-MAX_PARTS = 16
+MAX_WORDS = 16
 MAX_WORD = 16 << 10  # all words of a command but its value together: far more than any has
 MANY = b"KV.MGET"
 MAX_KEYS = 1024  # of one command that reads many
-MAX_LISTED = (
+MAX_MULTI_GET_WORDS = (
     16 << 10
 )  # words of such a command that are cut, so that one too long is answered and passed over
-LEAST_WORD = 6  # bytes that a word takes up at least, with its header and ends
-MAX_KNOWN = 1024  # bytes of a command that is read in one step
-MAX_KNOWN_FIELDS = 128  # bytes of a list whose reading is remembered
-MAX_HEADER = 16  # a length line: its mark, digits and end
+MIN_WORD_BYTES = 6  # bytes that a word takes up at least, with its header and ends
+MAX_SINGLE_READ_BYTES = 1024  # bytes of a command that is read in one step
+MAX_CACHED_FIELDS_BYTES = 128  # bytes of a list whose reading is remembered
+MAX_HEADER_BYTES = 16  # a length line: its mark, digits and end
 
 
 class FramingError(Exception):
@@ -68,34 +68,34 @@
     def __init__(self, many: bool = False) -> None:
         """`many`: whether reads of many keys are taken, which have more words than any other command."""
         self._many = many
-        self._held = bytearray()
+        self._buffer = bytearray()
         self.need = 0
         """Bytes that the command under way is known to need; 0 between commands."""
         self.broken = ""
         """Why the stream can't be followed any further, once that is so."""
 
     @property
-    def held(self) -> bytes:
+    def buffered(self) -> bytes:
         """What has come of the command under way."""
-        return bytes(self._held)
+        return bytes(self._buffer)
 
     @property
-    def held_bytes(self) -> int:
+    def buffered_bytes(self) -> int:
         """How much that is."""
-        return len(self._held)
+        return len(self._buffer)
 
     def feed(self, data: bytes) -> list[list[bytes]]:
         """Return the commands that are now whole, up to a broken one if `broken` is set by it."""
         if self.need:
-            self._held += data
-            if len(self._held) < self.need:
+            self._buffer += data
+            if len(self._buffer) < self.need:
                 return []
-            data = bytes(self._held)
-            self._held.clear()
+            data = bytes(self._buffer)
+            self._buffer.clear()
             self.need = 0
-        elif (words := _one_read(data)) is not None:
+        elif (words := _parse_single_read(data)) is not None:
             return [words]
-        if self._many and (words := _one_list(data)) is not None:
+        if self._many and (words := _parse_single_multi_get(data)) is not None:
             return [words]
         commands: list[list[bytes]] = []
         position = 0
@@ -106,7 +106,7 @@
                 self.broken = str(error)
                 break
             if not end:
-                self._held += data[position:]
+                self._buffer += data[position:]
                 break
             commands.append(words)
             position = end
@@ -114,7 +114,7 @@
 
     def _command(self, data: bytes, begin: int) -> tuple[list[bytes], int]:
         count, position = self._length(data, begin, b"*")
-        if position and not 1 <= count <= (MAX_LISTED if self._many else MAX_PARTS):
+        if position and not 1 <= count <= (MAX_MULTI_GET_WORDS if self._many else MAX_WORDS):
             raise FramingError("invalid multibulk length")
         words: list[bytes] = []
         while position and len(words) < count:
@@ -129,21 +129,21 @@
                 raise FramingError("command too long")
             if len(data) < position:
                 # The words behind it take up room too: else a long list that trickles in is cut at each byte.
-                self.need = position - begin + LEAST_WORD * (count - len(words) - 1)
+                self.need = position - begin + MIN_WORD_BYTES * (count - len(words) - 1)
                 return [], 0
             if data[position - 2 : position] != b"\r\n":
                 raise FramingError("bulk string without its end")
             words.append(data[start : position - 2])
-            if count > MAX_PARTS and words[0].upper() != MANY:
+            if count > MAX_WORDS and words[0].upper() != MANY:
                 raise FramingError("invalid multibulk length")
         if not position:
-            self.need = len(data) - begin + max(LEAST_WORD * (count - len(words) - 1), 1)
+            self.need = len(data) - begin + max(MIN_WORD_BYTES * (count - len(words) - 1), 1)
         return words, position
 
     def _length(self, data: bytes, begin: int, mark: bytes) -> tuple[int, int]:
         """A length line's number and where the line ends; 0 where it is not whole."""
-        end = data.find(b"\r\n", begin, begin + MAX_HEADER)
-        if end < 0 and len(data) - begin < MAX_HEADER and mark.startswith(data[begin : begin + 1]):
+        end = data.find(b"\r\n", begin, begin + MAX_HEADER_BYTES)
+        if end < 0 and len(data) - begin < MAX_HEADER_BYTES and mark.startswith(data[begin : begin + 1]):
             return 0, 0
         digits = data[begin + 1 : end] if end > 0 else b""
         if data[begin : begin + 1] != mark or not digits.isdigit():
@@ -151,12 +151,12 @@
         return int(digits), end + 2
 
 
-def _one_read(data: bytes) -> list[bytes] | None:
+def _parse_single_read(data: bytes) -> list[bytes] | None:
     """The words, if these bytes are one whole read and nothing else; None: look closer.
 
     Nearly all that comes is that. What holds line ends of its own falls into other parts.
     """
-    if not data.startswith(b"*4\r\n$6\r\n") or len(data) > MAX_KNOWN:
+    if not data.startswith(b"*4\r\n$6\r\n") or len(data) > MAX_SINGLE_READ_BYTES:
         return None
     parts = data.split(b"\r\n")
     if len(parts) != 10 or parts[9]:
@@ -171,9 +171,13 @@
     return [name, key, request, info] if whole else None
 
 
-def _one_list(data: bytes) -> list[bytes] | None:
+def _parse_single_multi_get(data: bytes) -> list[bytes] | None:
     """The words, if these bytes are one whole read of many keys and nothing else; None: look closer."""
-    if not data.startswith(b"*") or data.find(MANY, 0, MAX_HEADER * 2) < 0 or not data.endswith(b"\r\n"):
+    if (
+        not data.startswith(b"*")
+        or data.find(MANY, 0, MAX_HEADER_BYTES * 2) < 0
+        or not data.endswith(b"\r\n")
+    ):
         return None
     parts = data.split(b"\r\n")
     words = parts[2::2]
@@ -218,13 +222,13 @@
 def read_fields(request: bytes, info: bytes) -> tuple[Mapping[str, str], int]:
     """The list of names and values beside an id, and the client's patience in milliseconds; ValueError."""
     # Danger: these words become HTTP lines at the origin, where a line break would forge a header.
-    if not request or not _plain(request):
+    if not request or not _is_plain_text(request):
         raise ValueError("id and list must be plain text")
-    return _known_fields(info) if len(info) <= MAX_KNOWN_FIELDS else _fields(info)
+    return _cached_fields(info) if len(info) <= MAX_CACHED_FIELDS_BYTES else _parse_fields(info)
 
 
-def _fields(info: bytes) -> tuple[Mapping[str, str], int]:
-    if not info or not _plain(info):
+def _parse_fields(info: bytes) -> tuple[Mapping[str, str], int]:
+    if not info or not _is_plain_text(info):
         raise ValueError("id and list must be plain text")
     try:
         pairs = [part.split("=", 1) for part in info.decode("ascii").split(",")]
@@ -243,10 +247,10 @@
 
 
 # Clients say the same time and again. Short ones alone: strangers' lists must not fill the memory.
-_known_fields = lru_cache(256)(_fields)
+_cached_fields = lru_cache(256)(_parse_fields)
 
 
-def _plain(word: bytes) -> bool:
+def _is_plain_text(word: bytes) -> bool:
     return word.isascii() and word.decode("ascii").isprintable()
 
 
--- a/tests/connection_limits/test_descriptors.py
+++ b/tests/connection_limits/test_descriptors.py
@@ -9,15 +9,15 @@
 
 from pebblepass.accounting.listener import MOST_CONNECTIONS
 from pebblepass.connection_limits.descriptors import (
-    BARE,
-    CONTROL,
-    REFUSERS,
-    Split,
-    callers,
-    figures,
-    fleet,
-    own,
-    split,
+    BASE_DESCRIPTORS,
+    CONTROL_DESCRIPTORS,
+    MAX_REJECTED_CONNECTIONS,
+    Allocation,
+    accounting_descriptors,
+    allocate,
+    caller_limit,
+    fleet_descriptors,
+    own_descriptors,
 )
 from pebblepass.control.operations import CALLERS
 from pebblepass.handover.states import Shares
@@ -39,21 +39,23 @@
     return bare + at_control + in_upgrade
 
 
-def worst(dealt: Split, control: int, inherited: bool) -> int:
+def worst(dealt: Allocation, control: int, inherited: bool) -> int:
     """Descriptors where every user has taken all that it may."""
-    return needed(control, inherited) + dealt.served + dealt.refusers + dealt.servers
+    return needed(control, inherited) + dealt.served + dealt.rejected + dealt.servers
 
 
-def before(limit: int, control: int, inherited: bool) -> Split:
+def before(limit: int, control: int, inherited: bool) -> Allocation:
     """As it was: 32 for the process, its callers not counted."""
-    return split(limit, 32)
+    return allocate(limit, 32)
 
 
-def now(limit: int, control: int, inherited: bool) -> Split:
-    return split(limit, own(control, inherited))
+def now(limit: int, control: int, inherited: bool) -> Allocation:
+    return allocate(limit, own_descriptors(control, inherited))
 
 
-def broken(deal: Callable[[int, int, bool], Split], places: Callable[[int], int]) -> list[tuple[int, bool]]:
+def broken(
+    deal: Callable[[int, int, bool], Allocation], places: Callable[[int], int]
+) -> list[tuple[int, bool]]:
     return [
         (limit, inherited)
         for limit in LIMITS
@@ -63,7 +65,7 @@
 
 
 def test_the_worst_sum_stays_within_every_limit() -> None:
-    assert not broken(now, lambda limit: callers(limit, CALLERS))
+    assert not broken(now, lambda limit: caller_limit(limit, CALLERS))
     assert not broken(now, lambda _: 0)
 
 
@@ -73,10 +75,10 @@
 
 @pytest.mark.parametrize("limit", LIMITS)
 def test_everybody_has_some_and_clients_most(limit: int) -> None:
-    dealt = now(limit, callers(limit, CALLERS), False)
-    assert dealt.served > dealt.servers > dealt.refusers >= 0
-    assert dealt.refusers <= REFUSERS
-    assert dealt.refusers * 8 <= dealt.served + dealt.refusers
+    dealt = now(limit, caller_limit(limit, CALLERS), False)
+    assert dealt.served > dealt.servers > dealt.rejected >= 0
+    assert dealt.rejected <= MAX_REJECTED_CONNECTIONS
+    assert dealt.rejected * 8 <= dealt.served + dealt.rejected
 
 
 def test_more_descriptors_never_mean_less_of_anything_in_a_step_that_adds_no_callers() -> None:
@@ -87,32 +89,37 @@
 
 
 def test_what_the_operator_asked_for_beside_is_nobody_elses() -> None:
-    assert own(0, False, beside=40) == own(0, False) + 40
-    assert split(1024, own(0, False, 40)).servers < split(1024, own(0, False)).servers
-    assert own(16, False) - own(0, False) == 16 + CONTROL
-    assert needed(0, False) <= BARE
+    assert own_descriptors(0, False, beside=40) == own_descriptors(0, False) + 40
+    assert (
+        allocate(1024, own_descriptors(0, False, 40)).servers
+        < allocate(1024, own_descriptors(0, False)).servers
+    )
+    assert own_descriptors(16, False) - own_descriptors(0, False) == 16 + CONTROL_DESCRIPTORS
+    assert needed(0, False) <= BASE_DESCRIPTORS
 
 
 @pytest.mark.parametrize("limit", LIMITS)
 def test_two_processes_of_an_upgrade_stay_within_the_limit_of_one(limit: int) -> None:
-    control = callers(limit, CALLERS)
+    control = caller_limit(limit, CALLERS)
     dealt = now(limit, control, True)
-    shares = Shares(dealt.served, dealt.servers, dealt.own + dealt.refusers)
+    shares = Shares(dealt.served, dealt.servers, dealt.own + dealt.rejected)
     old_clients, old_servers = shares.pair
-    for at_old in range(0, old_clients + dealt.refusers + 1):
+    for at_old in range(0, old_clients + dealt.rejected + 1):
         clients, servers = shares.left(at_old, old_servers)
-        both = at_old + old_servers + clients + servers + dealt.refusers + 2 * needed(control, True)
+        both = at_old + old_servers + clients + servers + dealt.rejected + 2 * needed(control, True)
         assert both <= limit
 
 
 @pytest.mark.parametrize("limit", [256, 1024])
 def test_the_operators_sections_take_none_of_anybody_elses(limit: int) -> None:
-    ledger = figures(MOST_CONNECTIONS, writes=True, posts=True)
-    voter = fleet(voters=3, coming=29, strangers=STRANGERS, writes=True)
-    control = callers(limit, CALLERS)
-    dealt = split(limit, own(control, False, ledger + voter))
+    ledger = accounting_descriptors(MOST_CONNECTIONS, writes=True, posts=True)
+    voter = fleet_descriptors(voters=3, incoming=29, unidentified=STRANGERS, writes=True)
+    control = caller_limit(limit, CALLERS)
+    dealt = allocate(limit, own_descriptors(control, False, ledger + voter))
     at_ledger = 1 + MOST_CONNECTIONS + 2 + 3 + 1  # listener, callers, newcomers, files, webhook
     at_fleet = 1 + 3 + 29 + STRANGERS + 2 + 3  # listener, dialled, came, strangers, newcomers, files
     assert worst(dealt, control, False) + at_ledger + at_fleet <= limit
-    assert worst(split(limit, own(control, False)), control, False) + at_ledger + at_fleet > limit
-    assert figures(0, writes=False, posts=False) == 0
+    assert (
+        worst(allocate(limit, own_descriptors(control, False)), control, False) + at_ledger + at_fleet > limit
+    )
+    assert accounting_descriptors(0, writes=False, posts=False) == 0
--- a/tests/daemon/test_descriptors.py
+++ b/tests/daemon/test_descriptors.py
@@ -19,7 +19,7 @@
 
 import pytest
 
-from pebblepass.connection_limits.descriptors import NEWCOMERS
+from pebblepass.connection_limits.descriptors import PENDING_ACCEPTS
 from pebblepass.daemon.client_server import ClientServer
 from pebblepass.daemon.loop import DaemonLoop
 from pebblepass.daemon.reply import Reply
@@ -258,7 +258,7 @@
 
     async def main() -> None:
         loop, host = asyncio.get_running_loop(), Values()
-        server = ClientServer(loop, host, 10, 8 << 20, refusers=0)
+        server = ClientServer(loop, host, 10, 8 << 20, rejected=0)
         await server.listen(("127.0.0.1", 0))
         assert server._listener is not None
         try:
@@ -299,7 +299,7 @@
             more = server.accept_pending()
             most = max(most, sockets_held() - before)
             await asyncio.sleep(0)
-        assert most <= 10 + NEWCOMERS
+        assert most <= 10 + PENDING_ACCEPTS
         await until(lambda: host.answered >= 10, "the first ten are served")
         for client in crowd:
             client.close()
--- a/tests/daemon/test_orders.py
+++ b/tests/daemon/test_orders.py
@@ -383,7 +383,7 @@
 
     def received(self: Any, data: bytes) -> None:
         if self.exchange is None:
-            self._cutter.feed(data)
+            self._parser.feed(data)
             return
         whole(self, data)
 
--- a/tests/daemon/test_pipelined_forms.py
+++ b/tests/daemon/test_pipelined_forms.py
@@ -416,7 +416,7 @@
 def forgetful(reader: CommandReader, data: bytes) -> list[list[bytes]]:
     """Broken: a command that is cut in its midst begins anew."""
     if reader.need:
-        reader._held.clear()
+        reader._buffer.clear()
         reader.need = 0
     return FEED(reader, data)
 
--- a/tests/wire/test_answers.py
+++ b/tests/wire/test_answers.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given, strategies
 
-from pebblepass.wire.answers import AnswerCutter, AnswerError
+from pebblepass.wire.answers import AnswerFormatError, AnswerParser
 from pebblepass.wire.resp import bulk
 
 VALUES = strategies.binary(max_size=20) | strategies.sampled_from(
@@ -26,31 +26,31 @@
 
 def one_by_one(data: bytes, size: int) -> list[bytes | None]:
     """What each answer comes to, cut by `next` alone: a value, or None."""
-    cutter, found = AnswerCutter(), list[bytes | None]()
+    parser, found = AnswerParser(), list[bytes | None]()
     for at in range(0, len(data), size):
-        cutter.feed(data[at : at + size])
-        while (answer := cutter.next()) is not None:
-            found.append(answer.places[0] if answer.places else None)
+        parser.feed(data[at : at + size])
+        while (answer := parser.next_answer()) is not None:
+            found.append(answer.elements[0] if answer.elements else None)
     return found
 
 
 def many_at_once(data: bytes, size: int, most: int) -> list[bytes | None]:
     """The same with `hits` before each `next`, as a part's connection does."""
-    cutter, found = AnswerCutter(), list[bytes | None]()
+    parser, found = AnswerParser(), list[bytes | None]()
     for at in range(0, len(data), size):
-        cutter.feed(data[at : at + size])
+        parser.feed(data[at : at + size])
         while True:
-            entries = cutter.hits(most)
+            entries = parser.next_hits(most)
             assert len(entries) <= most
             values = [entry[entry.index(b"\n") + 1 : -2] for entry in entries]
             assert entries == [bulk(value) for value in values]
             found += values
-            answer = cutter.next()
+            answer = parser.next_answer()
             if answer is not None:
-                found.append(answer.places[0] if answer.places else None)
+                found.append(answer.elements[0] if answer.elements else None)
             elif not entries:
                 break
-    assert not cutter.midway
+    assert not parser.has_partial_answer
     return found
 
 
@@ -75,23 +75,23 @@
     for most in (4, 0):
         try:
             outcomes.append(many_at_once(bytes(sent), len(sent), most))
-        except (AnswerError, AssertionError):
+        except (AnswerFormatError, AssertionError):
             outcomes.append(None)  # broken, or more is awaited
     assert outcomes[0] == outcomes[1]
 
 
 def test_what_is_not_whole_is_left_where_it_is() -> None:
-    cutter = AnswerCutter()
+    parser = AnswerParser()
     data = hit(b"one") + hit(b"two")
-    cutter.feed(data[:-1])
-    assert cutter.hits(8) == [bulk(b"one")]
-    assert cutter.hits(8) == []
-    cutter.feed(data[-1:])
-    assert cutter.hits(8) == [bulk(b"two")]
-    assert not cutter.midway
+    parser.feed(data[:-1])
+    assert parser.next_hits(8) == [bulk(b"one")]
+    assert parser.next_hits(8) == []
+    parser.feed(data[-1:])
+    assert parser.next_hits(8) == [bulk(b"two")]
+    assert not parser.has_partial_answer
 
 
 def test_a_load_report_of_another_length_than_told_is_no_plain_hit() -> None:
-    cutter = AnswerCutter()
-    cutter.feed(hit(b"v").replace(b"$3\r\nq=1", b"$2\r\nq=1"))
-    assert cutter.hits(8) == []
+    parser = AnswerParser()
+    parser.feed(hit(b"v").replace(b"$3\r\nq=1", b"$2\r\nq=1"))
+    assert parser.next_hits(8) == []
--- a/tests/wire/test_http.py
+++ b/tests/wire/test_http.py
@@ -27,10 +27,10 @@
         self.body = b""
         super().__init__()
 
-    def body_starts(self, length: int | None) -> None:
+    def body_started(self, length: int | None) -> None:
         pass
 
-    def body_came(self, data: bytes) -> None:
+    def body_received(self, data: bytes) -> None:
         self.body += data
 
 
@@ -47,17 +47,17 @@
 def test_an_answer_is_whole_with_its_last_byte_however_it_is_cut(form: str, step: int) -> None:
     reader, whole = read(FORMS[form], step)
     assert (whole, reader.status, reader.body) == (True, 200, BODY)
-    assert reader.answer_done(), "the connection goes on"
-    assert not reader.ended(), "nothing is under way"
+    assert reader.finish_response(), "the connection goes on"
+    assert not reader.is_complete_at_eof(), "nothing is under way"
 
 
 @pytest.mark.parametrize("step", [1, 7, 1 << 20])
 def test_a_body_without_a_length_goes_on_to_the_end_of_the_connection(step: int) -> None:
     reader, whole = read(TO_THE_END, step)
     assert not whole
-    assert reader.ended()
+    assert reader.is_complete_at_eof()
     assert (reader.status, reader.body, reader.headers[b"not-started"]) == (200, BODY, b"1")
-    assert not reader.answer_done(), "the connection is of no further use"
+    assert not reader.finish_response(), "the connection is of no further use"
 
 
 @pytest.mark.parametrize(
@@ -72,9 +72,9 @@
 def test_an_end_before_what_was_told_makes_no_answer(begun: bytes) -> None:
     reader, whole = read(begun, 1 << 20)
     assert not whole
-    assert not reader.ended()
+    assert not reader.is_complete_at_eof()
 
 
 def test_a_head_without_an_end_is_no_answer() -> None:
-    with pytest.raises(HttpError, match="head too long"):
+    with pytest.raises(HttpError, match="header too long"):
         read(b"HTTP/1.1 200 OK\r\n" + b"X-Note: n\r\n" * 9000, 1000)
--- a/tests/wire/test_resp.py
+++ b/tests/wire/test_resp.py
@@ -105,13 +105,13 @@
     reader = CommandReader(many=True)
     found: list[list[bytes]] = []
     for at in range(0, len(data), size):
-        if reader.need and len(reader._held) + size >= reader.need:
+        if reader.need and len(reader._buffer) + size >= reader.need:
             cuts += 1
         found += reader.feed(data[at : at + size])
     assert [len(words) for words in found] == [504]
     assert found[0][2] == b"pkg/0/1.0"
     assert not reader.broken
-    # Each look at what is held goes a good part further: it would be one for each byte otherwise.
+    # Each look at what is buffered goes a good part further: it would be one for each byte otherwise.
     assert cuts < 40
 
 
