--- a/pebblepass/daemon/caches.py
+++ b/pebblepass/daemon/caches.py
@@ -1,4 +1,4 @@
-"""Connections to cache servers: answers in order, and long values passed on as they come."""
+"""Connections to cache servers: parse answers in order, and stream long values."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     def __init__(self, server: Server) -> None:
         super().__init__(server)
         self._parser = AnswerParser()
-        self._left = 0  # bytes of a long value that are still to come
-        self._streamed = False  # the answer under way has a long value
+        self._left = 0  # bytes of a long value not received yet
+        self._streamed = False  # the current answer has a long value
 
-    def answer_came(self, data: bytes) -> None:
-        """Read as many answers as the exchange on this connection expects."""
+    def read_answer(self, data: bytes) -> None:
+        """Parse as many answers as the exchange on this connection expects."""
         parser = self._parser
         parser.feed(data)
         while (exchange := self.exchange) is not None:
@@ -31,7 +31,7 @@
                     continue
                 answer = parser.next_answer()
             except AnswerFormatError as error:
-                self.spoil(f"sent {error}")
+                self.fail_protocol(f"sent {error}")
                 return
             if answer is not None:
                 self._take(answer)
@@ -44,25 +44,25 @@
                 return
 
     def _several(self, exchange: Exchange) -> bool:
-        """Take the array's head that is due, or plain hits; False: look at the next answer by itself."""
+        """Handle the array's header if one is due, or plain hits; False: parse the next answer by itself."""
         parser = self._parser
         if exchange.array_expected:
             if (count := parser.array_length()) is None:
-                return False  # nothing behind it is whole either
+                return False  # nothing after it is complete either
             exchange.array_started(count)
         entries = parser.next_hits(exchange.expected_hits)
         if entries:
-            self.hits(exchange, entries)
+            self.finish_hits(exchange, entries)
         return bool(entries)
 
-    def look_behind(self) -> None:
-        """The exchange is over: what stands behind its answers belongs to nobody."""
+    def check_trailing_bytes(self) -> None:
+        """Retire the connection if bytes after the exchange's answers were received."""
         # Danger: more bytes after the answer would be taken for the next request's answer. What they are
-        # does not matter, and the answer ahead of them is good: read on, noise would spoil it.
+        # does not matter, and the answer before them is valid: parsing on could turn it into an error.
         self.retired = self.retired or self._parser.has_partial_answer
 
     def _pass_on(self) -> bool:
-        """Hand on what belongs to the long value; whether all of it has come."""
+        """Pass on the received bytes of the long value; returns whether it is complete."""
         parser = self._parser
         part, parser.buffered = parser.buffered[: self._left], parser.buffered[self._left :]
         self._left -= len(part)
@@ -85,13 +85,13 @@
         elif line is not None and self.exchange is not None and self.exchange.is_probe:
             self.finish(Outcome.OK, Answer(report=line[1:]))
         else:
-            self.spoil("sent an answer of an unknown form")
+            self.fail_protocol("sent an answer of an unknown form")
 
     def _error(self, text: bytes) -> None:
-        """An error line; a load report may stand last in it."""
+        """Handle an error line, whose last word may be a load report."""
         last = text.rpartition(b" ")[2]
         report = last if b"=" in last else None
         if text.startswith(b"BUSY"):
-            self.turned_away(Answer(report=report))
+            self.reject(Answer(report=report))
         else:
             self.finish(Outcome.ERROR, Answer(report=report))
--- a/pebblepass/daemon/connection_pool.py
+++ b/pebblepass/daemon/connection_pool.py
@@ -9,22 +9,24 @@
 from pebblepass.daemon.dial import dial
 from pebblepass.daemon.exchange import Exchange
 from pebblepass.daemon.gathered import GatherBudget
-from pebblepass.daemon.server_connection import PER_SERVER, Connection, Server
+from pebblepass.daemon.server_connection import MAX_CONNECTIONS_PER_SERVER, Connection, Server
 from pebblepass.daemon.unread import socket_poller
 from pebblepass.decisions import Outcome
 from pebblepass.wire.address import Address
 from pebblepass.wire.resp import MAX_ANSWER
 
-IDLE_SHARE = 0.9  # of the time after which servers close idle connections; news of it may be under way
-SWEEP_S = 0.5
-NO_ROOM_S = 2.0  # after a server has turned a further connection away: others' idle ones close in seconds
-# Between an answer and the next request: a second answer may come some milliseconds late. Seen: 0.3 to 3.8.
-REST_S = 0.01
-WAKE_SLACK_S = 0.001  # loops count in whole milliseconds and round to the nearest
+IDLE_CLOSE_FRACTION = 0.9
+"""Fraction of the servers' idle timeout after which idle connections are closed here."""
+SWEEP_INTERVAL_S = 0.5
+FULL_SERVER_BACKOFF_S = 2.0
+"""Time without dials beyond the open connections after a server has rejected one."""
+REUSE_DELAY_S = 0.01
+"""Time from an answer to the next request on a connection: a second answer may be milliseconds late."""
+TIMER_ROUNDING_S = 0.001  # event loops round to the nearest millisecond
 
 
 class Pool:
-    """Deals exchanges out to connections, within the share of descriptors that servers have."""
+    """Gives exchanges to connections, within the limit on connections to servers."""
 
     def __init__(
         self,
@@ -35,77 +37,78 @@
         reports: bool = True,
         gather: int = 16 << 20,
     ) -> None:
-        """`reports`: servers give load reports, so that a refusal without one tells of something else.
+        """`limit`: maximum number of connections; `dial_timeout` and `idle_close` are in seconds.
 
-        `gather`: bytes for long values that come without a length.
+        `reports`: servers send load reports, so that a rejection without one has another reason than load;
+        `gather`: bytes for buffering long values of unknown length.
         """
         self.reports = reports
         self.poller = socket_poller(loop)
         self.gathered = GatherBudget(gather, MAX_ANSWER)
         self.loop = loop
         self._limit, self._dial_timeout = limit, dial_timeout
-        self._idle_limit = idle_close * IDLE_SHARE
+        self._idle_limit = idle_close * IDLE_CLOSE_FRACTION
         self._servers: dict[str, Server] = {}
-        self._held = 0
+        self._connection_count = 0
         self._closed = False
-        self._sweep_timer = loop.call_later(SWEEP_S, self._sweep)
+        self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def list_server(self, server_id: str, address: Address, connect: Callable[[Server], Connection]) -> None:
-        """A server may be sent to, at this address."""
+        """Add a server, or change its address; `connect` makes the protocol of a connection to it."""
         server = self._servers.get(server_id)
         if server is None:
             self._servers[server_id] = Server(self, server_id, address, connect)
             return
         if server.address != address or server.connect is not connect:
-            # First: whoever is told of an attempt's end may submit another one.
+            # First: whoever handles an attempt's end may submit another one.
             server.address, server.connect = address, connect
             self._retire(server)
-        server.open = True
+        server.is_listed = True
 
     def unlist_server(self, server_id: str) -> None:
-        """A server drains or is gone: it finishes what it has, and nothing waits for it any longer."""
+        """Remove a server that drains or is gone: exchanges in flight finish, those that wait end."""
         server = self._servers.get(server_id)
         if server is not None:
-            server.open = False
+            server.is_listed = False
             self._retire(server)
-            self._forget(server)
+            self._forget_if_unused(server)
 
     def listed(self) -> Iterator[str]:
-        """The servers that may be sent to."""
-        return (server.id for server in self._servers.values() if server.open)
+        """The ids of the servers on the list."""
+        return (server.id for server in self._servers.values() if server.is_listed)
 
     def addresses(self) -> dict[str, Address]:
-        """Where the servers are that may be sent to."""
-        return {server.id: server.address for server in self._servers.values() if server.open}
+        """The addresses of the servers on the list, by id."""
+        return {server.id: server.address for server in self._servers.values() if server.is_listed}
 
     @property
     def busy(self) -> int:
-        """Connections under way, or with an exchange on them."""
-        return self._held - sum(len(server.idle) for server in self._servers.values())
+        """Number of dials in progress and of connections that are not idle."""
+        return self._connection_count - sum(len(server.idle) for server in self._servers.values())
 
     @property
     def limit(self) -> int:
-        """Most connections at a time."""
+        """Maximum number of connections."""
         return self._limit
 
     @limit.setter
     def limit(self, limit: int) -> None:
         self._limit = limit
-        while self._held > limit and self._evict():
+        while self._connection_count > limit and self._evict():
             pass
         for server in self._servers.values():
             self._dial_for(server)
 
     def submit(self, server_id: str, exchange: Exchange) -> None:
-        """Send on an idle connection, or wait for one."""
+        """Send the exchange on an idle connection, or queue it for the next connection."""
         server = self._servers.get(server_id)
-        if server is None or not server.open or self._closed:
+        if server is None or not server.is_listed or self._closed:
             exchange.end(Outcome.CONNECT_FAILED)
             return
         if not exchange.may_begin():
             exchange.end(Outcome.SUPERSEDED)
             return
-        connection = self._rested(server)
+        connection = self._take_idle(server)
         if connection is not None:
             connection.start(exchange)
             return
@@ -113,10 +116,10 @@
         exchange.mark_unsent()
         self._dial_for(server)
 
-    def _rested(self, server: Server) -> Connection | None:
-        """Take the connection used last of those that may be used again."""
+    def _take_idle(self, server: Server) -> Connection | None:
+        """Remove and return the reusable idle connection that was used last, if there is one."""
         now = self.loop.time()
-        oldest, rested = now - self._idle_limit, now - REST_S
+        oldest, rested = now - self._idle_limit, now - REUSE_DELAY_S
         at = len(server.idle)
         while at:
             at -= 1
@@ -124,7 +127,7 @@
             if connection.idle_since > rested:
                 continue
             del server.idle[at]
-            if connection.usable and connection.idle_since >= oldest and connection.quiet:
+            if connection.usable and connection.idle_since >= oldest and connection.has_nothing_unread:
                 return connection
             connection.close()
         return None
@@ -136,13 +139,12 @@
                 continue
             if exchange.may_begin():
                 return exchange
-            # Danger: written all the same, it would be sent for a request that has its final answer, or whose
-            # client has gone.
+            # Danger: it would be sent for a request that has its final reply, or whose client disconnected.
             exchange.end(Outcome.SUPERSEDED)
         return None
 
     def opened(self, connection: Connection) -> None:
-        """Give a new connection to who waits for one."""
+        """Start the next waiting exchange on a new connection, or keep the connection idle."""
         server = connection.server
         exchange = self._next_waiting(server) if connection.usable else None
         if exchange is not None:
@@ -151,7 +153,7 @@
             self.released(connection)
 
     def released(self, connection: Connection) -> None:
-        """Keep a free connection, for a rest at first."""
+        """Keep a connection whose exchange has ended; it may be reused after REUSE_DELAY_S."""
         server = connection.server
         if not connection.usable:
             connection.close()
@@ -159,18 +161,18 @@
         connection.idle_since = self.loop.time()
         server.idle.append(connection)
         if server.waiting:
-            self._wake_for(server)
+            self._schedule_wake(server)
 
-    def _wake_for(self, server: Server) -> None:
-        """Come back when the connection that has rested longest may be used."""
-        if server.wake is None and server.idle:
-            left = server.idle[0].idle_since + REST_S - self.loop.time()
-            server.wake = self.loop.call_later(max(left, 0.0) + WAKE_SLACK_S, self._wake, server)
+    def _schedule_wake(self, server: Server) -> None:
+        """Set the timer for when the oldest idle connection may be reused."""
+        if server.wake_timer is None and server.idle:
+            left = server.idle[0].idle_since + REUSE_DELAY_S - self.loop.time()
+            server.wake_timer = self.loop.call_later(max(left, 0.0) + TIMER_ROUNDING_S, self._wake, server)
 
     def _wake(self, server: Server) -> None:
-        server.wake = None
+        server.wake_timer = None
         while (exchange := self._next_waiting(server)) is not None:
-            connection = self._rested(server)
+            connection = self._take_idle(server)
             if connection is None:
                 server.waiting.appendleft(exchange)
                 break
@@ -178,36 +180,37 @@
         self._dial_for(server)
 
     def lost(self, connection: Connection) -> None:
-        """Forget a connection that has ended."""
+        """Forget a connection that is closed."""
         server = connection.server
         if connection not in server.connections:
             return
         del server.connections[connection]
-        self._held -= 1
+        self._connection_count -= 1
         if connection in server.idle:
             server.idle.remove(connection)
         self._dial_for(server)
-        self._forget(server)
+        self._forget_if_unused(server)
 
-    def no_room(self, connection: Connection) -> bool:
-        """Its server takes no more connections; whether others of this router must do for a while.
+    def limit_connections(self, connection: Connection) -> bool:
+        """Limit the connections to a server that has rejected this one to the others that there are.
 
-        That bounds the dials of a fleet of routers at a full server: each of them has what it has.
+        Returns whether there are others. It bounds the dials of a fleet of routers at a full server.
         """
         server = connection.server
-        others = sum(held is not connection and held.usable for held in server.connections)
+        others = sum(other is not connection and other.usable for other in server.connections)
         if others:
-            server.most, server.most_until = others, self.loop.time() + NO_ROOM_S
+            server.connection_limit = others
+            server.connection_limit_until = self.loop.time() + FULL_SERVER_BACKOFF_S
         return others > 0
 
     def close(self) -> None:
-        """Break all connections; nothing is sent from here on, whatever the ends of attempts lead to."""
+        """Abort all connections; exchanges submitted later end at once."""
         self._closed = True
         self._sweep_timer.cancel()
         for server in list(self._servers.values()):
-            if server.wake is not None:
-                server.wake.cancel()
-            self._call_off(server)
+            if server.wake_timer is not None:
+                server.wake_timer.cancel()
+            self._cancel_dials(server)
             for connection in list(server.connections):
                 connection.close()
 
@@ -216,13 +219,14 @@
             server.waiting.popleft()
         if self._closed or not server.waiting:
             return
-        self._wake_for(server)
-        most = server.most if self.loop.time() < server.most_until else PER_SERVER
-        # Those that rest will do: a new one costs its server work, and takes as long.
-        while len(server.waiting) > len(server.dials) + len(server.idle) and server.held < most:
-            if self._held >= self._limit and not self._evict():
+        self._schedule_wake(server)
+        is_limited = self.loop.time() < server.connection_limit_until
+        most = server.connection_limit if is_limited else MAX_CONNECTIONS_PER_SERVER
+        # Idle connections that are not reusable yet suffice: a dial costs the server work, and takes as long.
+        while len(server.waiting) > len(server.dials) + len(server.idle) and server.connection_count < most:
+            if self._connection_count >= self._limit and not self._evict():
                 return
-            self._held += 1
+            self._connection_count += 1
             task = self.loop.create_task(self._dial(server))
             server.dials[task] = None
 
@@ -234,48 +238,48 @@
         server = oldest.server
         server.idle.remove(oldest)
         del server.connections[oldest]
-        self._held -= 1
+        self._connection_count -= 1
         oldest.close()
         return True
 
     async def _dial(self, server: Server) -> None:
         connection: Connection | None = None
-        address, lone = server.address, False
+        address, isolated = server.address, False
         task = asyncio.current_task()
         assert task is not None
         try:
-            connection, lone = await dial(self.loop, server, self._dial_timeout)
+            connection, isolated = await dial(self.loop, server, self._dial_timeout)
         finally:
             if task in server.dials:
                 del server.dials[task]
-                self._held -= connection is None
+                self._connection_count -= connection is None
         if connection is None or not connection.usable:
             if connection is not None:
-                self._held -= 1
-            self._dial_failed(server, lone)
+                self._connection_count -= 1
+            self._dial_failed(server, isolated)
             return
-        server.silent_since = None
+        server.unresponsive_since = None
         server.connections[connection] = None
-        connection.retired = not server.open or server.address != address
+        connection.retired = not server.is_listed or server.address != address
         self.opened(connection)
 
-    def _dial_failed(self, server: Server, lone: bool) -> None:
+    def _dial_failed(self, server: Server, isolated: bool) -> None:
         while server.waiting:
             exchange = server.waiting.popleft()
             if not exchange.is_over:
-                # Guards against a dead server that looks like a slow one: without its end the attempt
-                # lasts until its time is up, and nobody tries another server.
-                exchange.connection_failed = lone
+                # Guards against a dead server that looks like a slow one: otherwise the attempt would last
+                # until its timeout before another server is tried.
+                exchange.connection_failed = isolated
                 exchange.end(Outcome.CONNECT_FAILED)
                 break
         self._dial_for(server)
-        self._forget(server)
+        self._forget_if_unused(server)
 
-    def _call_off(self, server: Server) -> None:
-        """End the dials under way; counted here, as one that has not begun yet never runs at all."""
+    def _cancel_dials(self, server: Server) -> None:
+        """Cancel the dials in progress; uncounted here, as the task of one that has not begun never runs."""
         for task in server.dials:
             task.cancel()
-        self._held -= len(server.dials)
+        self._connection_count -= len(server.dials)
         server.dials.clear()
 
     def _retire(self, server: Server) -> None:
@@ -284,20 +288,20 @@
         idle, server.idle = server.idle, []
         for connection in idle:
             connection.close()
-        # Danger: the failure of a dial to where it was would be held against where it is now.
-        self._call_off(server)
+        # Danger: the failure of a dial to the old address would count against the new one.
+        self._cancel_dials(server)
         waiting, server.waiting = server.waiting, deque()
         for exchange in waiting:
             exchange.end(Outcome.CONNECT_FAILED)
 
-    def _forget(self, server: Server) -> None:
-        if not server.open and not server.held:
+    def _forget_if_unused(self, server: Server) -> None:
+        if not server.is_listed and not server.connection_count:
             self._servers.pop(server.id, None)
-            if server.wake is not None:
-                server.wake.cancel()
+            if server.wake_timer is not None:
+                server.wake_timer.cancel()
 
     def _sweep(self) -> None:
-        self._sweep_timer = self.loop.call_later(SWEEP_S, self._sweep)
+        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         oldest = self.loop.time() - self._idle_limit
         for server in self._servers.values():
             while server.idle and server.idle[0].idle_since < oldest:
--- a/pebblepass/daemon/dial.py
+++ b/pebblepass/daemon/dial.py
@@ -7,7 +7,7 @@
 
 from pebblepass.daemon.server_connection import Connection, Server
 
-LATE_NOTICE_S = 0.02  # a timer this late means that the loop was held up, and events may wait in the kernel
+LATE_TIMER_S = 0.02  # a timer this late means that the event loop lagged, and the connection may be ready
 
 
 class DialResult(NamedTuple):
@@ -28,23 +28,23 @@
     try:
         due = began + timeout_s
         await asyncio.wait((connecting,), timeout=timeout_s)
-        if not connecting.done() and loop.time() - due > LATE_NOTICE_S:
-            await asyncio.wait((connecting,), timeout=LATE_NOTICE_S)
+        if not connecting.done() and loop.time() - due > LATE_TIMER_S:
+            await asyncio.wait((connecting,), timeout=LATE_TIMER_S)
         if connecting.done():
             _, connection = connecting.result()
         else:
-            isolated = server.ran_out(began, loop.time())
+            isolated = server.record_dial_timeout(began, loop.time())
     except (OSError, ValueError):
-        pass  # a listed name that can't be one of a host raises UnicodeError: nobody is there either
+        pass  # an invalid host name raises UnicodeError: no server is there either
     finally:
         if connection is None:
             # Guards the descriptors: a cancelled dial may have connected in this iteration of the loop.
-            connecting.add_done_callback(_hang_up)
+            connecting.add_done_callback(_close_abandoned)
             connecting.cancel()
     return DialResult(connection, isolated)
 
 
-def _hang_up(connecting: asyncio.Task[tuple[asyncio.Transport, Connection]]) -> None:
-    """Close what a dial has brought that nobody waits for any longer."""
+def _close_abandoned(connecting: asyncio.Task[tuple[asyncio.Transport, Connection]]) -> None:
+    """Close the connection of a dial that was given up."""
     if not connecting.cancelled() and connecting.exception() is None:
         connecting.result()[1].close()
--- a/pebblepass/daemon/exchange.py
+++ b/pebblepass/daemon/exchange.py
@@ -24,17 +24,17 @@
 
 
 class ValueSource(Protocol):
-    """What a value over 64 KiB comes from, as its reader sees it."""
+    """The source of a value over 64 KiB, as its reader sees it."""
 
     def pause(self) -> None:
-        """Stop reading more of the value."""
+        """Pause reading the value."""
 
     def resume(self) -> None:
-        """Go on reading."""
+        """Resume reading the value."""
 
 
 class Answer(NamedTuple):
-    """What a server brought, as far as it did."""
+    """The parts of a server's answer that were received."""
 
     value: bytes | None = None
     note: CacheNote | None = None
@@ -45,88 +45,89 @@
 
 
 class Exchange:
-    """One command or HTTP request to a server and what comes of it; told of its end exactly once."""
+    """One command or HTTP request to a server; `ended` is called exactly once."""
 
     connection: ExchangeConnection | None = None
     is_over = False
     is_probe = False
     is_write = False
     carries_several = False
-    """It stands for more than one request, each with an answer of its own."""
+    """Whether it carries several requests, each with an answer of its own."""
     array_expected = False
-    """The answers come within one array, whose head is still to come."""
+    """Whether the answers are elements of one array whose header has not been received."""
     connection_failed = False
-    """Ended with a connection that had served before and broke without a byte of an answer, or with one that
-    had no place beside this router's others, or was the first not to come up since its server was heard."""
+    """Whether it ended for a fault of its connection that says nothing of the server's health: the connection
+    had served before and broke without a byte of an answer, was rejected beside others of this router, or was
+    the first dial to time out since the server last responded."""
     connection_rejected = False
-    """Turned away with a new connection, the only one to this server."""
+    """Whether it was rejected together with a new connection, the only one to this server."""
 
     @property
     def is_wanted(self) -> bool:
-        """Whether it is to be sent still, once there is a connection for it."""
+        """Whether it is still to be sent once there is a connection for it."""
         return True
 
     def may_begin(self) -> bool:
-        """Whether it is to be sent in this moment; one that is not may end itself in here."""
+        """Whether it is to be sent now; one that is not may end itself in this call."""
         return self.is_wanted
 
     def mark_unsent(self) -> None:
-        """Take note that it waits for a connection, or for the kernel to take its last byte."""
+        """Record that it waits for a connection, or for the kernel to accept its last byte."""
 
     @abstractmethod
     def request_bytes(self, address: Address) -> bytes:
-        """Write the request down; called when the connection for it is at hand."""
+        """Encode the request; called when there is a connection for it."""
 
     @abstractmethod
     def ended(self, outcome: Outcome, answer: Answer) -> None:
-        """Take the end."""
+        """Handle the outcome, and the answer if there is one."""
 
     def written(self) -> None:
-        """Take note that the kernel has taken the request's last byte."""
+        """Handle that the kernel has accepted the request's last byte."""
 
     def value_started(self, length: int, source: ValueSource) -> None:
-        """Take the start of a value over 64 KiB."""
+        """Handle the start of a value over 64 KiB, of `length` bytes."""
 
     def value_received(self, data: bytes) -> None:
-        """Take a part of it."""
+        """Handle a part of that value."""
 
     def array_started(self, count: int) -> None:
-        """Take the head of the array of answers; -1: an error line stands in its place."""
+        """Handle the header of the array of answers; `count` is -1 for an error line in its place."""
 
     def record_answer(self, outcome: Outcome, answer: Answer) -> bool:
-        """Take one answer of several; False: it is the last, and `ended` takes it."""
+        """Handle one answer of several; returns False if it is the last, which `ended` handles."""
         return False
 
     @property
     def expected_hits(self) -> int:
-        """How many of the next answers need no more than their value's bytes, where they are hits."""
+        """How many of the next answers may be passed as bare values if they are hits."""
         return 0
 
     def record_hits(self, entries: list[bytes]) -> bool:
-        """Take so many of those answers, each its value as a bulk string; whether that was the last."""
+        """Handle several hits, each its value as a bulk string; returns whether the last was among them."""
         raise NotImplementedError
 
     def end(self, outcome: Outcome, answer: Answer = NOTHING) -> None:
-        """End it, unless it has ended."""
+        """End it with this outcome, unless it has ended."""
         if not self.is_over:
             self.is_over, self.connection = True, None
             self.ended(outcome, answer)
 
     def withdraw(self) -> None:
-        """Nobody wants it any more: end it, unless its last byte is with the kernel.
+        """End it as superseded, unless the kernel has accepted its last byte.
 
-        What the kernel has taken whole can't be taken back, and its answer still tells of its server. What it
-        has taken in part is never begun by its server: the connection's end takes it back.
+        A request that was sent completely can't be recalled, and its answer still counts in the server's
+        health statistics. One sent in part is not executed: closing the connection recalls it.
         """
         if self.connection is None or self.connection.unsent:
             self.give_up(Outcome.SUPERSEDED)
 
     def give_up(self, outcome: Outcome) -> None:
-        """End it before its answer has come."""
+        """End it before its answer is received, and close its connection."""
         connection = self.connection
         if connection is not None:
             connection.exchange = None
-            # Danger: one left open holds a place for as long as its server is silent, and the server
-            # goes on taking the attempt for one that is out.
+            # Danger: one left open would count as busy for as long as its server is unresponsive, and the
+            # server would go on working on the attempt.
             connection.close()
         self.end(outcome)
--- a/pebblepass/daemon/gathered.py
+++ b/pebblepass/daemon/gathered.py
@@ -1,4 +1,4 @@
-"""Bytes for answers that have to be gathered whole, as nobody tells their length. No I/O, no clock."""
+"""Memory for answers of unknown length, which have to be buffered completely. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class Reader(Protocol):
-    """Who gathers an answer."""
+    """A connection that buffers an answer."""
 
     def hold_back(self) -> None:
-        """Read no more for now."""
+        """Pause reading."""
 
     def go_on(self) -> None:
-        """Read again."""
+        """Resume reading."""
 
 
 class GatherBudget:
-    """Shares a number of bytes out among readers that each may need up to the longest answer.
+    """Divides memory among readers that each may need up to the longest answer.
 
-    The reader that came first may always go on: room for one whole answer is kept for it, so that all come to
-    an end one after another however little there is. The others share what is left.
+    The first reader may always continue: memory for one complete answer is reserved for it, so that all
+    finish one after another however little there is. The others share the rest.
     """
 
     def __init__(self, total: int, longest: int) -> None:
@@ -29,18 +29,18 @@
 
     @property
     def held(self) -> int:
-        """Bytes that all readers hold."""
+        """Bytes buffered by all readers."""
         return sum(self._held.values())
 
     def take(self, reader: Reader, size: int) -> None:
-        """Count bytes that have come; a reader that has to wait is held back until it may go on."""
+        """Count `size` received bytes of a reader; it is paused if it has to wait for memory."""
         self._held[reader] = self._held.get(reader, 0) + size
         if reader not in self._waiting and not self._may_read(reader):
             self._waiting[reader] = None
             reader.hold_back()
 
     def release(self, reader: Reader) -> None:
-        """Count all that a reader held as free, and let those go on that may."""
+        """Release all memory of a reader, and resume those that may continue."""
         self._held.pop(reader, None)
         self._waiting.pop(reader, None)
         for waiting in list(self._waiting):
--- a/pebblepass/daemon/origin.py
+++ b/pebblepass/daemon/origin.py
@@ -8,8 +8,8 @@
 from pebblepass.wire.http import HttpError, HttpReader
 from pebblepass.wire.resp import LARGE, MAX_ANSWER
 
-_NEVER_RAN = (503, 504)
-_NOT_THERE = (404, 410)
+_NOT_EXECUTED_STATUSES = (503, 504)
+_NOT_FOUND_STATUSES = (404, 410)
 
 
 class OriginConnection(Connection, HttpReader):
@@ -20,21 +20,21 @@
         HttpReader.__init__(self)
         self._body = bytearray()
         self._streaming = False
-        self._rest: memoryview | None = None  # of a long value that had to be gathered, for its client
+        self._rest: memoryview | None = None  # of a buffered long value: not passed on yet
         self._paused = False
 
-    def answer_came(self, data: bytes) -> None:
-        """Read a part of the answer."""
+    def read_answer(self, data: bytes) -> None:
+        """Parse a part of the response."""
         try:
-            whole = self.read(data)
+            is_complete = self.read(data)
         except HttpError as error:
-            self.spoil(f"broke the protocol: {error}")
+            self.fail_protocol(f"sent an invalid response ({error})")
             return
-        if whole:
+        if is_complete:
             self._take()
 
     def eof_received(self) -> None:
-        """Take the end of the origin's sending, which may be the end of an answer."""
+        """Handle the end of the stream, which may complete a response."""
         if self.exchange is not None and self._rest is None and self.is_complete_at_eof():
             self._take()
 
@@ -44,26 +44,26 @@
             return
         value = None if self._streaming else bytes(self._body)
         self._streaming = False
-        if len(self._body) > LARGE:  # an error's: nobody waits for that text, but it was counted
+        if len(self._body) > LARGE:  # an error's text, which nobody needs, but it was counted
             self._let_go()
         self._body.clear()
-        self._end(value)
+        self._finish(value)
 
-    def _end(self, value: bytes | None) -> None:
+    def _finish(self, value: bytes | None) -> None:
         status, report = self.status, self.headers.get(b"server-load")
         not_started = self.headers.get(b"not-started") == b"1"
         self.retired = not self.finish_response() or self.retired
         if status == 200:
             self.finish(Outcome.OK, Answer(value, None, report))
-        elif status in _NOT_THERE and self.exchange is not None and not self.exchange.is_write:
+        elif status in _NOT_FOUND_STATUSES and self.exchange is not None and not self.exchange.is_write:
             self.finish(Outcome.MISS, Answer(report=report))
-        elif status in _NEVER_RAN and not_started:
+        elif status in _NOT_EXECUTED_STATUSES and not_started:
             self.finish(Outcome.OVERLOADED, Answer(report=report))
         else:
             self.finish(Outcome.ERROR, Answer(report=report))
 
     def body_started(self, length: int | None) -> None:
-        """Pass a long value on as it comes; a short one, or one of unknown length, is gathered."""
+        """Begin to stream a long value; a short one, or one of unknown length, is buffered."""
         if length is not None and length > MAX_ANSWER:
             raise HttpError("value too long")
         if length is not None and length > LARGE and self.status == 200 and self.exchange is not None:
@@ -71,7 +71,7 @@
             self.exchange.value_started(length, self)
 
     def body_received(self, data: bytes) -> None:
-        """Gather a part of the body, or pass it on."""
+        """Buffer a part of the body, or pass it on."""
         if self._streaming:
             if self.exchange is not None:
                 self.exchange.value_received(data)
@@ -81,10 +81,10 @@
         if len(self._body) > MAX_ANSWER:
             raise HttpError("value too long")
         if len(self._body) > LARGE:
-            # Guards the memory: the client must be told a length first, so all of it has to be held here.
+            # Guards the memory: the client needs the length first, so the whole value is buffered here.
             self.server.pool.gathered.take(self, len(self._body) - (before if before > LARGE else 0))
 
-    # A long value that came without a length: it is held until its client has taken it
+    # A long value received without a length: it stays buffered until the client has read it
 
     def _pass_on_gathered(self) -> None:
         assert self.exchange is not None
@@ -99,16 +99,16 @@
             self.exchange.value_received(bytes(part))
         if self._rest is not None and not self._rest:
             self._let_go()
-            self._end(None)
+            self._finish(None)
 
     def pause(self) -> None:
-        """Stop reading, or passing on what has been gathered."""
+        """Pause reading, or passing on what is buffered."""
         self._paused = True
         if self._rest is None:
             super().pause()
 
     def resume(self) -> None:
-        """Go on."""
+        """Resume reading, or passing on what is buffered."""
         self._paused = False
         if self._rest is None:
             super().resume()
@@ -116,11 +116,11 @@
             self._feed()
 
     def hold_back(self) -> None:
-        """Read no more for now: other values are being gathered."""
+        """Pause reading: other values are being buffered."""
         super().pause()
 
     def go_on(self) -> None:
-        """Read again."""
+        """Resume reading."""
         super().resume()
 
     def _let_go(self) -> None:
@@ -128,12 +128,12 @@
         self.server.pool.gathered.release(self)
 
     def close(self) -> None:
-        """Break the connection; what has been gathered on it goes too."""
+        """Abort the connection, and discard what is buffered."""
         self._let_go()
         super().close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Take the end of the connection; a value that has come whole goes on to its client."""
+        """Handle the end of the connection; a value that is complete is still passed on to its client."""
         if self._rest is not None and self.exchange is not None:
             self.retired = True
             self.server.pool.lost(self)
--- a/pebblepass/daemon/server_connection.py
+++ b/pebblepass/daemon/server_connection.py
@@ -15,7 +15,7 @@
 from pebblepass.decisions import Outcome
 from pebblepass.wire.address import Address
 
-PER_SERVER = 16
+MAX_CONNECTIONS_PER_SERVER = 16
 
 log = logging.getLogger("pebblepass")
 
@@ -34,12 +34,12 @@
     def lost(self, connection: Connection) -> None:
         """Forget a connection that has ended."""
 
-    def no_room(self, connection: Connection) -> bool:
+    def limit_connections(self, connection: Connection) -> bool:
         """Dial its server no more for a while; returns whether there are other connections to it."""
 
 
 class Connection(asyncio.Protocol):
-    """One connection, with at most one exchange on it: an answer never waits behind another exchange's."""
+    """One connection, with at most one exchange at a time: no answer waits behind another exchange's."""
 
     def __init__(self, server: Server) -> None:
         self.server = server
@@ -48,23 +48,23 @@
         self.idle_since = 0.0
         self.unsent = False
         self.retired = False
-        self._look: Callable[[], int] | None = None
-        self._kept = self._answering = False  # has served before; a part of the answer has come
-        self._not_read = False  # paused, for a client that could take no more
+        self._poll_unread: Callable[[], int] | None = None
+        self._has_served = self._has_answer_bytes = False  # it has had an answer; part of one
+        self._reading_paused = False  # while the client of a streamed value does not read
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport; a limit of 0 tells precisely whether the kernel has taken every byte."""
+        """Keep the transport; with a limit of 0 it reports whether the kernel has accepted every byte."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=0)
         descriptor = self.transport.get_extra_info("socket").fileno()
-        self._look = self.server.pool.poller.read_poll(descriptor)
+        self._poll_unread = self.server.pool.poller.read_poll(descriptor)
 
     def pause_writing(self) -> None:
-        """Note that the kernel has not taken every byte."""
+        """Record that the kernel has not accepted every byte."""
         self.unsent = True
 
     def resume_writing(self) -> None:
-        """Note that it has."""
+        """Record that the kernel has accepted every byte."""
         self.unsent = False
         if self.exchange is not None:
             self.exchange.written()
@@ -75,20 +75,20 @@
         return not self.retired and self.transport is not None and not self.transport.is_closing()
 
     @property
-    def quiet(self) -> bool:
-        """Whether nothing stands unread in the kernel: no end, no reset, no answer that belongs to nobody.
+    def has_nothing_unread(self) -> bool:
+        """Whether the kernel has nothing unread: no end of file, no reset, no answer without a request.
 
-        Danger: answers carry no id, so that a late second one would be taken for the next request's; and what
-        is written behind an end that nobody has read may have run, as far as this router can tell.
+        Danger: answers carry no id, so that a late second one would be taken for the next request's; and a
+        request written after an unread end of file may have run, as far as this router can tell.
         """
-        return self._look is not None and not self._look()
+        return self._poll_unread is not None and not self._poll_unread()
 
     def start(self, exchange: Exchange) -> None:
-        """Write an exchange's request."""
+        """Send an exchange's request."""
         assert self.transport is not None
         self.exchange, exchange.connection = exchange, self
         self.transport.write(exchange.request_bytes(self.server.address))
-        # Guards what may not be repeated: where the kernel takes nothing, nothing can have run.
+        # Guards requests that are not idempotent: if the kernel accepts nothing, nothing can have run.
         self.unsent = self.unsent or self.transport.is_closing()
         if self.unsent:
             exchange.mark_unsent()
@@ -96,102 +96,102 @@
             exchange.written()
 
     def close(self) -> None:
-        """Break the connection."""
+        """Abort the connection."""
         self.retired = True
         if self.transport is not None:
             self.transport.abort()
 
     def pause(self) -> None:
-        """Stop reading."""
+        """Pause reading."""
         if self.transport is not None and not self.transport.is_closing():
-            self._not_read = True
+            self._reading_paused = True
             self.transport.pause_reading()
 
     def resume(self) -> None:
-        """Read again."""
+        """Resume reading."""
         if self.transport is not None and not self.transport.is_closing():
-            self._not_read = False
+            self._reading_paused = False
             self.transport.resume_reading()
 
     def finish(self, outcome: Outcome, answer: Answer = NOTHING) -> None:
-        """Take an answer; with the last one that the exchange expects it ends, and the connection is free."""
+        """Handle an answer; the last one that the exchange expects ends it and frees the connection."""
         exchange = self.exchange
-        self._kept = True
+        self._has_served = True
         if exchange is not None and exchange.carries_several and exchange.record_answer(outcome, answer):
             return
-        self._free()
+        self._release()
         if exchange is not None:
             exchange.end(outcome, answer)
 
-    def hits(self, exchange: Exchange, entries: list[bytes]) -> None:
-        """Take answers that need no more than their values; `finish` for many."""
-        self._kept = True
+    def finish_hits(self, exchange: Exchange, entries: list[bytes]) -> None:
+        """Handle several answers that are plain hits, each entry its value as a bulk string."""
+        self._has_served = True
         if exchange.record_hits(entries):
-            self._free()
+            self._release()
             exchange.end(Outcome.OK)
 
-    def _free(self) -> None:
-        self.exchange, self._answering = None, False
-        self.server.silent_since = None
-        if self._not_read:
-            # Danger: its client can take no more, and tells the exchange that has ended when it can. The next
-            # one's answer would stand unread, and its server look silent.
+    def _release(self) -> None:
+        self.exchange, self._has_answer_bytes = None, False
+        self.server.unresponsive_since = None
+        if self._reading_paused:
+            # Danger: the client that does not read would resume the exchange that has ended. The answer of
+            # the next one would stay unread, and its server look unresponsive.
             self.resume()
-        self.look_behind()
+        self.check_trailing_bytes()
         self.server.pool.released(self)
 
-    def turned_away(self, answer: Answer) -> None:
-        """Take a refusal. A first one that tells nothing of the load is one for want of a place."""
+    def reject(self, answer: Answer) -> None:
+        """Handle a rejection; without a load report, the first on a connection means too many connections."""
         exchange = self.exchange
-        told_of_load = answer.report is not None or not self.server.pool.reports
-        if exchange is not None and not (told_of_load or self._kept or exchange.carries_several):
-            # Danger: kept, it would be turned away again and again, and holds a place that it does not have.
+        describes_load = answer.report is not None or not self.server.pool.reports
+        if exchange is not None and not (describes_load or self._has_served or exchange.carries_several):
+            # Danger: kept open, it would be rejected again and again, and count as a usable connection.
             self.retired = True
-            exchange.connection_rejected = not self.server.pool.no_room(self)
+            exchange.connection_rejected = not self.server.pool.limit_connections(self)
             exchange.connection_failed = not exchange.connection_rejected
         self.finish(Outcome.OVERLOADED, answer)
 
-    def spoil(self, reason: str) -> None:
-        """End the exchange for an answer that can't be read, and the connection with it."""
-        log.warning("%s: %s", self.server.id, reason)
+    def fail_protocol(self, reason: str) -> None:
+        """End the exchange with an error, and close the connection: the server has sent an invalid answer."""
+        log.warning("server %s %s: connection closed, its attempt fails", self.server.id, reason)
         exchange, self.exchange = self.exchange, None
         self.close()
         if exchange is not None:
             exchange.end(Outcome.ERROR)
 
     def data_received(self, data: bytes) -> None:
-        """Read what came."""
+        """Parse received bytes."""
         if self.exchange is None:
             if self.usable:
-                self.spoil("sent an answer that nobody asked for")
+                self.fail_protocol("sent an answer without a request")
             return
-        self._answering = True
+        self._has_answer_bytes = True
         try:
-            self.answer_came(data)
+            self.read_answer(data)
         except Exception:
-            log.exception("%s: reading an answer failed", self.server.id)
-            self.spoil("reading an answer failed")
+            log.exception("parsing an answer of server %s failed", self.server.id)
+            self.fail_protocol("sent an answer that this router failed to parse")
 
     @abstractmethod
-    def answer_came(self, data: bytes) -> None:
-        """Read a part of the answer."""
+    def read_answer(self, data: bytes) -> None:
+        """Parse a part of the answer."""
 
-    def look_behind(self) -> None:
-        """The exchange is over: see whether more than its answers has come."""
+    def check_trailing_bytes(self) -> None:
+        """Retire the connection if more than the answers of its exchange was received."""
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Take the end of the connection, and of what is out on it."""
+        """End the exchange of a connection that is closed."""
         self.retired = True
         exchange, self.exchange = self.exchange, None
         self.server.pool.lost(self)
         if exchange is not None:
-            # Guards a sound server's name: kept connections break on their own, above all unused ones.
-            exchange.connection_failed = self._kept and not (self._answering or self.unsent)
+            # Guards the health statistics of a sound server: idle connections break on their own.
+            exchange.connection_failed = self._has_served and not (self._has_answer_bytes or self.unsent)
             exchange.end(Outcome.CONNECT_FAILED if self.unsent else Outcome.RESET)
 
 
 class Server:
-    """One listed server as the pool sees it."""
+    """One server of the endpoint list, with its connections and the exchanges that wait for one."""
 
     def __init__(
         self,
@@ -201,28 +201,33 @@
         connect: Callable[[Server], Connection],
     ):
         self.pool, self.id, self.address, self.connect = pool, server_id, address, connect
-        self.open = True
-        self.idle: list[Connection] = []  # the one used last at the end: spares grow old and are retired
-        self.wake: asyncio.TimerHandle | None = None  # when a connection that rests may be used by who waits
-        # Dictionaries keep the order in which things came: a set's is another one in each process.
+        self.is_listed = True
+        self.idle: list[Connection] = []
+        """Idle connections, the one used last at the end: the others grow old and are closed."""
+        self.wake_timer: asyncio.TimerHandle | None = None
+        """Due when a waiting exchange may use the oldest idle connection."""
+        # Dictionaries keep the order of insertion; that of a set differs between processes.
         self.connections: dict[Connection, None] = {}
         self.dials: dict[asyncio.Task[None], None] = {}
         self.waiting: deque[Exchange] = deque()
-        self.most, self.most_until = PER_SERVER, 0.0  # connections, since it turned one away
-        self.silent_since: float | None = None  # when a dial ran out of time, if nothing was heard since
+        self.connection_limit, self.connection_limit_until = MAX_CONNECTIONS_PER_SERVER, 0.0
+        """Maximum number of connections since it rejected one, and until which loop time that applies."""
+        self.unresponsive_since: float | None = None
+        """Loop time of the first dial that timed out since the server last answered or accepted."""
 
     @property
-    def held(self) -> int:
-        """Connections open and under way."""
+    def connection_count(self) -> int:
+        """Number of open connections and dials in progress."""
         return len(self.connections) + len(self.dials)
 
-    def ran_out(self, began: float, now: float) -> bool:
-        """Take note of a dial that ran out of time; whether that tells of its connection alone.
+    def record_dial_timeout(self, began: float, now: float) -> bool:
+        """Record a dial that timed out; returns whether that says nothing of the server's health.
 
-        So does the first since the server was heard, with those that were under way beside it: connections
-        may come up late, or never, one by one. Danger: a server held dead for it gets next to nothing for a
-        minute. One that has vanished fails the next dial too.
+        `began` and `now` are loop times in seconds. The first timeout since the server last responded says
+        nothing, nor do those of the dials that were in progress then: single connections may be late or lost.
+        Danger: a server that is ejected for it gets hardly any requests for a minute. One that has vanished
+        fails the next dial too.
         """
-        if self.silent_since is None:
-            self.silent_since = now
-        return began < self.silent_since
+        if self.unresponsive_since is None:
+            self.unresponsive_since = now
+        return began < self.unresponsive_since
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -256,7 +256,7 @@
         assert {node.entry.id: node.attempts_in_flight for node in nodes if node.attempts_in_flight} == {}
         servers = list(pool._servers.values())
         assert all(not server.waiting for server in servers)
-        assert pool._held == sum(server.held for server in servers)
+        assert pool._connection_count == sum(server.connection_count for server in servers)
         assert pool.busy == 0
 
 
--- a/tests/daemon/test_crossings.py
+++ b/tests/daemon/test_crossings.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from pebblepass.daemon.connection_pool import REST_S
+from pebblepass.daemon.connection_pool import REUSE_DELAY_S
 from pebblepass.daemon.server_connection import Connection
 from pebblepass.decisions import ServerState
 from tests.crossings import LONG_DIALS, Bed, PeerLine, crossing
@@ -123,7 +123,7 @@
             bed.loop.call_later(0.005, cache.serve, line, name)
 
         cache.came = serve_later
-        await bed.wait(REST_S * 5)
+        await bed.wait(REUSE_DELAY_S * 5)
         assert client.answers() == [b"value of r1", b"value of r2"]
         bed.nothing_held()
 
@@ -139,7 +139,7 @@
         await bed.settle()
         line = cache.line("r1")
         cache.serve(line, "r1")
-        await bed.wait(REST_S * 2)
+        await bed.wait(REUSE_DELAY_S * 2)
         cache.came = cache.serve
         # In one turn: the router reads its client first, which it has known for longer.
         client.ask("r2", "x")
@@ -152,7 +152,7 @@
                 line.transport.close()
             case "reset":
                 line.reset()
-        await bed.wait(REST_S * 3)
+        await bed.wait(REUSE_DELAY_S * 3)
         assert client.answers() == [b"value of r1", b"value of r2"]
         assert cache.names == ["r1", "r2"], "written once, on a connection of its own"
         bed.nothing_held()
@@ -177,7 +177,7 @@
         cache.came = cache.serve
         await bed.settle()
         client.ask("r3", "once")
-        await bed.wait(REST_S * 3)
+        await bed.wait(REUSE_DELAY_S * 3)
         assert client.answers() == [b"value of r1", b"value of r2", b"value of r3"]
         bed.nothing_held()
 
@@ -193,12 +193,12 @@
         await bed.settle()
         line = cache.line("r1")
         cache.serve(line, "r1")
-        await bed.wait(REST_S * 2)
+        await bed.wait(REUSE_DELAY_S * 2)
         cache.came, bed.origin.came = cache.serve, bed.origin.serve
         client.ask("r2", "once")
         line.reset()
-        with patch.object(Connection, "quiet", True):  # it looked too early
-            await bed.wait(REST_S * 3)
+        with patch.object(Connection, "has_nothing_unread", True):  # it looked too early
+            await bed.wait(REUSE_DELAY_S * 3)
         assert client.answers() == [b"value of r1", b"value of r2"]
         bed.nothing_held()
 
@@ -278,7 +278,7 @@
         bed.tell("a")
         client.ask("r2")
         gate.set()
-        await bed.wait(REST_S * 5)
+        await bed.wait(REUSE_DELAY_S * 5)
         assert all(where != "a" for _, where, _ in bed.seen)
         assert client.answers()[1] == b"value of r2"
         bed.nothing_held()
@@ -297,7 +297,7 @@
         bed.tell("a", state=ServerState.REMOVED)
         await bed.wait(0.1)
         assert client.answers() == [b"value of r1"]
-        assert bed.pool._held == 1, "the store's"
+        assert bed.pool._connection_count == 1, "the store's"
         bed.nothing_held()
 
     crossing(test, facts=LONG_DIALS)
@@ -313,7 +313,7 @@
         await bed.settle()
         second.ask("r2")
         third.ask("r3")
-        await bed.wait(REST_S * 3)
+        await bed.wait(REUSE_DELAY_S * 3)
         assert sorted(cache.names) == ["r1", "r2", "r3"]
         assert bed.origin.names == ["r1"]
         third.transport.abort()
@@ -341,7 +341,7 @@
         await bed.settle()
         second.ask("r2", key="k2")
         third.ask("r3", key="k2")
-        await bed.wait(REST_S * 3)
+        await bed.wait(REUSE_DELAY_S * 3)
         assert bed.caches["a"].names == ["r1", "r2", "r3"]
         second.transport.abort()
         third.transport.abort()
@@ -418,7 +418,7 @@
     async def test(bed: Bed) -> None:
         client = await bed.client()
         client.ask("w1", "x", value=b"v")
-        await bed.wait(REST_S * 2)
+        await bed.wait(REUSE_DELAY_S * 2)
         bed.origin.came = bed.origin.serve
         bed.origin.line("w1").reset()
         await bed.wait(1.5)
--- a/tests/daemon/test_gone.py
+++ b/tests/daemon/test_gone.py
@@ -16,7 +16,7 @@
 import pytest
 
 from pebblepass.daemon.client_connection import MAX_PIPELINE, ClientConnection
-from pebblepass.daemon.connection_pool import REST_S
+from pebblepass.daemon.connection_pool import REUSE_DELAY_S
 from pebblepass.daemon.multi_get.batches import BatchExchange
 from pebblepass.decisions import Send
 from tests.crossings import ADDRESS, LONG_DIALS, Bed, ClientLine, PeerLine, asked, crossing
@@ -85,7 +85,7 @@
     line.ask("warm", "put", value=b"v")
     for number in range(12):
         line.ask(f"warm{number}", key=f"warm{number}")
-        await bed.wait(REST_S * 3)
+        await bed.wait(REUSE_DELAY_S * 3)
     for peer in served:
         assert peer.lines
         peer.came = lambda line, name: None
@@ -183,7 +183,7 @@
     await bed.settle()
     before_send(bed.host, "r", 2, kind.hold)
     await kind.ask()
-    await bed.wait(REST_S * 2)
+    await bed.wait(REUSE_DELAY_S * 2)
     assert bed.origin.names == ["other"]
     bed.origin.serve(bed.origin.line("other"), "other")
 
@@ -377,9 +377,9 @@
         bed.origin.came = bed.origin.serve
         leader, follower = await bed.client(), await bed.client()
         leader.ask("r1")
-        await bed.wait(REST_S * 3)
+        await bed.wait(REUSE_DELAY_S * 3)
         follower.ask("r2")
-        await bed.wait(REST_S * 3)
+        await bed.wait(REUSE_DELAY_S * 3)
         assert [name for _, _, name in bed.seen] == ["r1", "r2"]
         hold = HoldUp(bed.loop, raw(leader), leaves=True)
         before_call(bed.pool, "opened", hold)
@@ -406,14 +406,14 @@
         cache.came = cache.miss
         other = await bed.client()
         other.ask("w1", "put", value=b"v", key="w")
-        await bed.wait(REST_S * 3)
+        await bed.wait(REUSE_DELAY_S * 3)
         line = await bed.client()
         for name in ("r1", "r2", "r3"):
             line.ask(name)
-            await bed.wait(REST_S * 3)
+            await bed.wait(REUSE_DELAY_S * 3)
         assert bed.origin.names == ["w1", "r1"]
         bed.origin.serve(bed.origin.line("w1"), "w1")
-        await bed.wait(REST_S * 3)
+        await bed.wait(REUSE_DELAY_S * 3)
         hold = HoldUp(bed.loop, raw(line), leaves=True)
         hold()
         await bed.wait(1.0)
@@ -492,7 +492,7 @@
             for number in range(1000):
                 line.ask(f"r{number}", key=f"k{number}")
                 await bed.wait(0.001)
-        await bed.wait(REST_S * 2)
+        await bed.wait(REUSE_DELAY_S * 2)
         assert len(line.answers()) == 1000
         assert len(looked) <= 1.0 / 0.05 + 2
 
--- a/tests/daemon/test_orders.py
+++ b/tests/daemon/test_orders.py
@@ -336,8 +336,8 @@
 def takes_late_answers() -> Iterator[None]:
     """A connection is used again at once, whatever stands unread on it."""
     with (
-        patch.object(connection_pool, "REST_S", 0.0),
-        patch.object(server_connection.Connection, "quiet", True),
+        patch.object(connection_pool, "REUSE_DELAY_S", 0.0),
+        patch.object(server_connection.Connection, "has_nothing_unread", True),
     ):
         yield
 
--- a/tests/daemon/test_upstream.py
+++ b/tests/daemon/test_upstream.py
@@ -12,7 +12,7 @@
 from pebblepass.daemon.connection_pool import Pool
 from pebblepass.daemon.exchange import Answer, Exchange, ValueSource
 from pebblepass.daemon.origin import OriginConnection
-from pebblepass.daemon.server_connection import PER_SERVER, Connection
+from pebblepass.daemon.server_connection import MAX_CONNECTIONS_PER_SERVER, Connection
 from pebblepass.decisions import Outcome
 from pebblepass.emulators.ports import take_port
 from pebblepass.simulation.clock import VirtualLoop
@@ -125,11 +125,13 @@
 def test_given_up_attempt_closes_its_connection_and_frees_its_place() -> None:
     async def test(stand: Stand) -> None:
         stand.answer = lambda name: hit(name) if name == b"last" else b""
-        silent = [stand.submit(b"r%d" % i) for i in range(PER_SERVER)]
-        await until(lambda: len(stand.seen) == PER_SERVER, "all attempts")
+        silent = [stand.submit(b"r%d" % i) for i in range(MAX_CONNECTIONS_PER_SERVER)]
+        await until(lambda: len(stand.seen) == MAX_CONNECTIONS_PER_SERVER, "all attempts")
         for exchange in silent:
             exchange.give_up(Outcome.TIMEOUT)
-        assert [(await exchange.came())[0] for exchange in silent] == [Outcome.TIMEOUT] * PER_SERVER
+        assert [(await exchange.came())[0] for exchange in silent] == [
+            Outcome.TIMEOUT
+        ] * MAX_CONNECTIONS_PER_SERVER
         await until(lambda: not stand.open, "the connections of what was given up are closed")
         assert await stand.ask(b"last") == (Outcome.OK, b"last")
 
