--- a/pebblepass/daemon/attempts.py
+++ b/pebblepass/daemon/attempts.py
@@ -88,9 +88,7 @@
     ledger: Ledger | None
     now: Callable[[], int]
     call_at: Callable[[int, Callable[[], None]], Deadline]
-
-    def parse_load_report(self, report: bytes | None) -> tuple[float, ...] | None:
-        """Read a load report."""
+    parse_load_report: Callable[[bytes | None], tuple[float, ...] | None]
 
     def forget_if_settled(self, request: OpenRequest) -> None:
         """Forget a request that is answered and has nothing out."""
--- a/pebblepass/daemon/router.py
+++ b/pebblepass/daemon/router.py
@@ -1,4 +1,4 @@
-"""The host of the decision module: open requests, attempts, timers and the clock."""
+"""The host of the decision module: feeds it events, carries out its actions, and keeps the open requests."""
 
 from __future__ import annotations
 
@@ -6,15 +6,17 @@
 import logging
 from collections import deque
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, Protocol, cast
+from typing import TYPE_CHECKING, Protocol, cast
 
 from pebblepass.control.counters import Counters
 from pebblepass.daemon.attempts import Attempt, OpenRequest, ReplySlot
 from pebblepass.daemon.caches import CacheConnection
 from pebblepass.daemon.connection_pool import Pool
 from pebblepass.daemon.deadlines import Deadline, Deadlines
-from pebblepass.daemon.exchange import Answer, Exchange
+from pebblepass.daemon.health_check import HealthCheckExchange
 from pebblepass.daemon.lag import LoopLag
+from pebblepass.daemon.load_reports import LoadReportParser
+from pebblepass.daemon.multi_get_host import MultiGetHost
 from pebblepass.daemon.origin import OriginConnection
 from pebblepass.decisions import (
     Action,
@@ -25,7 +27,6 @@
     EventLoopLagged,
     Fail,
     HealthCheck,
-    HealthCheckEnded,
     ListKind,
     Outcome,
     Reason,
@@ -44,15 +45,12 @@
     TimerFired,
 )
 from pebblepass.discovery.registry import Listing
-from pebblepass.wire import http, resp
-from pebblepass.wire.address import Address
 from pebblepass.wire.resp import Command
 
 if TYPE_CHECKING:
     from pebblepass.accounting.ledger import Ledger
 
 NS_PER_MS = 1_000_000
-MOST_LOADS = 256
 FAILED = b"-ERR failed\r\n"
 PATH = "RESP2 client"
 
@@ -60,77 +58,14 @@
 
 
 class Clocked(Protocol):
-    """A loop that tells its time in nanoseconds too, as the daemon's and the rehearsals' do."""
+    """A loop that has its time in nanoseconds too, as the daemon's and the simulation's do."""
 
     def time_ns(self) -> int:
-        """The loop's time."""
-
-
-class Commands(Protocol):
-    """Reads of many keys, as their host knows them."""
-
-    unopened: int
-    """Keys that the module has been told of and that have no open request."""
-
-    def open_ids(self) -> list[str]:
-        """The ids of all keys that are owed their end."""
-
-    def owns(self, request_id: str) -> bool:
-        """Whether this is the id of a key of a command under way."""
-
-    def open_request(self, request_id: str) -> OpenRequest | None:
-        """The open request of a key that had none until now; None: there is no such key."""
-
-    def send_batch(self, action: SendBatch) -> None:
-        """The module has chosen a server for keys that it was just told of."""
-
-    def send_single(self, attempt: Attempt, server: str, timeout: int) -> None:
-        """The module has chosen a server for a key that is asked once more, or by itself."""
-
-    def client_disconnected(self, read: Any) -> None:
-        """The client of the command has left whose reply this was the request of."""
-
-    def server_left(self, server: str) -> None:
-        """A server drains or is gone: nothing that waits for it is sent there."""
-
-    def end_all(self) -> None:
-        """Give every command its answer now, with what there is."""
-
-    def abandon(self) -> None:
-        """The router ends."""
-
-
-class HealthCheckExchange(Exchange):
-    """One probe of a server."""
-
-    is_probe = True
-
-    def __init__(self, host: RouterHost, server: str, to_origin: bool, timeout: int) -> None:
-        self._host, self._server, self._to_origin = host, server, to_origin
-        self._sent_at = host.now()
-        self._timer = host.call_at(self._sent_at + timeout, self._timed_out)
-
-    def _timed_out(self) -> None:
-        self.give_up(Outcome.TIMEOUT)
-
-    def request_bytes(self, address: Address) -> bytes:
-        """Ask for a load report where there are any, else for a sign of life."""
-        reports = bool(self._host.settings.load_fields)
-        if self._to_origin:
-            path = "/stats" if reports else "/health/live"
-            return http.request("GET", path, f"{address[0]}:{address[1]}")
-        return resp.command(b"INFO", b"load") if reports else resp.command(b"PING")
-
-    def ended(self, outcome: Outcome, answer: Answer) -> None:
-        """Tell the module."""
-        self._timer.cancel()
-        latency = self._host.now() - self._sent_at
-        load = self._host.parse_load_report(answer.report or answer.value)
-        self._host.handle_event(HealthCheckEnded(self._server, outcome, latency, load))
+        """The loop's time in nanoseconds."""
 
 
 class RouterHost:
-    """Feeds the module events one at a time and carries out its actions."""
+    """Feeds the decision module events one at a time, and carries out its actions."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, settings: Settings, seed: int, pool: Pool, max_open: int
@@ -139,35 +74,37 @@
         self.now: Callable[[], int] = cast(Clocked, loop).time_ns
         """The loop's time in nanoseconds."""
         self.call_at: Callable[[int, Callable[[], None]], Deadline] = Deadlines(loop, self.now).add
-        """Calls back once the clock shows a time; never before."""
+        """Calls back once `now` has reached a time, never before."""
         self.ready = False
         self.ledger: Ledger | None = None
-        """Where every request is accounted for, if the operator wants that; whoever owns it sets it."""
+        """Accounts for every request, if the operator has configured it; set by its owner."""
         self.subscribe: Callable[[], None] = lambda: None
-        """Begins a watch where discovery is asked; whoever owns the watch sets it."""
-        self.many: Commands | None = None
-        """Reads of many keys, if the operator wants them; whoever owns them sets it."""
+        """Begins a watch of discovery; set by the owner of the watch."""
+        self.many: MultiGetHost | None = None
+        """Handles multi-gets, if the operator has configured them; set by its owner."""
         self._router = Router(settings, seed)
         self._pool, self._max_open = pool, max_open
         self.classes = {cls.name for cls in settings.classes}
         self.counters = Counters(cls.name for cls in settings.classes)
-        self._probe_timeout = min(cls.latency_target for cls in settings.classes)
+        self._health_check_timeout = min(cls.latency_target for cls in settings.classes)
         self._requests: dict[str, OpenRequest] = {}
         self._origins: set[str] = set()
         self.kinds: dict[str, str] = {}
-        """The kinds of the servers that may be sent to."""
+        """The kinds of the servers on the list, by id."""
         self._events: deque[Event] = deque()
-        self._handling = self._list_lost = False
-        self._loads: dict[bytes, tuple[float, ...] | None] = {}
+        self._handling = self._list_failed = False
+        self.parse_load_report: Callable[[bytes | None], tuple[float, ...] | None]
+        self.parse_load_report = LoadReportParser(settings.load_fields).parse
+        """Returns a load report's values in the order of the settings."""
         self.lag = LoopLag(loop, self.now, lambda lag: self.handle_event(EventLoopLagged(lag)))
 
     @property
     def open_request_count(self) -> int:
-        """Requests that have no final answer yet, or one that is still being passed on."""
+        """Number of requests without a final answer, or with one that is still being streamed."""
         return len(self.open_requests())
 
     def open_requests(self) -> dict[str, None]:
-        """The ids of the requests that are owed a final answer, or the rest of one, the oldest first."""
+        """The ids of the requests without a complete final answer, the oldest first."""
         found = {
             request.id: None
             for request in self._requests.values()
@@ -177,35 +114,24 @@
             found.update(dict.fromkeys(self.many.open_ids()))
         return found
 
-    def parse_load_report(self, report: bytes | None) -> tuple[float, ...] | None:
-        """Read a load report; a server sends the same one until its next, so that those read are kept."""
-        if not report:
-            return None
-        if report in self._loads:
-            return self._loads[report]
-        if len(self._loads) >= MOST_LOADS:
-            self._loads.clear()
-        found = self._loads[report] = resp.parse_load(report, self.settings.load_fields)
-        return found
-
     def limits(self) -> dict[str, float]:
-        """The fetches a second that each namespace may have now."""
+        """The origin fetches per second allowed now, by namespace."""
         return self._router.limits()
 
     def demand(self) -> dict[str, int]:
-        """The fetches that each namespace has wanted of the store so far, and its writes."""
+        """The number of origin fetches requested so far, and of writes, by namespace."""
         return self._router.demand()
 
     def ready_servers(self) -> list[Server]:
-        """The ready servers, as they were listed last."""
+        """The ready servers of the last endpoint list."""
         return self._router.ready_servers()
 
     def export_state(self) -> RouterState:
-        """What the module has learned."""
+        """The learned state of the decision module."""
         return self._router.export_state(self.now())
 
     def figures(self) -> list[str]:
-        """The platform's figures, a line each."""
+        """The platform's metrics, a line each."""
         nodes = sum(kind != self.settings.origin_kind for kind in self.kinds.values())
         avoided = len(self._router.avoided(self.now()))
         return self.counters.lines(self.open_request_count, nodes, avoided)
@@ -213,13 +139,13 @@
     # Clients
 
     def request_arrived(self, command: Command, reply: ReplySlot) -> None:
-        """Take a request: from here on it is owed one final answer."""
+        """Accept or reject a request; either way it gets one final answer."""
         request_id = command.id.decode("ascii")
         fields = command.fields
         if fields["c"] not in self.classes:
             reply.send(b"-ERR unknown class\r\n")
         elif self.is_known(request_id):
-            # Danger: two requests under one id would share attempts, and one would have the other's answer.
+            # Danger: two requests with one id would share attempts, and one would get the other's answer.
             reply.send(b"-ERR duplicate id\r\n")
             self.record_rejection(command, failed="duplicate id")
         elif self.free_capacity <= 0:
@@ -236,7 +162,7 @@
         reply.free_command()
 
     def open(self, request: OpenRequest) -> None:
-        """Give the module a request; it is accounted for already."""
+        """Give the decision module a request that is already accounted for."""
         request.reply.request = request
         request_id, command = request.id, request.command
         self._requests[request_id] = request
@@ -248,21 +174,21 @@
         )
 
     def is_known(self, request_id: str) -> bool:
-        """Whether a request has this id that is owed an answer, or has attempts out still."""
+        """Whether this is the id of a request without a final answer, or with attempts in flight."""
         return request_id in self._requests or (self.many is not None and self.many.owns(request_id))
 
     def knows_key_of(self, name: str) -> bool:
-        """Whether a request has an id that a key of a command of this name would have."""
+        """Whether a request has an id that a key of a multi-get of this name would have."""
         head = f"{name}."
         return any(known.startswith(head) and known[len(head) :].isdigit() for known in self._requests)
 
     def request(self, request_id: str) -> OpenRequest | None:
-        """The request of this id, if the module has it."""
+        """The open request of this id, if there is one."""
         found = self._requests.get(request_id)
         return found if found is not None or self.many is None else self.many.open_request(request_id)
 
     def add_request(self, request: OpenRequest) -> None:
-        """A key of a read of many, which the module has heard of already, gets a place of its own here."""
+        """Add the request of a multi-get's key, which the decision module knows already."""
         request.reply.request = request
         self._requests[request.id] = request
 
@@ -273,7 +199,7 @@
         return self._max_open - len(self._requests) - light
 
     def record_rejection(self, command: Command, refused: str = "", failed: str = "") -> None:
-        """Account for a request that the module never hears of."""
+        """Account for a request that is rejected before the decision module receives it."""
         cls = command.fields["c"]
         if cls in self.classes:
             (self.counters.deferred if refused else self.counters.errored)[cls] += 1
@@ -282,14 +208,14 @@
             self.ledger.turn_away(cls, tenant, self.now(), command.size, PATH, refused, failed)
 
     def client_disconnected(self, reply: ReplySlot) -> None:
-        """The client that waits for this reply has left."""
+        """Drop the request of this reply: its client has disconnected."""
         if isinstance(reply.request, OpenRequest):
             self.drop_request(reply.request)
         elif self.many is not None and reply.request is not None:
             self.many.client_disconnected(reply.request)
 
     def drop_request(self, request: OpenRequest, failed: str = "") -> None:
-        """Nothing is owed to this request any more: its client has left, or it has failed for this reason."""
+        """Close a request whose client has disconnected, or that has `failed` for this reason."""
         if failed and not request.closed:
             self.counters.errored[request.command.fields["c"]] += 1
         if self.ledger is not None and not request.accounted:
@@ -305,7 +231,7 @@
         self.handle_event(ClientDisconnected(request.id))
 
     def end_open(self) -> None:
-        """The router's time is up: what is still owed an answer gets its final one now."""
+        """Fail every open request now: the router is about to be killed."""
         if self.many is not None:
             self.many.end_all()
         for request in list(self._requests.values()):
@@ -314,7 +240,7 @@
                 self.handle_event(ClientDisconnected(request.id))
 
     def abandon(self) -> None:
-        """The router ends: what is still owed an answer has failed, whatever becomes of its connection."""
+        """Account for every open request as failed, and close it: the router stops."""
         if self.ledger is not None:
             for request_id in self.open_requests():
                 self.ledger.fail(request_id, self.now(), "router ended")
@@ -324,7 +250,7 @@
             request.closed = request.accounted = True
 
     def forget_if_settled(self, request: OpenRequest) -> None:
-        """Forget a request that is answered and has nothing out."""
+        """Forget a request that is answered and has no attempt in flight."""
         if request.closed and not request.out and request.id in self._requests:
             del self._requests[request.id]
             request.reply.free_command()
@@ -343,14 +269,14 @@
             request.withdraw()
             self.forget_if_settled(request)
 
-    # The list of servers
+    # The endpoint list
 
     def servers_changed(self, listing: Listing) -> bool:
-        """Take news of the list: the module hears of it before anything that follows from it.
+        """Apply an endpoint list or a change of it; the decision module handles it before its consequences.
 
-        Returns False where the decisions failed over it.
+        Returns False if the decision module failed to handle it.
         """
-        self._list_lost = False
+        self._list_failed = False
         self._events.append(listing.change)
         handling, self._handling = self._handling, True
         try:
@@ -358,35 +284,35 @@
         finally:
             self._handling = handling
         self._handle_events()
-        return not self._list_lost
+        return not self._list_failed
 
     def _list_servers(self, listing: Listing) -> None:
-        whole = listing.change.kind is not ListKind.DELTA
-        gone = dict.fromkeys(self._pool.listed()) if whole else {}
+        is_complete = listing.change.kind is not ListKind.DELTA
+        removed = dict.fromkeys(self._pool.listed()) if is_complete else {}
         for server in listing.change.servers:
             if server.state is ServerState.READY:
-                gone.pop(server.id, None)
+                removed.pop(server.id, None)
                 is_origin = server.kind == self.settings.origin_kind
                 (self._origins.add if is_origin else self._origins.discard)(server.id)
                 connect = OriginConnection if is_origin else CacheConnection
                 self._pool.list_server(server.id, listing.addresses[server.id], connect)
                 self.kinds[server.id] = server.kind
             else:
-                gone[server.id] = None
-        for server_id in gone:
+                removed[server.id] = None
+        for server_id in removed:
             self._pool.unlist_server(server_id)
             self.kinds.pop(server_id, None)
             if self.many is not None:
                 self.many.server_left(server_id)
 
     def discovery_failed(self) -> None:
-        """Tell the module that a call of discovery failed."""
+        """Report to the decision module that a call of discovery failed."""
         self.handle_event(ServersChanged(ListKind.FAILED))
 
     # Events and actions
 
     def handle_event(self, event: Event) -> None:
-        """Give the module an event; one made while actions are carried out waits for its turn."""
+        """Give the decision module an event; events during its actions are queued."""
         self._events.append(event)
         self._handle_events()
 
@@ -401,14 +327,14 @@
                     for action in self._router.handle(event, self.now()):
                         self._carry_out(action)
                 except Exception:
-                    log.exception("handling %s failed", type(event).__name__)
-                    self._list_lost = self._list_lost or isinstance(event, ServersChanged)
-                    self._give_what_is_owed(event)
+                    log.exception("decisions on %s failed: the requests concerned fail", type(event).__name__)
+                    self._list_failed = self._list_failed or isinstance(event, ServersChanged)
+                    self._fail_requests_of(event)
         finally:
             self._handling = False
 
-    def _give_what_is_owed(self, event: Event) -> None:
-        """A fault in the decisions must not leave a client without its answer."""
+    def _fail_requests_of(self, event: Event) -> None:
+        """Fail the requests of an event that raised in the decision module, unless attempts are in flight."""
         owed: list[str] = []
         if isinstance(event, RequestArrived | AttemptEnded):
             owed = [event.request]
@@ -441,17 +367,22 @@
             case HealthCheck():
                 to_origin = action.server in self._origins
                 self._pool.submit(
-                    action.server, HealthCheckExchange(self, action.server, to_origin, self._probe_timeout)
+                    action.server,
+                    HealthCheckExchange(self, action.server, to_origin, self._health_check_timeout),
                 )
 
     def attempt(self, request: OpenRequest, server: str) -> Attempt:
-        """What is sent to this server for a request."""
+        """Make the attempt at a request on this server."""
         return Attempt(self, request, server, server in self._origins, self.now())
 
     def _send(self, action: Send) -> None:
         request = self._requests.get(action.request) or self.request(action.request)
         if request is None:
-            log.error("the module sent a request that is over")
+            log.error(
+                "decided to send request %s to %s, but it is not open: nothing is sent",
+                action.request,
+                action.server,
+            )
             return
         now = self.now()
         to_origin = action.server in self._origins
@@ -467,5 +398,5 @@
         self._pool.submit(action.server, attempt)
 
     def _set_timer(self, due: int, token: str) -> None:
-        # Danger: a timer that came early would tell the module nothing, and the request would wait for ever.
+        # Danger: the module ignores an early timer, and the request would wait for ever.
         self.call_at(due, lambda: self.handle_event(TimerFired(token)))
