--- a/pebblepass/daemon/attempts.py
+++ b/pebblepass/daemon/attempts.py
@@ -1,4 +1,4 @@
-"""Requests that are open, and the attempts at them: what the host, clients and reads of many keys meet in."""
+"""Open requests and the attempts at them, shared by the host, the clients' connections and multi-gets."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 from pebblepass.daemon.deadlines import Deadline
 from pebblepass.daemon.exchange import Answer, Exchange, ValueSource
 from pebblepass.daemon.lag import LoopLag, after_poll
+from pebblepass.daemon.value_stream import ValueStream
 from pebblepass.decisions import AttemptEnded, Event, Outcome, StreamStarted
 from pebblepass.wire import http, resp
 from pebblepass.wire.address import Address
@@ -19,64 +20,63 @@
 if TYPE_CHECKING:
     from pebblepass.accounting.ledger import Ledger
 
-STALL_S = 2.0  # a server pauses a value for 0.1 s at most; one silent for so long has vanished
-KEY_SAFE = "/:@!$&'()*+,;=-._~"  # what a path may hold as it is
+KEY_SAFE = "/:@!$&'()*+,;=-._~"  # characters of a key that need no quoting in a path
 
 
 def _as_path(key: bytes) -> str:
     if key.isalnum():
         return key.decode("ascii")
-    # Loaded with the first key that needs it: the platform's never do, and a start pays for it.
+    # Imported with the first key that needs it: it would slow every start, and the platform's keys do not.
     from urllib.parse import quote
 
     return quote(key, safe=KEY_SAFE)
 
 
 class ReplySlot(Protocol):
-    """Where one request's answer goes: among those of its connection, or of its command."""
+    """The place of one request's reply among those of its connection, or of its multi-get."""
 
     source: ValueSource | None
     request: Any
-    """The host's."""
+    """Set and read by the host."""
 
     @property
     def unread_ns(self) -> int:
-        """Nanoseconds for which its command may have stood unread, while that command is being taken."""
+        """Nanoseconds for which its command may have been unread; valid only while it is being dispatched."""
 
     @property
     def null(self) -> bytes:
-        """The null in its client's protocol."""
+        """The null value in the client's protocol version."""
 
     def send(self, data: bytes) -> None:
-        """Give the whole answer, or its last part."""
+        """Write the whole reply, or its last part."""
 
     def start(self, data: bytes, source: ValueSource) -> None:
-        """Begin an answer that comes in parts."""
+        """Begin a streamed reply."""
 
     def write(self, data: bytes) -> bool:
-        """Write a part; False: it is held back."""
+        """Write a part; returns False if it is buffered until the replies ahead are written."""
 
     def abort(self) -> None:
-        """End a begun answer so that the client sees that it is not whole."""
+        """Abort a streamed reply, so that the client sees that it is incomplete."""
 
     def free_command(self) -> None:
-        """The host needs the command no longer."""
+        """Release the memory of the command, which the host needs no longer."""
 
     def client_is_alive(self) -> bool:
-        """Whether its client is there: it has been heard just now, or is looked at."""
+        """Whether the client is still connected, by a recent read or else by a poll."""
 
     def detach_request(self) -> None:
-        """Its client was found to have gone, and its request is let go already."""
+        """Detach the request, which the host has dropped: the disconnect will not be reported for it."""
 
 
 class Carrier(Protocol):
-    """What carries an attempt that has no connection for itself."""
+    """The batch that carries an attempt without a connection of its own."""
 
     begun_at: int
     lag_before: int
 
     def give_up(self, outcome: Outcome) -> None:
-        """End all that it carries."""
+        """End all attempts that it carries."""
 
 
 class AttemptHost(Protocol):
@@ -91,17 +91,17 @@
     parse_load_report: Callable[[bytes | None], tuple[float, ...] | None]
 
     def forget_if_settled(self, request: OpenRequest) -> None:
-        """Forget a request that is answered and has nothing out."""
+        """Forget a request that is answered and has no attempt in flight."""
 
     def drop_request(self, request: OpenRequest) -> None:
-        """Nothing is owed to this request any more: its client has left."""
+        """Close a request whose client has disconnected."""
 
     def handle_event(self, event: Event) -> None:
-        """Give the module an event."""
+        """Give the decision module an event."""
 
 
 class OpenRequest:
-    """A request that is owed an answer, or has attempts out still."""
+    """A request without a final answer, or with attempts in flight."""
 
     __slots__ = (  # noqa: RUF023
         "id", "command", "reply", "deadline", "of_command",
@@ -116,7 +116,7 @@
         deadline: int,
         of_command: bool = False,
     ) -> None:
-        """`of_command`: it is a key of a read of many."""
+        """`deadline`: in nanoseconds of the host's clock; `of_command`: it is a key of a multi-get."""
         self.id, self.command, self.reply, self.deadline = request_id, command, reply, deadline
         self.of_command = of_command
         self.attempts = self.out = 0
@@ -125,9 +125,9 @@
         """Attempts that had to wait before they could be sent, if there are any."""
 
     def withdraw(self) -> None:
-        """It has its final answer, or nobody waits for it: what can be taken back is not sent.
+        """Withdraw the attempts that are not sent: it has its final answer, or its client has disconnected.
 
-        Danger: a connection that comes up a second later would send an attempt that waits for it still.
+        Danger: a connection established a second later would still send an attempt that waits for it.
         """
         unsent, self.unsent = self.unsent, None
         for attempt in unsent or ():
@@ -137,13 +137,12 @@
 class Attempt(Exchange):
     """One attempt at a request."""
 
-    # Set where it comes to that: nearly all attempts are over without it.
-    _latency = _length = 0  # until a long value's first bytes; that value's length
-    _source: ValueSource | None = None
-    _came_at = 0.0
-    _timer: Deadline | asyncio.TimerHandle | None = None
-    _part: Carrier | None = None  # that carries it, where it has no connection for itself
-    _spared = False
+    # Class attributes as defaults: nearly all attempts end without setting them.
+    _latency = 0  # nanoseconds until a long value's first bytes
+    _stream: ValueStream | None = None
+    _timer: Deadline | None = None
+    _part: Carrier | None = None  # the batch that carries it, if any
+    _excluded_from_health = False
 
     def __init__(
         self,
@@ -154,7 +153,7 @@
         now: int,
         until: int = 0,
     ) -> None:
-        """`until`: a time from which it must not be sent, before its client's own; 0: there is none."""
+        """`now` and `until` are in nanoseconds; from `until` on it must not be sent, 0: no such limit."""
         self._host, self._request, self._server, self._to_origin = host, request, server, to_origin
         latest = deadline_propagation.latest_start(request.deadline)
         self._latest_start = min(until, latest) if until else latest
@@ -164,44 +163,44 @@
         request.attempts += 1
         request.out += 1
 
-    # What a part needs to know of those that it carries
+    # What a batch needs to know of the attempts that it carries
 
     @property
     def command(self) -> Command:
-        """What is asked."""
+        """The client's command."""
         return self._request.command
 
     @property
     def request_id(self) -> str:
-        """Whose attempt it is."""
+        """The id of its request."""
         return self._request.id
 
     @property
     def is_wanted(self) -> bool:
-        """Whether its request has no final answer yet, and the time in which it may be sent is not over."""
+        """Whether its request has no final answer, and it is not too late to send it."""
         return not self._request.closed and self._host.now() < self._latest_start
 
     def may_begin(self) -> bool:
-        """Whether it is wanted, and its client is there; one whose client has gone is let go."""
+        """Whether it is wanted and its client is connected; otherwise the request is dropped."""
         if not self.is_wanted:
             return False
         request = self._request
         if request.reply.client_is_alive():
             return True
-        # Danger: its connection goes a turn later, and until then what has failed would be tried again.
+        # Danger: the connection is closed an iteration later; until then failed attempts would be retried.
         self._host.drop_request(request)
         request.reply.detach_request()
         self.withdraw()
         return False
 
     def mark_unsent(self) -> None:
-        """Be taken back with its request, as long as that can be done."""
+        """Register with the request, so that it is withdrawn with it while that is possible."""
         if self._request.unsent is None:
             self._request.unsent = []
         self._request.unsent.append(self)
 
     def withdraw(self) -> None:
-        """Take it back, unless it has left; what has not been sent tells nothing of its server."""
+        """End it unless it was sent; one that was not is excluded from the server's health statistics."""
         if self._part is None and not self.is_over:
             if self.connection is None or self.connection.unsent:
                 self.exclude_from_health(always=True)
@@ -209,44 +208,47 @@
 
     @property
     def streaming(self) -> bool:
-        """Whether a long value of it is under way."""
-        return self._source is not None
+        """Whether a long value is being streamed."""
+        return self._stream is not None
 
     def begin(self, part: Carrier) -> None:
-        """It has left in this part."""
+        """Record that it was sent in this batch."""
         self._part = part
         self._sent_at, self._lag_before = part.begun_at, part.lag_before
 
     def elapsed(self) -> int:
-        """Nanoseconds that its server has had."""
+        """Nanoseconds since it was sent, without the lag of this router's event loop."""
         return self._elapsed(self._host.now())
 
     def record_latency(self, latency: int) -> None:
-        """Its share of the time that its part took."""
+        """Record its share of its batch's latency, in nanoseconds."""
         self._latency = self._latency or latency
 
     def exclude_from_health(self, always: bool = False) -> None:
-        """Its end says nothing of its server that another's has not said; but for one after another."""
-        self._spared = always or self._number == 0
+        """Exclude a first attempt from the server's health statistics: another has reported the failure.
+
+        `always`: exclude a retry too.
+        """
+        self._excluded_from_health = always or self._number == 0
         self._latency = self._latency or 1
 
     def give_up(self, outcome: Outcome) -> None:
-        """End it before its answer has come; what shares its connection ends with it."""
+        """End it before its answer is received, and with it the batch that carries it."""
         if self._part is not None and not self.is_over:
             self._part.give_up(outcome)
         else:
             super().give_up(outcome)
 
     def wait_until(self, due: int) -> None:
-        """Give up at the time `due`."""
+        """Give up at the time `due`, in nanoseconds."""
         self._timer = self._host.call_at(due, self._timed_out)
 
     def _timed_out(self) -> None:
-        # Guards a server that has answered: after a hold-up of this loop its answer stands unread.
+        # Guards a server that has answered: after a lag of the event loop its answer may be unread.
         after_poll(self._host.loop, self._no_answer)
 
     def _no_answer(self) -> None:
-        if self._source is None:  # else a long value has begun in the last moment
+        if self._stream is None:  # else a long value has begun at the last moment
             self.give_up(Outcome.TIMEOUT)
 
     def request_bytes(self, address: Address) -> bytes:
@@ -266,68 +268,62 @@
         self._host.counters.sends += 1
 
     def value_started(self, length: int, source: ValueSource) -> None:
-        """Begin the client's answer with a long value's header."""
+        """Begin the client's reply with a long value's header."""
         self._latency = self._elapsed(self._host.now())
         request = self._request
         if request.closed:
-            return  # nobody reads it: the attempt's time runs on
+            return  # nobody reads it: the attempt's timeout stays
         if self._timer is not None:
             self._timer.cancel()
         request.streaming = request.closed = True
         request.withdraw()
-        self._source, self._length = source, length
-        self._came_at = self._host.loop.time()
-        self._timer = self._host.loop.call_later(STALL_S, self._check_stall)
+        self._stream = ValueStream(self._host.loop, source, length, self._stalled)
         request.reply.start(b"$%d\r\n" % length, self)
         self._host.handle_event(StreamStarted(request.id, self._number))
 
     def _elapsed(self, now: int) -> int:
-        """The time that the server took: what this router's own loop was held up is not held against it."""
+        """Nanoseconds that the server took, without the lag of this router's event loop."""
         return max(now - self._sent_at - (self._host.lag.total(now) - self._lag_before), 1)
 
     def value_received(self, data: bytes) -> None:
         """Pass on a part of a long value."""
-        if self._source is not None:
-            self._came_at = self._host.loop.time()
+        if self._stream is not None:
+            self._stream.record_bytes()
             self._request.reply.write(data)
 
     def pause(self) -> None:
-        """The client can't take more: stop reading at the server."""
-        self._came_at = float("inf")
-        if self._source is not None:
-            self._source.pause()
+        """Pause reading the long value: the client does not read."""
+        if self._stream is not None:
+            self._stream.pause()
 
     def resume(self) -> None:
-        """The client takes again."""
-        self._came_at = self._host.loop.time()
-        if self._source is not None:
-            self._source.resume()
-
-    def _check_stall(self) -> None:
-        if self._host.loop.time() - self._came_at >= STALL_S:
-            self.give_up(Outcome.RESET)
-        else:
-            self._timer = self._host.loop.call_later(STALL_S / 4, self._check_stall)
+        """Resume reading the long value."""
+        if self._stream is not None:
+            self._stream.resume()
+
+    def _stalled(self) -> None:
+        self.give_up(Outcome.RESET)
 
     def client_left(self) -> None:
-        """Stop: nobody reads the value."""
+        """Cancel it: the client that reads the value has disconnected."""
         self.give_up(Outcome.CANCELLED)
 
     def ended(self, outcome: Outcome, answer: Answer) -> None:
-        """The first OK is the client's answer; the module is told of every end."""
+        """Reply to the client with the first OK; report every outcome to the decision module."""
         if self._timer is not None:
             self._timer.cancel()
         host, request, now = self._host, self._request, self._host.now()
         value, note, report = answer
         reply, ledger = request.reply, host.ledger
         request.out -= 1
-        if self._source is not None:
-            self._source = None
+        stream, self._stream = self._stream, None
+        if stream is not None:
+            stream.close()
             request.streaming = False
-            # Accounted for first: to cut the client off ends its connection, as if it had left by itself.
+            # Accounted for first: aborting the reply closes the connection, as a client's disconnect does.
             if ledger is not None and not request.accounted:
                 if outcome is Outcome.OK:
-                    ledger.serve(request.id, now, self._length)
+                    ledger.serve(request.id, now, stream.length)
                 else:
                     ledger.fail(request.id, now, "cut off")
             request.accounted = True
@@ -345,13 +341,13 @@
             host.counters.answered[request.command.fields["c"]] += 1
             if ledger is not None:
                 ledger.serve(request.id, now, len(value), self._to_origin)
-                ledger = None  # told of both
+                ledger = None  # it has recorded both
         if ledger is not None:
             fields = request.command.fields
             ledger.attempt(fields["c"], fields.get("t"), outcome.value, self._to_origin)
         latency = self._latency or self._elapsed(now)
-        load, stale = host.parse_load_report(report), self._spared or self.connection_failed
-        told = request.closed, latency, note, load, stale, self.connection_rejected
-        event = AttemptEnded(request.id, self._number, self._server, outcome, *told)
+        load, stale = host.parse_load_report(report), self._excluded_from_health or self.connection_failed
+        result = request.closed, latency, note, load, stale, self.connection_rejected
+        event = AttemptEnded(request.id, self._number, self._server, outcome, *result)
         host.forget_if_settled(request)
         host.handle_event(event)
--- /dev/null
+++ b/pebblepass/daemon/value_stream.py
@@ -0,0 +1,49 @@
+"""Streams a long value from a server to a client, and detects that the server has stalled."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from pebblepass.daemon.exchange import ValueSource
+
+STALL_TIMEOUT_S = 2.0
+"""A server pauses within a value for 0.1 s at most; after this time it is taken for unreachable."""
+
+
+class ValueStream:
+    """The source of a value that is being streamed, with the time of its last bytes."""
+
+    __slots__ = ("_last_bytes_at", "_loop", "_on_stall", "_source", "_timer", "length")
+
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, source: ValueSource, length: int, on_stall: Callable[[], None]
+    ) -> None:
+        """`length`: the value's, in bytes; `on_stall` is called if no bytes are received for too long."""
+        self._loop, self._source, self.length, self._on_stall = loop, source, length, on_stall
+        self._last_bytes_at = loop.time()
+        self._timer = loop.call_later(STALL_TIMEOUT_S, self._check_stall)
+
+    def record_bytes(self) -> None:
+        """Record that bytes of the value were received."""
+        self._last_bytes_at = self._loop.time()
+
+    def pause(self) -> None:
+        """Pause reading from the server: the client does not read."""
+        self._last_bytes_at = float("inf")
+        self._source.pause()
+
+    def resume(self) -> None:
+        """Resume reading from the server."""
+        self._last_bytes_at = self._loop.time()
+        self._source.resume()
+
+    def close(self) -> None:
+        """Stop the detection of a stall."""
+        self._timer.cancel()
+
+    def _check_stall(self) -> None:
+        if self._loop.time() - self._last_bytes_at >= STALL_TIMEOUT_S:
+            self._on_stall()
+        else:
+            self._timer = self._loop.call_later(STALL_TIMEOUT_S / 4, self._check_stall)
