--- a/pebblepass/daemon/daemon.py
+++ b/pebblepass/daemon/daemon.py
@@ -1,4 +1,4 @@
-"""One running router: its listener, its pool, its watch of the list, and the order of their start and end."""
+"""One running router: its listener, pool and watch of the endpoint list, and their start and shutdown."""
 
 from __future__ import annotations
 
@@ -28,42 +28,42 @@
     from pebblepass.daemon.succession import Succession
     from pebblepass.operator_config import FleetSection, ManyKeysSection
 
-READY_S = 1.0  # the wait for discovery's first list, after which the known one must do
-START_SHARE = 0.4  # of the cores that it has, that the start may have taken when clients come
+READY_S = 1.0  # wait for discovery's first endpoint list, before the cached one is used
+START_SHARE = 0.4  # maximum fraction of its cores that the start has used when it accepts clients
 MOST_SETTLING_S = 0.4
 ACCEPT_S = 0.5
 MIDWAY_S = 0.65
-SERVED_SHARE = 0.5  # of the longest deadline: for so long after that what crosses a close is still served
-ANSWER_SLACK_S = 0.55  # beyond the longest deadline: then what is open still gets its final answer
+SERVED_SHARE = 0.5  # fraction of the longest deadline for which requests are still accepted in a shutdown
+ANSWER_SLACK_S = 0.55  # beyond the longest deadline; then every open request is failed
 KILL_SLACK_S = 0.65  # beyond the longest deadline; SIGKILL comes no sooner than 0.7 s
 DRAIN_STEP_S = 0.01
 RELOAD_TRIES, RELOAD_STEP_S = 20, 0.1  # for a file that is still being written
-BUDGET_SHARE = 0.2  # of the memory, for clients' long commands
-GATHER_SHARE = 0.15  # and for long values that come without a length
+BUDGET_SHARE = 0.2  # fraction of the memory for clients' long commands
+GATHER_SHARE = 0.15  # fraction of the memory for long values of unknown length
 
 log = logging.getLogger("pebblepass")
 
 
 def settling(spent: float, cores: float) -> float:
-    """Seconds until a start that took so many of CPU has had no more than its share of the time."""
+    """Seconds to wait after a start that took `spent` seconds of CPU, so that it is not throttled later."""
     return min(max(spent / (cores * START_SHARE) - spent, 0.0), MOST_SETTLING_S)
 
 
 async def news() -> None:
-    """Return once the sockets have been read: after a hold-up timers run first."""
-    # The first turn may come before the sockets are looked at, the second can't.
+    """Return once the sockets have been read: after a lag of the event loop timers run first."""
+    # The first iteration may begin before the sockets are polled, the second can't.
     for _ in range(2):
         await asyncio.sleep(0)
 
 
 class Daemon:
-    """A router on a loop that it need not have for itself; the loop's time is its clock.
+    """A router on an event loop that it may share; the loop's time is its clock.
 
-    `start` it, `drain` it where what it has taken is to be answered first, and `stop` it.
+    Call `start`, then `drain` for a graceful shutdown, then `stop`.
     """
 
     host_class: type[RouterHost] = RouterHost
-    """What carries out the module's actions; a rehearsal of a broken router puts another here."""
+    """The class of the decision module's host; the simulation replaces it for mutants."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         spent: float = 0.0,
         beside: int = 0,
     ) -> None:
-        """`spent`: the seconds of CPU that the start has taken so far.
+        """`spent`: seconds of CPU that the start has used so far.
 
         `beside`: descriptors that the operator's sections take.
         """
@@ -107,23 +107,23 @@
         self._fleet: FleetPart | None = None
 
     def read_many(self, section: ManyKeysSection) -> None:
-        """Take reads of many keys; before the start."""
-        # Loaded only where the operator wants it.
+        """Enable multi-gets; call it before `start`."""
+        # Imported only if the operator has configured it.
         from pebblepass.daemon.multi_get.reads import MultiGetReads
 
         many = MultiGetReads(self._loop, self.host, self._pool, section, self._config.memory)
         self.host.many = self.clients.many = many
 
     def join_fleet(self, section: FleetSection) -> FleetPart:
-        """Be one of a fleet of routers; before the start. Raises ConfigError."""
-        # Loaded only where the operator wants it.
+        """Join a fleet of routers; call it before `start`. Raises ConfigError."""
+        # Imported only if the operator has configured it.
         from pebblepass.daemon.fleet import FleetPart
 
         self._fleet = FleetPart(self._loop, self.host, self._config, section)
         return self._fleet
 
     async def start(self) -> None:
-        """Listen for clients and follow the list; raises OSError where the address can't be had."""
+        """Listen for clients and watch the endpoint list; raises OSError if it can't listen."""
         if self._config.ops is not None:
             fleet = self._fleet.answer if self._fleet is not None else None
             told = Told(self.is_ready, self.host.figures, fleet)
@@ -135,15 +135,15 @@
             await self.clients.listen(self._config.listen)
         else:
             await self._succeed(adopt(self._config.inherited, self._config.listen))
-        # Where lists are asked for the module does so, once it has been told of the list that is known.
+        # If lists have to be requested, the decision module does so once it has the cached one.
         if self._config.known is None or not self._config.settings.must_subscribe:
             self._discovery.start()
         if self._config.known is not None:
             self._loop.call_later(READY_S, self._make_do)
 
     async def _succeed(self, listener: socket.socket) -> None:
-        """Begin beside a process that is there, or alone; clients are accepted once the servers are known."""
-        # Loaded only where the platform holds the clients' socket.
+        """Start beside a running process, or alone; clients are accepted once the servers are known."""
+        # Imported only if the platform holds the clients' listening socket.
         import tempfile
 
         from pebblepass.daemon.succession import Routed, Succession
@@ -159,13 +159,13 @@
             self._loop.call_later(READY_S, self._make_do)
 
     def is_ready(self) -> bool:
-        """Whether it knows its servers, and takes requests still."""
+        """Whether it knows its servers and accepts requests."""
         joined = self._fleet is None or self._fleet.ready()
         return self.host.ready and self.clients.listening and joined
 
     def _take(self, listing: Listing) -> None:
         if not self.host.servers_changed(listing):
-            raise RuntimeError("the decisions failed over a list")
+            raise RuntimeError("the decision module failed to handle an endpoint list")
         self._make_do()
 
     def _make_do(self) -> None:
@@ -173,8 +173,8 @@
             return
         left = self._settled_at - self._loop.time()
         if left > 0:
-            # Danger: a start takes all of a part of a core at once, and the platform holds the process up for
-            # as long afterwards, with the clients that it has accepted.
+            # Danger: a start uses its CPU quota up, and the platform throttles the process afterwards, with
+            # the clients that it has accepted.
             self._loop.call_later(left, self._make_do)
             return
         self.host.ready = True
@@ -182,34 +182,36 @@
             self._succession.ready()
 
     def move_discovery(self, address: Address) -> None:
-        """Follow the list at another address; the list held stays until that one has spoken."""
+        """Watch the endpoint list at another address; the current list stays until the first from there."""
         self._discovery.move(address)
 
     def reload(self, environ: Mapping[str, str]) -> None:
-        """Take discovery's address from the file anew, soon."""
+        """Read discovery's address from the file again, in a task."""
         if self._reloading is not None:
             self._reloading.cancel()
         self._reloading = self._loop.create_task(self._reload(environ))
 
     async def _reload(self, environ: Mapping[str, str]) -> None:
-        """A file that can't be used changes nothing."""
+        """Retry while the file is invalid, as it may still be being written; then keep the old address."""
         for tries_left in reversed(range(RELOAD_TRIES)):
             try:
                 self.move_discovery(reload_discovery(environ))
                 return
             except ConfigError as error:
                 if not tries_left:
-                    log.error("the configuration stays as it was: %s", error)
+                    log.error(
+                        "reloading the configuration failed, discovery's address is unchanged: %s", error
+                    )
             await asyncio.sleep(RELOAD_STEP_S)
 
     async def drain(self) -> None:
-        """Take what still comes for a moment, then nothing new, and answer what was taken."""
+        """Shut down gracefully: accept for a moment, then no new connection, and answer what was accepted."""
         begun, succession = self._loop.time(), self._succession
         longest = max(cls.deadline for cls in self._config.settings.classes) / NS_PER_S
         if succession is None or not succession.leave():
             await asyncio.sleep(ACCEPT_S)
             await news()
-            if succession is None:  # else the platform's socket goes on listening, and they wait there
+            if succession is None:  # else they wait at the platform's socket, which stays open
                 while self.clients.accept_pending() and self._loop.time() < begun + MIDWAY_S:
                     await asyncio.sleep(0)
                 await news()
@@ -217,18 +219,18 @@
             self.clients.finish(even_midway=False)
         while self.clients.connected and self._loop.time() < begun + longest + KILL_SLACK_S:
             await asyncio.sleep(DRAIN_STEP_S)
-            # Those that another process takes over are closed by nobody.
+            # Connections that another process takes over are not closed.
             if self._loop.time() >= begun + MIDWAY_S and self.clients.on_handover is None:
                 await news()
                 self.clients.finish(even_midway=True)
-                # Guards the end against a client that goes on asking on a connection that it keeps busy.
+                # Guards the shutdown against a client that keeps its connection busy.
                 self.clients.shutting_down = self._loop.time() >= begun + MIDWAY_S + longest * SERVED_SHARE
             if self._loop.time() >= begun + longest + ANSWER_SLACK_S:
-                # Danger: a client may wait for longer than its class does, and SIGKILL does not.
+                # Danger: a client may wait for longer than its class's deadline, but SIGKILL comes.
                 self.host.end_open()
 
     def stop(self) -> None:
-        """Break every connection, as the end of the process would: nothing is sent any more."""
+        """Abort every connection, as the end of the process would; nothing is sent any more."""
         if self._reloading is not None:
             self._reloading.cancel()
         if self._fleet is not None:
--- a/pebblepass/daemon/succession.py
+++ b/pebblepass/daemon/succession.py
@@ -1,4 +1,4 @@
-"""A router's part in an upgrade: what it tells, hands on and takes over, on its listener, pool and list."""
+"""What a router does in an upgrade: exchanges its state and its clients' connections with another process."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 from pebblepass.handover.parts import Handover
 from pebblepass.handover.states import Shares
 
-KEPT_FOR_SERVERS = 2  # connections that the old process may still open, for what it has taken
+MIN_SERVER_CONNECTIONS = 2  # that the old process may still open, for the requests that it has accepted
 
 
 class Routed(Struct, frozen=True):
-    """The parts of a router that an upgrade concerns."""
+    """The parts of a router that take part in an upgrade."""
 
     loop: asyncio.AbstractEventLoop
     host: RouterHost
@@ -39,46 +39,46 @@
     discovery: Discovery
     clock: Clock
     budget: int
-    """Bytes for clients' long commands, of a router that is alone."""
+    """Bytes for clients' long commands in a process that runs alone."""
 
 
 class Succession:
-    """What the handover asks of a router."""
+    """Carries out on a router what the handover decides."""
 
     def __init__(self, routed: Routed, listener: socket.socket, folder: str, own: int) -> None:
         """`listener`: the clients' socket that the platform holds; `own`: a process's further descriptors,
-        those for clients that are only refused among them.
+        including those for rejected client connections.
         """
         self._routed, self._listener = routed, listener
         self.told = False
-        """Whether another process has told what it knows."""
+        """Whether another process has sent its state."""
         shares = Shares(routed.clients.limit, routed.pool.limit, own)
         self._handover = Handover(routed.loop, folder, self, shares)
         self._leaving: list[ConnectionHandover] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def begin(self) -> None:
-        """Find out whether there is another process, and learn from it."""
+        """Find out whether there is another process, and import its state."""
         await self._handover.begin()
 
     def ready(self) -> None:
-        """The servers are known."""
+        """Report to the handover that the servers are known."""
         self._handover.ready()
 
     def leave(self) -> bool:
-        """SIGTERM has come; returns whether another process takes the connections."""
+        """Handle SIGTERM; returns whether another process takes the connections over."""
         self._handover.terminate()
         return self._handover.can_give
 
     def close(self) -> None:
-        """End."""
+        """Stop taking part in the handover, and close the listener."""
         self._handover.close()
         self._listener.close()
 
-    # What the handover asks
+    # Called by the handover
 
     def account(self) -> bytes:
-        """The list, and what the module has learned."""
+        """Encode the endpoint list and the learned state of the decision module."""
         routed, host = self._routed, self._routed.host
         servers = host.ready_servers()
         listing = write_listing(routed.discovery.generation, servers, routed.pool.addresses(), routed.clock)
@@ -86,7 +86,10 @@
         return write_account(account, routed.clock.unix_ms)
 
     def learn(self, account: bytes) -> None:
-        """Take the list over until discovery speaks, and what is fresh of the rest."""
+        """Import the endpoint list, until discovery sends one, and the fresh part of the state.
+
+        Raises HandoverError.
+        """
         routed, now = self._routed, self._routed.host.now()
         told = read_account(account, now, routed.clock.monotonic)
         try:
@@ -100,31 +103,31 @@
 
     def begin_serving(self) -> None:
         """Accept clients."""
-        # A copy: to stop accepting closes it, and this process may have to accept again.
+        # A duplicate: stop_accepting closes it, and this process may have to accept again.
         self._run(self._routed.clients.listen(self._listener.dup()))
 
     def stop_accepting(self) -> None:
-        """Accept nobody any longer."""
+        """Stop accepting clients."""
         self._routed.clients.stop_accepting()
 
     def hand_on(self) -> None:
-        """Give away what has nothing open, and keep few connections to servers."""
+        """Hand every client's connection over, now or once it is idle."""
         self._routed.clients.hand_over(self._give)
 
     def close_idle(self) -> None:
-        """Nobody takes them over."""
+        """Close idle connections: no process takes them over."""
         self._routed.clients.finish(even_midway=False)
 
     def held(self) -> tuple[int, int]:
-        """Connections of clients, and as many to servers as there may be still."""
+        """Return the number of client connections, and the maximum of connections to servers from now on."""
         pool = self._routed.pool
         if self._routed.clients.on_handover is not None:
-            self._routed.clients.hand_over(self._give)  # some had bytes to write when they were asked
-        pool.limit = max(pool.busy, KEPT_FOR_SERVERS)
+            self._routed.clients.hand_over(self._give)  # some had unsent bytes before
+        pool.limit = max(pool.busy, MIN_SERVER_CONNECTIONS)
         return self._routed.clients.connected, pool.limit
 
     def room(self, clients: int, servers: int, alone: bool) -> None:
-        """Hold so many; two processes have half of the memory for long commands each."""
+        """Set the connection limits; of two processes each has half of the memory for long commands."""
         routed = self._routed
         if alone:
             routed.clients.on_handover = None
@@ -132,9 +135,9 @@
         routed.clients.budget.resize(routed.budget if alone else routed.budget // 2)
 
     def take(self, sock: socket.socket, handed: ConnectionState) -> None:
-        """Go on with a client's connection."""
+        """Serve a client's connection that another process has handed over."""
         sock.setblocking(False)
-        self._routed.clients.limit += 1  # it brings its place along: the old process has one less
+        self._routed.clients.limit += 1  # the old process has lowered its own limit by one
         self._run(self._routed.clients.adopt(sock, handed))
 
     def _run(self, work: Coroutine[None, None, None]) -> None:
@@ -148,7 +151,7 @@
         self._leaving.append(handover)
 
     def _send(self) -> None:
-        """Several in one message: each message holds up this process's answers, and the other's."""
+        """Send many connections in one message: each message delays replies in both processes."""
         leaving, self._leaving = self._leaving, []
         for at in range(0, len(leaving), MAX_CONNECTIONS_PER_MESSAGE):
             batch = leaving[at : at + MAX_CONNECTIONS_PER_MESSAGE]
--- a/pebblepass/daemon/unread_age.py
+++ b/pebblepass/daemon/unread_age.py
@@ -1,13 +1,13 @@
-"""How long a client's bytes may have stood in the kernel before they were read. No I/O, no clock.
+"""How long a client's bytes may have been unread in the kernel. No I/O, no clock.
 
-A client's deadline counts from when its request came, not from when this process got round to reading it.
-That moment is not recorded anywhere, but a bound is known: the last time at which nothing stood unread.
+A client's deadline counts from the arrival of its request, not from when this process has read it. The time
+of arrival is not recorded anywhere, but a bound is known: the last time at which nothing was unread.
 """
 
 from __future__ import annotations
 
 RECENT_S = 0.05
-"""Bytes that can't be older than this count as read at once: the loop looks at its sockets more often."""
+"""Bytes that can't be older than this count as read at once: the loop polls its sockets more often."""
 SHORT_READ = 4096
 """A read of fewer bytes has emptied the socket: loops read much more at a time."""
 
@@ -18,17 +18,17 @@
     __slots__ = ("_empty_at",)
 
     def __init__(self, empty_at: float) -> None:
-        """`empty_at`: a time at which nothing stood unread; minus infinity where none is known."""
+        """`empty_at`: a time at which nothing was unread; minus infinity if none is known."""
         self._empty_at = empty_at
 
     def emptied(self, at: float) -> None:
-        """Take note that nothing stood unread at this time."""
+        """Record that nothing was unread at this time."""
         self._empty_at = max(self._empty_at, at)
 
     def read(self, now: float, size: int) -> float:
-        """Take note of a read of so many bytes; returns the seconds for which they may have stood unread.
+        """Record a read of `size` bytes; returns the seconds for which they may have been unread.
 
-        Returns 0 where they are recent, and where nothing is known of the time before.
+        Returns 0 if they are recent, or if nothing is known of the time before.
         """
         age = now - self._empty_at
         if size < SHORT_READ:
@@ -39,8 +39,8 @@
 class BacklogAge:
     """Bounds how long connections may have waited to be accepted; times are seconds of one clock.
 
-    Loops accept one connection an iteration. While more of them wait, a look at the sockets tells nothing of
-    how long one has.
+    Event loops accept one connection per iteration. While others wait, a poll of the sockets tells nothing of
+    how long each has waited.
     """
 
     def __init__(self) -> None:
@@ -48,10 +48,10 @@
         self._was_empty = True
 
     def accepted(self, now: float, polled_at: float, more_wait: bool) -> float:
-        """Take note of a connection that is accepted now; returns a time at which it had not come yet.
+        """Record a connection accepted now; returns a time at which it had not been made yet.
 
-        `polled_at`: every socket that was readable then has been read from since. `more_wait`: whether there
-        are others behind it. Returns minus infinity where nothing is known.
+        `polled_at`: every socket that was readable then has been read from since. `more_wait`: whether
+        others are in the backlog. Returns minus infinity if nothing is known.
         """
         if self._was_empty:
             self._empty_at = max(self._empty_at, polled_at)
