--- a/pebblepass/daemon/config.py
+++ b/pebblepass/daemon/config.py
@@ -1,4 +1,4 @@
-"""What a router is told at its start: the file named by LB_CONFIG and the variables beside it."""
+"""A router's configuration: the file named by LB_CONFIG, and the environment variables beside it."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ConfigError(Exception):
-    """The configuration can't be used; the text is one plain line."""
+    """The configuration is invalid; the text is one line."""
 
 
 class Config(Struct, frozen=True):
@@ -33,25 +33,25 @@
     seed: int
     settings: Settings
     max_open: int
-    """Most requests open at a time."""
+    """Maximum number of open requests."""
     dial_timeout: int
     idle_close: int
-    """After so long at the latest a cache server closes an idle connection."""
+    """Time after which a cache server closes an idle connection, at the latest."""
     memory: int
-    """Bytes; over this the router is killed."""
+    """Bytes; the platform kills a router that uses more."""
     sockets: int
     cores: float
-    """The part of a core that it has, or how many."""
+    """Number of cores that it may use; may be a fraction."""
     ops: Address | None
-    """Where operators call; None: nowhere."""
+    """The control address, if there is one."""
     inherited: int | None
-    """The descriptor of the clients' listening socket, where the platform holds it."""
+    """The descriptor of the clients' listening socket, if the platform holds it."""
     known: dict[str, Any] | None
-    """The list of servers as last held, in discovery's form; it may be old."""
+    """The cached endpoint list in discovery's format; it may be old."""
 
 
 def load_config(environ: Mapping[str, str]) -> Config:
-    """Read the configuration; the variables go before what the file says."""
+    """Read the configuration; environment variables override the file. Raises ConfigError."""
     path = environ.get("LB_CONFIG")
     if not path:
         raise ConfigError("LB_CONFIG is not set")
@@ -68,7 +68,7 @@
 
 
 def reload_discovery(environ: Mapping[str, str]) -> Address:
-    """Read the file again for discovery's address: LB_DISCOVERY is that of the start and does not count."""
+    """Read discovery's address from the file again, ignoring LB_DISCOVERY. Raises ConfigError."""
     return load_config({name: value for name, value in environ.items() if name != "LB_DISCOVERY"}).discovery
 
 
@@ -97,13 +97,13 @@
 
 
 def read_config(told: dict[str, Any], environ: Mapping[str, str]) -> Config:
-    """Read what the file holds; raises KeyError, WireError, ValueError or TypeError on what can't be used."""
+    """Read the decoded file; raises KeyError, WireError, ValueError or TypeError if it is invalid."""
     facts = typed("settings", told["settings"], dict)
     ceilings = facts.get("ceilings") or {}
     limits = typed("limits", told.get("limits") or {}, dict)
     known = told.get("known")
     if known is not None:
-        # Guards the start: a list that can't be read is one plain line, not a fault once the router runs.
+        # Guards the start: an invalid list is a ConfigError, not a failure of the running router.
         read_listing(typed("known", known, dict), Clock(0, 0))
     return Config(
         name=environ.get("LB_NAME") or str(told.get("name") or "router"),
--- a/pebblepass/daemon/greetings.py
+++ b/pebblepass/daemon/greetings.py
@@ -1,4 +1,4 @@
-"""What usual clients say beside requests: their handshake, and the few questions they ask. None is a request.
+"""Commands of usual clients that are not requests: the handshake, and a few queries.
 
 Forms as Redis documents them (https://redis.io/docs/latest/commands/hello/ and the pages beside it); RESP3 as
 its specification has it, so far as answers here use it: maps and the null.
@@ -15,25 +15,26 @@
 NO_PROTOCOL = b"-NOPROTO unsupported protocol version\r\n"
 NO_PASSWORD = b"-ERR AUTH called without any password configured\r\n"
 LOADING = b"-LOADING no list of servers yet\r\n"
-MOST_NAME = 128
-REDIS_VERSION = b"7.4.0"  # clients look for what servers of this version can do
+MAX_NAME_BYTES = 128
+REDIS_VERSION = b"7.4.0"  # from which clients infer the features of the server
 
 
 class ClientSession(Struct):
-    """What a client has told about itself."""
+    """What a client has set by its handshake."""
 
     number: int
-    """The connection's."""
+    """The number of the connection."""
     protocol: int = 2
     name: bytes = b""
     leaves: bool = False
-    """It has asked for the end of its connection."""
+    """Whether the client has sent QUIT."""
 
 
 def answer_session_command(words: list[bytes], client: ClientSession, ready: bool, connected: int) -> bytes:
-    """The answer to what a client says beside requests; an error changes nothing.
+    """Return the reply to a command that is not a request; an error changes nothing.
 
-    Raises UnknownCommandError. `ready`: the router knows its servers; `connected`: clients' connections.
+    `ready`: the router knows its servers; `connected`: number of client connections.
+    Raises UnknownCommandError.
     """
     name, args = words[0].upper(), words[1:]
     match name:
@@ -133,9 +134,9 @@
 
 
 def _is_name(word: bytes) -> bool:
-    return len(word) <= MOST_NAME and all(33 <= byte <= 126 for byte in word)
+    return len(word) <= MAX_NAME_BYTES and all(33 <= byte <= 126 for byte in word)
 
 
 def null(protocol: int) -> bytes:
-    """The null in a client's protocol."""
+    """The null value in a version of the protocol."""
     return b"_\r\n" if protocol == 3 else b"$-1\r\n"
--- a/pebblepass/daemon/inherited.py
+++ b/pebblepass/daemon/inherited.py
@@ -1,4 +1,4 @@
-"""The clients' listening socket, where the platform holds it and every process of a router inherits it."""
+"""The clients' listening socket, if the platform holds it and every process of a router inherits it."""
 
 from __future__ import annotations
 
@@ -9,21 +9,24 @@
 
 
 def adopt(descriptor: int, address: Address) -> socket.socket:
-    """Take the descriptor for the socket that listens at this address; raises ConfigError."""
+    """Return the inherited socket that listens at this address.
+
+    Raises ConfigError if the descriptor is no such socket; the descriptor stays open.
+    """
     where = f"LB_INHERITED_FD: descriptor {descriptor}"
     try:
-        held = socket.socket(fileno=descriptor)
+        listener = socket.socket(fileno=descriptor)
     except OSError as error:
         raise ConfigError(f"{where}: {error.strerror}") from None
-    # Guards the platform's own things: what is no such socket is left as it is, and open.
+    # Guards the platform's other descriptors: one that is no such socket stays open.
     wrong = ""
-    if held.family != socket.AF_INET or held.type != socket.SOCK_STREAM:
+    if listener.family != socket.AF_INET or listener.type != socket.SOCK_STREAM:
         wrong = "no TCP socket over IPv4"
-    elif not held.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+    elif not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
         wrong = "does not listen"
-    elif held.getsockname() != address:
-        wrong = "listens at {}:{}, not at {}:{}".format(*held.getsockname(), *address)
+    elif listener.getsockname() != address:
+        wrong = "listens at {}:{}, not at {}:{}".format(*listener.getsockname(), *address)
     if wrong:
-        held.detach()
+        listener.detach()
         raise ConfigError(f"{where}: {wrong}")
-    return held
+    return listener
