--- /dev/null
+++ b/pebblepass/daemon/connection_pool.py
@@ -0,0 +1,309 @@
+"""The pool of connections to servers: gives exchanges to connections, dials, and limits their number."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from collections.abc import Callable, Iterator
+
+from pebblepass.daemon.dial import dial
+from pebblepass.daemon.exchange import Exchange
+from pebblepass.daemon.gathered import GatherBudget
+from pebblepass.daemon.server_connection import MAX_CONNECTIONS_PER_SERVER, Connection, Server
+from pebblepass.daemon.unread import socket_poller
+from pebblepass.decisions import Outcome
+from pebblepass.wire.address import Address
+from pebblepass.wire.resp import MAX_ANSWER
+
+IDLE_CLOSE_FRACTION = 0.9
+"""Fraction of the servers' idle timeout after which idle connections are closed here."""
+SWEEP_INTERVAL_S = 0.5
+FULL_SERVER_BACKOFF_S = 2.0
+"""Time without dials beyond the open connections after a server has rejected one."""
+REUSE_DELAY_S = 0.01
+"""Time from an answer to the next request on a connection: a second answer may be milliseconds late."""
+TIMER_ROUNDING_S = 0.001  # event loops round to the nearest millisecond
+
+
+class Pool:
+    """Gives exchanges to connections, within the limit on connections to servers."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        limit: int,
+        dial_timeout: float,
+        idle_close: float,
+        reports: bool = True,
+        gather: int = 16 << 20,
+    ) -> None:
+        """`limit`: maximum number of connections; `dial_timeout` and `idle_close` are in seconds.
+
+        `reports`: servers send load reports, so that a rejection without one has another reason than load;
+        `gather`: bytes for buffering long values of unknown length.
+        """
+        self.reports = reports
+        self.poller = socket_poller(loop)
+        self.gathered = GatherBudget(gather, MAX_ANSWER)
+        self.loop = loop
+        self._limit, self._dial_timeout = limit, dial_timeout
+        self._idle_limit = idle_close * IDLE_CLOSE_FRACTION
+        self._servers: dict[str, Server] = {}
+        self._connection_count = 0
+        self._closed = False
+        self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+
+    def list_server(self, server_id: str, address: Address, connect: Callable[[Server], Connection]) -> None:
+        """Add a server, or change its address; `connect` makes the protocol of a connection to it."""
+        server = self._servers.get(server_id)
+        if server is None:
+            self._servers[server_id] = Server(self, server_id, address, connect)
+            return
+        if server.address != address or server.connect is not connect:
+            # First: whoever handles an attempt's end may submit another one.
+            server.address, server.connect = address, connect
+            self._retire(server)
+        server.is_listed = True
+
+    def unlist_server(self, server_id: str) -> None:
+        """Remove a server that drains or is gone: exchanges in flight finish, those that wait end."""
+        server = self._servers.get(server_id)
+        if server is not None:
+            server.is_listed = False
+            self._retire(server)
+            self._forget_if_unused(server)
+
+    def listed(self) -> Iterator[str]:
+        """The ids of the servers on the list."""
+        return (server.id for server in self._servers.values() if server.is_listed)
+
+    def addresses(self) -> dict[str, Address]:
+        """The addresses of the servers on the list, by id."""
+        return {server.id: server.address for server in self._servers.values() if server.is_listed}
+
+    @property
+    def busy(self) -> int:
+        """Number of dials in progress and of connections that are not idle."""
+        return self._connection_count - sum(len(server.idle) for server in self._servers.values())
+
+    @property
+    def limit(self) -> int:
+        """Maximum number of connections."""
+        return self._limit
+
+    @limit.setter
+    def limit(self, limit: int) -> None:
+        self._limit = limit
+        while self._connection_count > limit and self._evict():
+            pass
+        for server in self._servers.values():
+            self._dial_for(server)
+
+    def submit(self, server_id: str, exchange: Exchange) -> None:
+        """Send the exchange on an idle connection, or queue it for the next connection."""
+        server = self._servers.get(server_id)
+        if server is None or not server.is_listed or self._closed:
+            exchange.end(Outcome.CONNECT_FAILED)
+            return
+        if not exchange.may_begin():
+            exchange.end(Outcome.SUPERSEDED)
+            return
+        connection = self._take_idle(server)
+        if connection is not None:
+            connection.start(exchange)
+            return
+        server.waiting.append(exchange)
+        exchange.mark_unsent()
+        self._dial_for(server)
+
+    def _take_idle(self, server: Server) -> Connection | None:
+        """Remove and return the reusable idle connection that was used last, if there is one."""
+        now = self.loop.time()
+        oldest, rested = now - self._idle_limit, now - REUSE_DELAY_S
+        at = len(server.idle)
+        while at:
+            at -= 1
+            connection = server.idle[at]
+            if connection.idle_since > rested:
+                continue
+            del server.idle[at]
+            if connection.usable and connection.idle_since >= oldest and connection.has_nothing_unread:
+                return connection
+            connection.close()
+        return None
+
+    def _next_waiting(self, server: Server) -> Exchange | None:
+        while server.waiting:
+            exchange = server.waiting.popleft()
+            if exchange.is_over:
+                continue
+            if exchange.may_begin():
+                return exchange
+            # Danger: it would be sent for a request that has its final reply, or whose client disconnected.
+            exchange.end(Outcome.SUPERSEDED)
+        return None
+
+    def opened(self, connection: Connection) -> None:
+        """Start the next waiting exchange on a new connection, or keep the connection idle."""
+        server = connection.server
+        exchange = self._next_waiting(server) if connection.usable else None
+        if exchange is not None:
+            connection.start(exchange)
+        else:
+            self.released(connection)
+
+    def released(self, connection: Connection) -> None:
+        """Keep a connection whose exchange has ended; it may be reused after REUSE_DELAY_S."""
+        server = connection.server
+        if not connection.usable:
+            connection.close()
+            return
+        connection.idle_since = self.loop.time()
+        server.idle.append(connection)
+        if server.waiting:
+            self._schedule_wake(server)
+
+    def _schedule_wake(self, server: Server) -> None:
+        """Set the timer for when the oldest idle connection may be reused."""
+        if server.wake_timer is None and server.idle:
+            left = server.idle[0].idle_since + REUSE_DELAY_S - self.loop.time()
+            server.wake_timer = self.loop.call_later(max(left, 0.0) + TIMER_ROUNDING_S, self._wake, server)
+
+    def _wake(self, server: Server) -> None:
+        server.wake_timer = None
+        while (exchange := self._next_waiting(server)) is not None:
+            connection = self._take_idle(server)
+            if connection is None:
+                server.waiting.appendleft(exchange)
+                break
+            connection.start(exchange)
+        self._dial_for(server)
+
+    def lost(self, connection: Connection) -> None:
+        """Forget a connection that is closed."""
+        server = connection.server
+        if connection not in server.connections:
+            return
+        del server.connections[connection]
+        self._connection_count -= 1
+        if connection in server.idle:
+            server.idle.remove(connection)
+        self._dial_for(server)
+        self._forget_if_unused(server)
+
+    def limit_connections(self, connection: Connection) -> bool:
+        """Limit the connections to a server that has rejected this one to the others that there are.
+
+        Returns whether there are others. It bounds the dials of a fleet of routers at a full server.
+        """
+        server = connection.server
+        others = sum(other is not connection and other.usable for other in server.connections)
+        if others:
+            server.connection_limit = others
+            server.connection_limit_until = self.loop.time() + FULL_SERVER_BACKOFF_S
+        return others > 0
+
+    def close(self) -> None:
+        """Abort all connections; exchanges submitted later end at once."""
+        self._closed = True
+        self._sweep_timer.cancel()
+        for server in list(self._servers.values()):
+            if server.wake_timer is not None:
+                server.wake_timer.cancel()
+            self._cancel_dials(server)
+            for connection in list(server.connections):
+                connection.close()
+
+    def _dial_for(self, server: Server) -> None:
+        while server.waiting and server.waiting[0].is_over:
+            server.waiting.popleft()
+        if self._closed or not server.waiting:
+            return
+        self._schedule_wake(server)
+        is_limited = self.loop.time() < server.connection_limit_until
+        most = server.connection_limit if is_limited else MAX_CONNECTIONS_PER_SERVER
+        # Idle connections that are not reusable yet suffice: a dial costs the server work, and takes as long.
+        while len(server.waiting) > len(server.dials) + len(server.idle) and server.connection_count < most:
+            if self._connection_count >= self._limit and not self._evict():
+                return
+            self._connection_count += 1
+            task = self.loop.create_task(self._dial(server))
+            server.dials[task] = None
+
+    def _evict(self) -> bool:
+        idle = [server.idle[0] for server in self._servers.values() if server.idle]
+        if not idle:
+            return False
+        oldest = min(idle, key=lambda connection: connection.idle_since)
+        server = oldest.server
+        server.idle.remove(oldest)
+        del server.connections[oldest]
+        self._connection_count -= 1
+        oldest.close()
+        return True
+
+    async def _dial(self, server: Server) -> None:
+        connection: Connection | None = None
+        address, isolated = server.address, False
+        task = asyncio.current_task()
+        assert task is not None
+        try:
+            connection, isolated = await dial(self.loop, server, self._dial_timeout)
+        finally:
+            if task in server.dials:
+                del server.dials[task]
+                self._connection_count -= connection is None
+        if connection is None or not connection.usable:
+            if connection is not None:
+                self._connection_count -= 1
+            self._dial_failed(server, isolated)
+            return
+        server.unresponsive_since = None
+        server.connections[connection] = None
+        connection.retired = not server.is_listed or server.address != address
+        self.opened(connection)
+
+    def _dial_failed(self, server: Server, isolated: bool) -> None:
+        while server.waiting:
+            exchange = server.waiting.popleft()
+            if not exchange.is_over:
+                # Guards against a dead server that looks like a slow one: otherwise the attempt would last
+                # until its timeout before another server is tried.
+                exchange.connection_failed = isolated
+                exchange.end(Outcome.CONNECT_FAILED)
+                break
+        self._dial_for(server)
+        self._forget_if_unused(server)
+
+    def _cancel_dials(self, server: Server) -> None:
+        """Cancel the dials in progress; uncounted here, as the task of one that has not begun never runs."""
+        for task in server.dials:
+            task.cancel()
+        self._connection_count -= len(server.dials)
+        server.dials.clear()
+
+    def _retire(self, server: Server) -> None:
+        for connection in server.connections:
+            connection.retired = True
+        idle, server.idle = server.idle, []
+        for connection in idle:
+            connection.close()
+        # Danger: the failure of a dial to the old address would count against the new one.
+        self._cancel_dials(server)
+        waiting, server.waiting = server.waiting, deque()
+        for exchange in waiting:
+            exchange.end(Outcome.CONNECT_FAILED)
+
+    def _forget_if_unused(self, server: Server) -> None:
+        if not server.is_listed and not server.connection_count:
+            self._servers.pop(server.id, None)
+            if server.wake_timer is not None:
+                server.wake_timer.cancel()
+
+    def _sweep(self) -> None:
+        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+        oldest = self.loop.time() - self._idle_limit
+        for server in self._servers.values():
+            while server.idle and server.idle[0].idle_since < oldest:
+                server.idle.pop(0).close()
+            self._dial_for(server)
--- a/pebblepass/daemon/multi_get/batch_exchange.py
+++ b/pebblepass/daemon/multi_get/batch_exchange.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from pebblepass.daemon import deadline_propagation
+from pebblepass.daemon.exchange import Answer, Exchange, ValueSource
 from pebblepass.daemon.lag import after_poll
 from pebblepass.daemon.multi_get.entries import KeyAttempt
 from pebblepass.daemon.multi_get.interfaces import BatchRegistry
 from pebblepass.daemon.multi_get.reading import MultiGet
-from pebblepass.daemon.upstream import Answer, Exchange, ValueSource
 from pebblepass.decisions import BatchServed, HedgeDue, Outcome
 from pebblepass.multi_get import Batch
 from pebblepass.wire.address import Address
-from pebblepass.wire.answers import AnswerError
+from pebblepass.wire.answers import AnswerFormatError
 from pebblepass.wire.resp import MANY, bulk_length, command, read_command
 
 NEVER = 1 << 63
@@ -102,7 +102,7 @@
         self.array_expected = False
         if count != len(self._batch.items) and count >= 0:
             # With another length, an answer would be attributed to the wrong key.
-            raise AnswerError("answers to another number of keys")
+            raise AnswerFormatError("answers to another number of keys")
         self._single_error = count < 0
 
     _single_error = False
--- a/pebblepass/daemon/multi_get/entries.py
+++ b/pebblepass/daemon/multi_get/entries.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from pebblepass.daemon.attempts import Attempt, Carrier
+from pebblepass.daemon.exchange import ValueSource
 from pebblepass.daemon.multi_get.interfaces import KeyOwner
-from pebblepass.daemon.upstream import ValueSource
 from pebblepass.multi_get import State
 
 
--- a/pebblepass/daemon/multi_get/interfaces.py
+++ b/pebblepass/daemon/multi_get/interfaces.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Protocol, TypeVar
 
 from pebblepass.daemon.attempts import ReplySlot
-from pebblepass.daemon.upstream import ValueSource
+from pebblepass.daemon.exchange import ValueSource
 from pebblepass.multi_get import Batches, Gathering, HedgeBudget, Shares
 
 if TYPE_CHECKING:
--- /dev/null
+++ b/pebblepass/daemon/server_connection.py
@@ -0,0 +1,233 @@
+"""A listed server and its connections, each with at most one exchange on it."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from abc import abstractmethod
+from collections import deque
+from collections.abc import Callable
+from typing import Protocol, cast
+
+from pebblepass.daemon.exchange import NOTHING, Answer, Exchange
+from pebblepass.daemon.gathered import GatherBudget
+from pebblepass.daemon.unread import SocketPoller
+from pebblepass.decisions import Outcome
+from pebblepass.wire.address import Address
+
+MAX_CONNECTIONS_PER_SERVER = 16
+
+log = logging.getLogger("pebblepass")
+
+
+class PoolOfConnection(Protocol):
+    """The pool as its connections see it."""
+
+    poller: SocketPoller
+    gathered: GatherBudget
+    reports: bool
+    """Whether servers give load reports."""
+
+    def released(self, connection: Connection) -> None:
+        """Keep a connection that has no exchange any longer."""
+
+    def lost(self, connection: Connection) -> None:
+        """Forget a connection that has ended."""
+
+    def limit_connections(self, connection: Connection) -> bool:
+        """Dial its server no more for a while; returns whether there are other connections to it."""
+
+
+class Connection(asyncio.Protocol):
+    """One connection, with at most one exchange at a time: no answer waits behind another exchange's."""
+
+    def __init__(self, server: Server) -> None:
+        self.server = server
+        self.exchange: Exchange | None = None
+        self.transport: asyncio.Transport | None = None
+        self.idle_since = 0.0
+        self.unsent = False
+        self.retired = False
+        self._poll_unread: Callable[[], int] | None = None
+        self._has_served = self._has_answer_bytes = False  # it has had an answer; part of one
+        self._reading_paused = False  # while the client of a streamed value does not read
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport; with a limit of 0 it reports whether the kernel has accepted every byte."""
+        self.transport = cast(asyncio.Transport, transport)
+        self.transport.set_write_buffer_limits(high=0)
+        descriptor = self.transport.get_extra_info("socket").fileno()
+        self._poll_unread = self.server.pool.poller.read_poll(descriptor)
+
+    def pause_writing(self) -> None:
+        """Record that the kernel has not accepted every byte."""
+        self.unsent = True
+
+    def resume_writing(self) -> None:
+        """Record that the kernel has accepted every byte."""
+        self.unsent = False
+        if self.exchange is not None:
+            self.exchange.written()
+
+    @property
+    def usable(self) -> bool:
+        """Whether it can take another exchange."""
+        return not self.retired and self.transport is not None and not self.transport.is_closing()
+
+    @property
+    def has_nothing_unread(self) -> bool:
+        """Whether the kernel has nothing unread: no end of file, no reset, no answer without a request.
+
+        Danger: answers carry no id, so that a late second one would be taken for the next request's; and a
+        request written after an unread end of file may have run, as far as this router can tell.
+        """
+        return self._poll_unread is not None and not self._poll_unread()
+
+    def start(self, exchange: Exchange) -> None:
+        """Send an exchange's request."""
+        assert self.transport is not None
+        self.exchange, exchange.connection = exchange, self
+        self.transport.write(exchange.request_bytes(self.server.address))
+        # Guards requests that are not idempotent: if the kernel accepts nothing, nothing can have run.
+        self.unsent = self.unsent or self.transport.is_closing()
+        if self.unsent:
+            exchange.mark_unsent()
+        else:
+            exchange.written()
+
+    def close(self) -> None:
+        """Abort the connection."""
+        self.retired = True
+        if self.transport is not None:
+            self.transport.abort()
+
+    def pause(self) -> None:
+        """Pause reading."""
+        if self.transport is not None and not self.transport.is_closing():
+            self._reading_paused = True
+            self.transport.pause_reading()
+
+    def resume(self) -> None:
+        """Resume reading."""
+        if self.transport is not None and not self.transport.is_closing():
+            self._reading_paused = False
+            self.transport.resume_reading()
+
+    def finish(self, outcome: Outcome, answer: Answer = NOTHING) -> None:
+        """Handle an answer; the last one that the exchange expects ends it and frees the connection."""
+        exchange = self.exchange
+        self._has_served = True
+        if exchange is not None and exchange.carries_several and exchange.record_answer(outcome, answer):
+            return
+        self._release()
+        if exchange is not None:
+            exchange.end(outcome, answer)
+
+    def finish_hits(self, exchange: Exchange, entries: list[bytes]) -> None:
+        """Handle several answers that are plain hits, each entry its value as a bulk string."""
+        self._has_served = True
+        if exchange.record_hits(entries):
+            self._release()
+            exchange.end(Outcome.OK)
+
+    def _release(self) -> None:
+        self.exchange, self._has_answer_bytes = None, False
+        self.server.unresponsive_since = None
+        if self._reading_paused:
+            # Danger: the client that does not read would resume the exchange that has ended. The answer of
+            # the next one would stay unread, and its server look unresponsive.
+            self.resume()
+        self.check_trailing_bytes()
+        self.server.pool.released(self)
+
+    def reject(self, answer: Answer) -> None:
+        """Handle a rejection; without a load report, the first on a connection means too many connections."""
+        exchange = self.exchange
+        describes_load = answer.report is not None or not self.server.pool.reports
+        if exchange is not None and not (describes_load or self._has_served or exchange.carries_several):
+            # Danger: kept open, it would be rejected again and again, and count as a usable connection.
+            self.retired = True
+            exchange.connection_rejected = not self.server.pool.limit_connections(self)
+            exchange.connection_failed = not exchange.connection_rejected
+        self.finish(Outcome.OVERLOADED, answer)
+
+    def fail_protocol(self, reason: str) -> None:
+        """End the exchange with an error, and close the connection: the server has sent an invalid answer."""
+        log.warning("server %s %s: connection closed, its attempt fails", self.server.id, reason)
+        exchange, self.exchange = self.exchange, None
+        self.close()
+        if exchange is not None:
+            exchange.end(Outcome.ERROR)
+
+    def data_received(self, data: bytes) -> None:
+        """Parse received bytes."""
+        if self.exchange is None:
+            if self.usable:
+                self.fail_protocol("sent an answer without a request")
+            return
+        self._has_answer_bytes = True
+        try:
+            self.read_answer(data)
+        except Exception:
+            log.exception("parsing an answer of server %s failed", self.server.id)
+            self.fail_protocol("sent an answer that this router failed to parse")
+
+    @abstractmethod
+    def read_answer(self, data: bytes) -> None:
+        """Parse a part of the answer."""
+
+    def check_trailing_bytes(self) -> None:
+        """Retire the connection if more than the answers of its exchange was received."""
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """End the exchange of a connection that is closed."""
+        self.retired = True
+        exchange, self.exchange = self.exchange, None
+        self.server.pool.lost(self)
+        if exchange is not None:
+            # Guards the health statistics of a sound server: idle connections break on their own.
+            exchange.connection_failed = self._has_served and not (self._has_answer_bytes or self.unsent)
+            exchange.end(Outcome.CONNECT_FAILED if self.unsent else Outcome.RESET)
+
+
+class Server:
+    """One server of the endpoint list, with its connections and the exchanges that wait for one."""
+
+    def __init__(
+        self,
+        pool: PoolOfConnection,
+        server_id: str,
+        address: Address,
+        connect: Callable[[Server], Connection],
+    ):
+        self.pool, self.id, self.address, self.connect = pool, server_id, address, connect
+        self.is_listed = True
+        self.idle: list[Connection] = []
+        """Idle connections, the one used last at the end: the others grow old and are closed."""
+        self.wake_timer: asyncio.TimerHandle | None = None
+        """Due when a waiting exchange may use the oldest idle connection."""
+        # Dictionaries keep the order of insertion; that of a set differs between processes.
+        self.connections: dict[Connection, None] = {}
+        self.dials: dict[asyncio.Task[None], None] = {}
+        self.waiting: deque[Exchange] = deque()
+        self.connection_limit, self.connection_limit_until = MAX_CONNECTIONS_PER_SERVER, 0.0
+        """Maximum number of connections since it rejected one, and until which loop time that applies."""
+        self.unresponsive_since: float | None = None
+        """Loop time of the first dial that timed out since the server last answered or accepted."""
+
+    @property
+    def connection_count(self) -> int:
+        """Number of open connections and dials in progress."""
+        return len(self.connections) + len(self.dials)
+
+    def record_dial_timeout(self, began: float, now: float) -> bool:
+        """Record a dial that timed out; returns whether that says nothing of the server's health.
+
+        `began` and `now` are loop times in seconds. The first timeout since the server last responded says
+        nothing, nor do those of the dials that were in progress then: single connections may be late or lost.
+        Danger: a server that is ejected for it gets hardly any requests for a minute. One that has vanished
+        fails the next dial too.
+        """
+        if self.unresponsive_since is None:
+            self.unresponsive_since = now
+        return began < self.unresponsive_since
--- a/pebblepass/discovery/connection.py
+++ b/pebblepass/discovery/connection.py
@@ -51,33 +51,33 @@
         """Read a part of the response."""
         try:
             if self.read(data):
-                self._complete()
+                self._finish_response()
         except HttpError as error:
             self._fail(error)
             self.close()
 
     def eof_received(self) -> None:
         """Complete a response that lasts until the end of the stream."""
-        if self.ended():
-            self._complete()
+        if self.is_complete_at_eof():
+            self._finish_response()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Fail the request in flight."""
         self._fail(ConnectionResetError("discovery closed the connection"))
 
-    def body_starts(self, length: int | None) -> None:
+    def body_started(self, length: int | None) -> None:
         """Ignore the announced length: the limit is on the bytes received."""
 
-    def body_came(self, data: bytes) -> None:
+    def body_received(self, data: bytes) -> None:
         """Collect a part of the body; raises HttpError beyond MAX_BODY."""
         self._body += data
         if len(self._body) > MAX_BODY:
             raise HttpError("list too long")
 
-    def _complete(self) -> None:
+    def _finish_response(self) -> None:
         response = Response(self.status, bytes(self._body))
         self._body.clear()
-        if not self.answer_done():
+        if not self.finish_response():
             self.close()
         if self._response is not None and not self._response.done():
             self._response.set_result(response)
--- a/tests/daemon/test_upstream.py
+++ b/tests/daemon/test_upstream.py
@@ -9,8 +9,10 @@
 import pytest
 
 from pebblepass.daemon.caches import CacheConnection
+from pebblepass.daemon.connection_pool import Pool
+from pebblepass.daemon.exchange import Answer, Exchange, ValueSource
 from pebblepass.daemon.origin import OriginConnection
-from pebblepass.daemon.upstream import PER_SERVER, Answer, Exchange, Pool, ValueSource
+from pebblepass.daemon.server_connection import MAX_CONNECTIONS_PER_SERVER, Connection
 from pebblepass.decisions import Outcome
 from pebblepass.emulators.ports import take_port
 from pebblepass.simulation.clock import VirtualLoop
@@ -123,11 +125,13 @@
 def test_given_up_attempt_closes_its_connection_and_frees_its_place() -> None:
     async def test(stand: Stand) -> None:
         stand.answer = lambda name: hit(name) if name == b"last" else b""
-        silent = [stand.submit(b"r%d" % i) for i in range(PER_SERVER)]
-        await until(lambda: len(stand.seen) == PER_SERVER, "all attempts")
+        silent = [stand.submit(b"r%d" % i) for i in range(MAX_CONNECTIONS_PER_SERVER)]
+        await until(lambda: len(stand.seen) == MAX_CONNECTIONS_PER_SERVER, "all attempts")
         for exchange in silent:
             exchange.give_up(Outcome.TIMEOUT)
-        assert [(await exchange.came())[0] for exchange in silent] == [Outcome.TIMEOUT] * PER_SERVER
+        assert [(await exchange.came())[0] for exchange in silent] == [
+            Outcome.TIMEOUT
+        ] * MAX_CONNECTIONS_PER_SERVER
         await until(lambda: not stand.open, "the connections of what was given up are closed")
         assert await stand.ask(b"last") == (Outcome.OK, b"last")
 
@@ -223,7 +227,7 @@
             exchange = stand.submit(b"r%d" % cut)
             await until(lambda it=exchange: it.connection is not None, "a connection")  # type: ignore[misc]
             connection = exchange.connection
-            assert connection is not None
+            assert isinstance(connection, Connection)
             connection.data_received(answer[:cut])
             assert not exchange.is_over
             connection.data_received(answer[cut:])
