--- a/pebblepass/daemon/multi_get/batch_exchange.py
+++ b/pebblepass/daemon/multi_get/batch_exchange.py
@@ -90,7 +90,7 @@
         if not wanted:
             self._reads.loop.call_soon(self.give_up, Outcome.SUPERSEDED)
             return b""
-        info, keys = self._read.info_to_send(now), self._read.gathering.keys
+        info, keys = self._read.info_to_send(now), self._read.assembly.keys
         if not batch.as_command:
             return b"".join([read_command(keys[key.number], key.request_id.encode(), info) for key in wanted])
         self.array_expected = True
@@ -152,7 +152,7 @@
                 host.ledger.serve(name, now, bulk_length(entry))
                 host.ledger.attempt(fields["c"], fields.get("t"), Outcome.OK.value, False)
         host.counters.answered[read.command.fields["c"]] += len(names)
-        read.gathering.end_all([key.number for key in taken], entries)
+        read.assembly.complete_all([key.number for key in taken], entries)
         reads.schedule(read)
         return batch.answered == len(batch.items)
 
@@ -174,9 +174,9 @@
 
         Return the time of the next check.
         """
-        reads, batch, gathering = self._reads, self._batch, self._read.gathering
+        reads, batch, assembly = self._reads, self._batch, self._read.assembly
         left = batch.unanswered
-        if gathering.waiting or gathering.open > len(left):
+        if assembly.pending or assembly.incomplete > len(left):
             return now + max(batch.hedge_delay, SLOW_RECHECK_NS)
         for key in left:
             if key.is_wanted and reads.hedges.spend():
--- a/pebblepass/daemon/multi_get/entries.py
+++ b/pebblepass/daemon/multi_get/entries.py
@@ -5,7 +5,7 @@
 from pebblepass.daemon.attempts import Attempt, Carrier
 from pebblepass.daemon.multi_get.interfaces import KeyOwner
 from pebblepass.daemon.upstream import ValueSource
-from pebblepass.multi_get import State
+from pebblepass.multi_get import KeyState
 
 
 class KeyReply:
@@ -37,24 +37,24 @@
     def start(self, data: bytes, source: ValueSource) -> None:
         """Begin a streamed value, paused until the entries ahead of it are written."""
         self.source = source
-        self._read.gathering.stream(self._number)
+        self._read.assembly.start_stream(self._number)
         self.write(data)
         source.pause()
         self._read.stream_started(self._number, self)
 
     def write(self, data: bytes) -> bool:
         """Write a chunk of a streamed value, or buffer it; return whether it was written."""
-        if self._read.gathering.passes(self._number):
+        if self._read.assembly.is_streaming(self._number):
             self._read.reply.write(data)
             return True
         self._held.append(data)
-        self._read.gathering.hold(len(data))
+        self._read.assembly.stream_bytes_buffered(len(data))
         return False
 
     def write_buffered(self) -> None:
         """Write what is buffered: the entries ahead have been written."""
         for data in self._held:
-            self._read.gathering.hold(-len(data))
+            self._read.assembly.stream_bytes_released(len(data))
             self._read.reply.write(data)
         self._held.clear()
         if self.source is not None and not self._read.paused:
@@ -64,7 +64,7 @@
         """Discard what is buffered: the streamed value ended too early."""
         self.source = None
         for data in self._held:
-            self._read.gathering.hold(-len(data))
+            self._read.assembly.stream_bytes_released(len(data))
         self._held.clear()
         self._read.stream_broke(self._number)
 
@@ -79,7 +79,7 @@
         """End this key: the client has disconnected. Its connection closes the rest of the command."""
         read = self._read
         read.abandoned.add(self._number)
-        if read.gathering.state(self._number) is State.ASKED:
+        if read.assembly.state(self._number) is KeyState.REQUESTED:
             read.ended(self._number, b"")
 
     @property
--- a/pebblepass/daemon/multi_get/interfaces.py
+++ b/pebblepass/daemon/multi_get/interfaces.py
@@ -7,7 +7,7 @@
 
 from pebblepass.daemon.attempts import ReplySlot
 from pebblepass.daemon.upstream import ValueSource
-from pebblepass.multi_get import Batches, Gathering, HedgeBudget, Shares
+from pebblepass.multi_get import Batches, FairAllocator, HedgeBudget, ReplyAssembly
 
 if TYPE_CHECKING:
     from pebblepass.daemon.router import RouterHost
@@ -28,7 +28,7 @@
 class KeyOwner(Protocol):
     """The command of a key, as the key's reply and attempt use it."""
 
-    gathering: Gathering
+    assembly: ReplyAssembly
     paused: bool
     abandoned: set[int]
 
@@ -64,7 +64,7 @@
         """The running router."""
 
     @property
-    def shares(self) -> Shares:
+    def allocator(self) -> FairAllocator:
         """The allocation of keys in flight and of memory among commands."""
 
     @property
--- a/pebblepass/daemon/multi_get/reading.py
+++ b/pebblepass/daemon/multi_get/reading.py
@@ -10,7 +10,7 @@
 from pebblepass.daemon.multi_get.entries import KeyAttempt
 from pebblepass.daemon.multi_get.interfaces import CommandRegistry, StreamedReply
 from pebblepass.daemon.upstream import Exchange
-from pebblepass.multi_get import Gathering, MultiGetCommand, State
+from pebblepass.multi_get import KeyState, MultiGetCommand, ReplyAssembly
 from pebblepass.wire.resp import with_timeout
 
 if TYPE_CHECKING:
@@ -27,7 +27,7 @@
     ) -> None:
         self.reads, self.command, self.reply = reads, command, reply
         self.name = command.id.decode()
-        self.gathering = Gathering(command.keys, reads.shares.bounds.value)
+        self.assembly = ReplyAssembly(command.keys, reads.allocator.bounds.value_bytes)
         self.deadline = now - reply.unread_ns + command.timeout_ms * NS_PER_MS
         self.paused = False
         self.over = False
@@ -60,13 +60,13 @@
 
     def open_ids(self) -> list[str]:
         """Return the request ids of the keys that have not ended."""
-        return [self.request_id(number) for number in self.gathering.unended()]
+        return [self.request_id(number) for number in self.assembly.incomplete_numbers()]
 
     def pause(self) -> None:
         """Stop requesting and reading: the client's connection takes no more."""
         self.paused = True
         if self.reply.is_next:  # else it waits for the answers ahead, and its keys may be asked meanwhile
-            self.reads.shares.stalls(self.gathering, self.reads.host.now())
+            self.reads.allocator.client_stalled(self.assembly, self.reads.host.now())
         for reply in self.streams.values():
             if reply.source is not None:
                 reply.source.pause()
@@ -74,16 +74,16 @@
     def resume(self) -> None:
         """Continue: the client reads again, or the answers ahead on its connection are written."""
         self.paused = False
-        self.reads.shares.reads(self.gathering)
+        self.reads.allocator.client_resumed(self.assembly)
         for number, reply in self.streams.items():
-            if reply.source is not None and self.gathering.passes(number):
+            if reply.source is not None and self.assembly.is_streaming(number):
                 reply.source.resume()
         self.reads.schedule(self)
 
     def ended(self, number: int, entry: bytes) -> None:
         """Record a key's final answer."""
         if not self.over:
-            self.gathering.end(number, entry)
+            self.assembly.complete(number, entry)
             self.reads.schedule(self)
 
     def open_key(self, request_id: str) -> None:
@@ -100,16 +100,16 @@
         self.streams.pop(number, None)
         if self.over:
             return
-        self.gathering.stream_ended(number)
+        self.assembly.complete_stream(number)
         self.reads.schedule(self)
 
     def stream_broke(self, number: int) -> None:
         """Handle a truncated value: fail the key if none of it is written yet, else cut the client off."""
         self.streams.pop(number, None)
-        if self.over or self.gathering.state(number) is State.ENDED:
+        if self.over or self.assembly.state(number) is KeyState.COMPLETED:
             return
-        if not self.gathering.passes(number):
-            self.gathering.stream_broke(number, b"-ERR failed\r\n")
+        if not self.assembly.is_streaming(number):
+            self.assembly.fail_stream(number, b"-ERR failed\r\n")
             self.reads.schedule(self)
             return
         self.reads.close(self, "cut off")
@@ -117,18 +117,18 @@
 
     def write(self) -> None:
         """Write the entries that are due; finish the answer after the last one."""
-        gathering, reply = self.gathering, self.reply
+        assembly, reply = self.assembly, self.reply
         while not self.paused and not self.over:
-            due = gathering.due()
+            due = assembly.take_writable()
             if due:
                 reply.write(b"".join(due))
-            number = gathering.turn()
+            number = assembly.start_next_stream()
             if number is None:
                 break
             stream = self.streams.get(number)
             if stream is not None:
                 stream.write_buffered()
-        if gathering.written and not self.over:
+        if assembly.is_written and not self.over:
             self.reads.forget(self)
             reply.send(b"")
 
@@ -136,8 +136,8 @@
         """End the unanswered keys at the deadline, and cancel what is not sent yet."""
         if self.over:
             return
-        reads, gathering = self.reads, self.gathering
-        for number in gathering.time_up():
+        reads, assembly = self.reads, self.assembly
+        for number in assembly.expire():
             reads.end_unanswered(self, number, "time")
         reads.drop(self)
         reads.schedule(self)
--- a/pebblepass/daemon/multi_get/reads.py
+++ b/pebblepass/daemon/multi_get/reads.py
@@ -1,4 +1,4 @@
-"""All commands under way in one router: their admission, the turns in which keys are asked, and their end."""
+"""All multi-get commands in progress in one router: admission, turns in which keys are requested, and end."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from pebblepass.daemon.upstream import Pool
 from pebblepass.decisions import BatchArrived, Effect, Outcome, SendBatch
 from pebblepass.multi_get import (
+    AllocationBounds,
     BatchBounds,
     Batches,
-    Gathering,
+    FairAllocator,
     HedgeBudget,
     QueuedKey,
-    ShareBounds,
-    Shares,
+    ReplyAssembly,
     parse_many,
 )
 from pebblepass.wire.resp import LARGE, Command
@@ -57,14 +57,14 @@
     ) -> None:
         """`memory`: the router's, in bytes."""
         self.loop, self.host, self._pool = loop, host, pool
-        held = min(section.held_kib << 10, int(memory * MAX_MEMORY_FRACTION))
-        self.shares = Shares(
-            ShareBounds(
-                keys=section.keys_in_flight,
-                keys_of_one=section.keys_of_one,
-                held=held,
-                held_of_one=max(held // 2, LARGE),
-                value=LARGE,
+        reply_memory = min(section.held_kib << 10, int(memory * MAX_MEMORY_FRACTION))
+        self.allocator = FairAllocator(
+            AllocationBounds(
+                keys_in_flight=section.keys_in_flight,
+                keys_in_flight_per_command=section.keys_of_one,
+                memory=reply_memory,
+                memory_per_command=max(reply_memory // 2, LARGE),
+                value_bytes=LARGE,
                 chunk=section.chunk,
                 commands=section.commands,
             )
@@ -85,11 +85,11 @@
         self._safe = {cls.name for cls in settings.classes if cls.effect is Effect.IDEMPOTENT}
         self._reads: dict[str, MultiGet] = {}
         self._changed: dict[MultiGet, None] = {}
-        self._read_by_gathering: dict[Gathering, MultiGet] = {}
+        self._read_by_assembly: dict[ReplyAssembly, MultiGet] = {}
         self.unopened = 0
         """The number of keys that the decision module knows and that have no open request yet."""
         self._scheduled = False
-        self._consecutive_deals = 0  # turns in a row in which keys were requested
+        self._consecutive_allocations = 0  # turns in a row in which keys were requested
         self._retry: asyncio.TimerHandle | None = None
 
     # Clients
@@ -115,7 +115,7 @@
         elif read.name in self._reads or host.knows_key_of(read.name):
             # Two requests under one id would share attempts, and one would get the other's answer.
             self._reject(read, b"-ERR duplicate id\r\n", failed="duplicate id")
-        elif not self.shares.join(read.gathering):
+        elif not self.allocator.add(read.assembly):
             self._reject(read, b"-BUSY\r\n", refused="commands of many keys")
         else:
             self._accept(read)
@@ -128,20 +128,20 @@
         read.over = True
         read.timer.cancel()
         self._answer(read.reply, line)
-        for number, key in enumerate(read.gathering.keys):
+        for number, key in enumerate(read.assembly.keys):
             self.host.record_rejection(read.command.read(number, key), refused, failed)
 
     def _accept(self, read: MultiGet) -> None:
         host, command, now = self.host, read.command, self.host.now()
-        self._reads[read.name] = self._read_by_gathering[read.gathering] = read
+        self._reads[read.name] = self._read_by_assembly[read.assembly] = read
         if host.ledger is not None:
             cls, tenant = command.fields["c"], command.fields.get("t")
-            for number, key in enumerate(read.gathering.keys):
+            for number, key in enumerate(read.assembly.keys):
                 size = command.key_size(key)
                 host.ledger.take(read.request_id(number), cls, tenant, now, read.deadline, size, PATH)
         read.reply.request = read
         read.reply.free_command()
-        read.reply.start(read.gathering.head, read)
+        read.reply.start(read.assembly.head, read)
         self.schedule(read)
 
     def owns(self, request_id: str) -> bool:
@@ -162,7 +162,7 @@
         if read.over:
             return
         read.over = True
-        for number in list(read.gathering.unended()):
+        for number in list(read.assembly.incomplete_numbers()):
             self.end_unanswered(read, number, failed)
         self.drop(read)
         self.forget(read)
@@ -193,9 +193,9 @@
         read.over = True
         read.timer.cancel()
         self._reads.pop(read.name, None)
-        self._read_by_gathering.pop(read.gathering, None)
+        self._read_by_assembly.pop(read.assembly, None)
         self._changed.pop(read, None)
-        self.shares.leave(read.gathering)
+        self.allocator.remove(read.assembly)
         self.schedule()
 
     # Turns
@@ -213,35 +213,35 @@
         changed, self._changed = self._changed, {}
         for read in changed:
             read.write()
-        dealt = self.shares.deal(self.host.free_capacity)
-        self._consecutive_deals = self._consecutive_deals + 1 if dealt is not None else 0
-        if dealt is not None:
-            gathering, numbers = dealt
-            self._request_keys(self._read_by_gathering[gathering], numbers)
+        allocation = self.allocator.allocate(self.host.free_capacity)
+        self._consecutive_allocations = self._consecutive_allocations + 1 if allocation is not None else 0
+        if allocation is not None:
+            assembly, numbers = allocation
+            self._request_keys(self._read_by_assembly[assembly], numbers)
             # One chunk a turn: single requests are served in between.
             self.schedule()
-        elif self.shares.starved() and self._retry is None:
+        elif self.allocator.is_starved() and self._retry is None:
             # No key is in flight whose end would schedule a turn: single requests occupy all the capacity.
             self._retry = self.loop.call_later(STARVED_RETRY_S, self._retry_starved)
         # Batches wait to fill up: a short one costs its server and this router as much as a full one.
-        self._send_batches(full_only=self._consecutive_deals % TURNS_BEFORE_SHORT_BATCHES != 0)
+        self._send_batches(full_only=self._consecutive_allocations % TURNS_BEFORE_SHORT_BATCHES != 0)
 
     def _retry_starved(self) -> None:
         self._retry = None
-        stalled = self.shares.to_shed(self.host.now())
+        stalled = self.allocator.command_to_shed(self.host.now())
         if stalled is not None:
-            log.warning("a client takes nothing of its answer, and others wait for the memory")
-            self._read_by_gathering[stalled].reply.abort()
+            log.warning("closing a client that reads nothing of its reply: others wait for the memory")
+            self._read_by_assembly[stalled].reply.abort()
         self.schedule()
 
     def _request_keys(self, read: MultiGet, numbers: list[int]) -> None:
         if read.over:
             return
-        fields, keys, name = read.command.fields, read.gathering.keys, read.name
-        asked = [KeyAttempt(read, number, f"{name}.{number}") for number in numbers]
-        names = [key.request_id for key in asked]
-        read.unopened.update(zip(names, asked, strict=True))
-        self.unopened += len(asked)
+        fields, keys, name = read.command.fields, read.assembly.keys, read.name
+        chunk = [KeyAttempt(read, number, f"{name}.{number}") for number in numbers]
+        names = [key.request_id for key in chunk]
+        read.unopened.update(zip(names, chunk, strict=True))
+        self.unopened += len(chunk)
         texts = [keys[number].decode() for number in numbers]
         tenant = fields.get("t")
         self.host.handle_event(BatchArrived(names, texts, fields["c"], read.deadline, tenant, name))
@@ -260,7 +260,7 @@
         number = key.number
         del read.unopened[key.request_id]
         self.unopened -= 1
-        command = read.command.read(number, read.gathering.keys[number])
+        command = read.command.read(number, read.assembly.keys[number])
         request = OpenRequest(key.request_id, command, KeyReply(read, number), read.deadline, of_command=True)
         self.host.add_request(request)
         if key.server:
@@ -272,7 +272,7 @@
     def send_batch(self, action: SendBatch) -> None:
         """Queue keys for the server that the decision module has chosen for them."""
         read, server = self._reads[action.command], action.server
-        words, unopened, timeout = read.gathering.keys, read.unopened, action.timeout
+        words, unopened, timeout = read.assembly.keys, read.unopened, action.timeout
         queued: list[QueuedKey[KeyAttempt]] = []
         for request_id in action.requests:
             key = unopened[request_id]
--- a/pebblepass/multi_get/__init__.py
+++ b/pebblepass/multi_get/__init__.py
@@ -8,20 +8,20 @@
 from pebblepass.multi_get.batch import Batch, BatchBounds, QueuedKey
 from pebblepass.multi_get.batches import Batches
 from pebblepass.multi_get.command import MultiGetCommand, parse_many
-from pebblepass.multi_get.fair_allocator import ShareBounds, Shares
+from pebblepass.multi_get.fair_allocator import AllocationBounds, FairAllocator
 from pebblepass.multi_get.hedging import HedgeBudget
-from pebblepass.multi_get.reply_assembly import Gathering, State
+from pebblepass.multi_get.reply_assembly import KeyState, ReplyAssembly
 
 __all__ = [
+    "AllocationBounds",
     "Batch",
     "BatchBounds",
     "Batches",
-    "Gathering",
+    "FairAllocator",
     "HedgeBudget",
+    "KeyState",
     "MultiGetCommand",
     "QueuedKey",
-    "ShareBounds",
-    "Shares",
-    "State",
+    "ReplyAssembly",
     "parse_many",
 ]
--- a/pebblepass/multi_get/fair_allocator.py
+++ b/pebblepass/multi_get/fair_allocator.py
@@ -1,110 +1,138 @@
-"""Who may ask for how many keys now: commands share the router's keys in flight and its memory fairly."""
+"""Fair allocation of keys in flight and of reply memory among the multi-get commands of a router.
+
+A command's client is reading or stalled:
+
+| state   | event             | next    | effect                                                          |
+| ------- | ----------------- | ------- | --------------------------------------------------------------- |
+| reading | `client_stalled`  | stalled | no more keys are allocated to the command                       |
+| stalled | `client_stalled`  | stalled | none: the time since which it has stalled stays                 |
+| stalled | `client_resumed`  | reading | keys are allocated to the command again                         |
+| stalled | `command_to_shed` | stalled | proposed after `stall_timeout`, if others lack the memory       |
+| either  | `remove`          | removed | its keys in flight and its memory are free for others           |
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
-from pebblepass.multi_get.reply_assembly import Gathering
+from pebblepass.multi_get.reply_assembly import ReplyAssembly
 
 
 @dataclass(frozen=True, slots=True)
-class ShareBounds:
-    """The bounds of what all commands of a router have in flight together, and one alone."""
-
-    keys: int = 512
-    """Keys owed an answer, over all commands."""
-    keys_of_one: int = 128
-    held: int = 16 << 20
-    """Bytes set aside or taken up, over all commands."""
-    held_of_one: int = 8 << 20
-    value: int = 64 << 10
-    """Bytes set aside for a key that is asked."""
+class AllocationBounds:
+    """Upper bounds over all commands of a router, and for one."""
+
+    keys_in_flight: int = 512
+    """Keys in flight, over all commands."""
+    keys_in_flight_per_command: int = 128
+    memory: int = 16 << 20
+    """Bytes reserved and buffered, over all commands."""
+    memory_per_command: int = 8 << 20
+    """Bytes reserved and buffered by one command."""
+    value_bytes: int = 64 << 10
+    """Bytes reserved for a key in flight."""
     chunk: int = 16
-    """Keys that are asked before single requests have their turn again."""
+    """Keys requested at a time, before single requests are served again."""
     commands: int = 256
-    """Commands under way; further ones are refused."""
-    patience: int = 1_000_000_000
-    """Nanoseconds that a client may take nothing while others lack the memory that it holds."""
+    """Commands in progress; further ones are rejected."""
+    stall_timeout: int = 1_000_000_000
+    """Nanoseconds that a client may read nothing while others lack the memory of its reply."""
+
+
+class Allocation(NamedTuple):
+    """The keys that one command may request now."""
 
+    command: ReplyAssembly
+    numbers: list[int]
 
-class Shares:
-    """The commands under way. The one with the fewest keys in flight is dealt to first (max-min fairness)."""
 
-    def __init__(self, bounds: ShareBounds) -> None:
+class FairAllocator:
+    """The commands in progress. The one with the fewest keys in flight is served first (max-min fairness)."""
+
+    def __init__(self, bounds: AllocationBounds) -> None:
         self.bounds = bounds
-        self._gatherings: dict[Gathering, int | None] = {}  # since when its client takes nothing
+        self._stalled_since: dict[ReplyAssembly, int | None] = {}  # None: the client reads
 
     def __len__(self) -> int:
-        return len(self._gatherings)
+        """Return the number of commands in progress."""
+        return len(self._stalled_since)
 
     @property
-    def asked(self) -> int:
-        """Keys in flight."""
-        return sum(gathering.asked for gathering in self._gatherings)
+    def keys_in_flight(self) -> int:
+        """Keys in flight, over all commands."""
+        return sum(command.in_flight for command in self._stalled_since)
 
     @property
-    def held(self) -> int:
-        """Bytes set aside or taken up."""
-        return sum(gathering.held for gathering in self._gatherings)
+    def memory(self) -> int:
+        """Bytes reserved and buffered, over all commands."""
+        return sum(command.memory for command in self._stalled_since)
 
-    def join(self, gathering: Gathering) -> bool:
-        """Take a command in; False: there are too many."""
-        if len(self._gatherings) >= self.bounds.commands:
+    def add(self, command: ReplyAssembly) -> bool:
+        """Add a command; return False if there are too many."""
+        if len(self._stalled_since) >= self.bounds.commands:
             return False
-        self._gatherings[gathering] = None
+        self._stalled_since[command] = None
         return True
 
-    def leave(self, gathering: Gathering) -> None:
-        """A command is over."""
-        self._gatherings.pop(gathering, None)
+    def remove(self, command: ReplyAssembly) -> None:
+        """Remove a command that is over."""
+        self._stalled_since.pop(command, None)
 
-    def stalls(self, gathering: Gathering, now: int) -> None:
-        """A client takes nothing of its answer: that stops its own gathering alone."""
-        if self._gatherings.get(gathering, 0) is None:
-            self._gatherings[gathering] = now
+    def client_stalled(self, command: ReplyAssembly, now: int) -> None:
+        """Record that a command's client does not read its reply: that stops only its own command."""
+        if self._stalled_since.get(command, 0) is None:
+            self._stalled_since[command] = now
 
-    def reads(self, gathering: Gathering) -> None:
-        """A client takes its answer again."""
-        if gathering in self._gatherings:
-            self._gatherings[gathering] = None
+    def client_resumed(self, command: ReplyAssembly) -> None:
+        """Record that a command's client reads its reply again."""
+        if command in self._stalled_since:
+            self._stalled_since[command] = None
 
-    def starved(self) -> bool:
-        """Whether commands wait for keys and none is in flight whose end would deal to them."""
-        return not self.asked and any(g.waiting for g, since in self._gatherings.items() if since is None)
+    def is_starved(self) -> bool:
+        """Return whether keys are pending while none is in flight whose completion would free capacity."""
+        return not self.keys_in_flight and any(
+            command.pending for command, since in self._stalled_since.items() if since is None
+        )
 
-    def to_shed(self, now: int) -> Gathering | None:
-        """A stalled client's command that holds the memory which others wait for, if there is one."""
+    def command_to_shed(self, now: int) -> ReplyAssembly | None:
+        """Return the command with the most memory of those stalled for too long, if others lack memory."""
         bounds = self.bounds
-        if self.held + bounds.value <= bounds.held or not self.starved():
+        if self.memory + bounds.value_bytes <= bounds.memory or not self.is_starved():
             return None
         stalled = [
-            gathering
-            for gathering, since in self._gatherings.items()
-            if since is not None and now - since >= bounds.patience
+            command
+            for command, since in self._stalled_since.items()
+            if since is not None and now - since >= bounds.stall_timeout
         ]
-        return max(stalled, key=lambda gathering: gathering.held, default=None)
+        return max(stalled, key=lambda command: command.memory, default=None)
 
-    def deal(self, room: int) -> tuple[Gathering, list[int]] | None:
-        """Deal a chunk of keys, `room` at most, to one command; None: nobody may ask for more now."""
+    def allocate(self, capacity: int) -> Allocation | None:
+        """Allocate a chunk of at most `capacity` keys to one command; None: no command may request more."""
         bounds = self.bounds
-        ready = [g for g, since in self._gatherings.items() if since is None and g.waiting]
+        ready = [
+            command for command, since in self._stalled_since.items() if since is None and command.pending
+        ]
         if not ready:
             return None
-        left = min(
-            bounds.chunk, room, bounds.keys - self.asked, (bounds.held - self.held) // max(bounds.value, 1)
+        limit = min(
+            bounds.chunk,
+            capacity,
+            bounds.keys_in_flight - self.keys_in_flight,
+            (bounds.memory - self.memory) // max(bounds.value_bytes, 1),
         )
-        if left <= 0:
+        if limit <= 0:
             return None
-        # The whole chunk to one command: keys that come together can travel together.
-        for gathering in sorted(ready, key=lambda gathering: gathering.asked):
-            count = min(left, self._room_of(gathering))
+        # The whole chunk goes to one command: keys that are requested together can be batched.
+        for command in sorted(ready, key=lambda command: command.in_flight):
+            count = min(limit, self._limit_of(command))
             if count > 0:
-                return gathering, gathering.ask(count)
+                return Allocation(command, command.take_pending(count))
         return None
 
-    def _room_of(self, gathering: Gathering) -> int:
+    def _limit_of(self, command: ReplyAssembly) -> int:
         bounds = self.bounds
-        in_memory = (bounds.held_of_one - gathering.held) // max(bounds.value, 1)
-        # One key may always be asked: what is held then is what its own client has to take.
-        fits = max(in_memory, 0 if gathering.asked else 1)
-        return min(gathering.waiting, bounds.keys_of_one - gathering.asked, fits)
+        within_memory = (bounds.memory_per_command - command.memory) // max(bounds.value_bytes, 1)
+        # One key may always be in flight: the command's other memory is released as its own client reads.
+        within_memory = max(within_memory, 0 if command.in_flight else 1)
+        return min(command.pending, bounds.keys_in_flight_per_command - command.in_flight, within_memory)
--- a/pebblepass/multi_get/reply_assembly.py
+++ b/pebblepass/multi_get/reply_assembly.py
@@ -1,7 +1,19 @@
-"""One command's answer under way: which keys are to be asked, what each came to, and what may be written.
-
-Keys are numbered by their first place in the list; a key that stands there more than once has one number.
-Every number ends exactly once: with a value, or with a mark. Entries leave in the order asked.
+"""Ordered assembly of one command's reply: which keys are requested next, and what may be written.
+
+Keys are numbered by their first position in the command; a key at several positions has one number. Each
+number completes exactly once, with a value or an error entry. Entries are written in the command's order.
+
+A number's states:
+
+| state         | event             | guard                 | next      | effect                           |
+| ------------- | ----------------- | --------------------- | --------- | -------------------------------- |
+| PENDING       | `take_pending`    |                       | REQUESTED | memory for a value is reserved   |
+| REQUESTED     | `complete`        |                       | COMPLETED | its entry replaces that memory   |
+| REQUESTED     | `start_stream`    |                       | STREAMING | that memory is released          |
+| STREAMING     | `complete_stream` | it is being written   | COMPLETED | the next position may be written |
+| STREAMING     | `fail_stream`     | not being written yet | COMPLETED | its error entry is buffered      |
+| not COMPLETED | `expire`          | not being written yet | COMPLETED | a LATE entry is buffered         |
+| COMPLETED     | `take_writable`   | all ahead are written | COMPLETED | freed after its last position    |
 """
 
 from __future__ import annotations
@@ -10,185 +22,187 @@
 from enum import Enum
 
 LATE = b"-LATE its time ran out\r\n"
-TOO_LONG = b"-BUSY\r\n"  # a second place of a value too long to keep: asking for it again is harmless
+STREAMED_ONCE = b"-BUSY\r\n"  # at later positions of a streamed value; the client may safely retry the key
 
 
-class State(Enum):
-    """Where one number stands."""
+class KeyState(Enum):
+    """The state of one number."""
 
-    WAITING = "waiting"
-    """Not asked yet."""
-    ASKED = "asked"
-    """Owed an answer by the decision module."""
+    PENDING = "pending"
+    """Not requested yet."""
+    REQUESTED = "requested"
+    """In flight: the decision module owes its outcome."""
     STREAMING = "streaming"
-    """Its value is too long to be gathered, and passes by in its turn."""
-    ENDED = "ended"
+    """Its value is too long to be buffered, and is streamed when its position is reached."""
+    COMPLETED = "completed"
 
 
-class Gathering:
-    """The state of one command. Events in, bytes out; bytes are counted from before they are asked for."""
+class ReplyAssembly:
+    """The state of one command's reply. Memory is counted in bytes, from before a key is requested."""
 
     def __init__(self, keys: Sequence[bytes], value_bytes: int) -> None:
-        """`value_bytes` are set aside for each number that is asked, until what it came to is known."""
+        """`value_bytes`: memory reserved for each number in flight, until its outcome is known."""
         self._numbers: dict[bytes, int] = {}
-        self._places: list[int] = []  # the number at each place of the list
+        self._number_at: list[int] = []  # by position in the command
         for key in keys:
             number = self._numbers.setdefault(key, len(self._numbers))
-            self._places.append(number)
+            self._number_at.append(number)
         self.keys = list(self._numbers)
-        """Each key once, by number."""
+        """The distinct keys, by number."""
         self._value_bytes = value_bytes
-        self._states = [State.WAITING] * len(self.keys)
+        self._states = [KeyState.PENDING] * len(self.keys)
         self._entries: list[bytes | None] = [None] * len(self.keys)
-        self._uses = [0] * len(self.keys)  # places that are still to be written
-        for number in self._places:
-            self._uses[number] += 1
-        self._next = 0  # the first number not yet asked
-        self._at = 0  # the place to be written next
-        self._passing: int | None = None  # the number whose long value is being written
-        self.asked = 0
-        """Numbers that are owed an answer now."""
-        self.open = len(self.keys)
-        """Numbers that have not ended."""
-        self.held = 0
-        """Bytes set aside for what is asked, and taken up by what has come and is not written."""
-
-    def state(self, number: int) -> State:
-        """Where a number stands."""
+        self._unwritten_uses = [0] * len(self.keys)  # positions of each number that are not written yet
+        for number in self._number_at:
+            self._unwritten_uses[number] += 1
+        self._next_pending = 0  # the first number not requested yet
+        self._position = 0  # to be written next
+        self._streaming: int | None = None  # the number whose streamed value is being written
+        self.in_flight = 0
+        """The number of keys that are requested and have no outcome yet."""
+        self.incomplete = len(self.keys)
+        """The number of keys that are not completed."""
+        self.memory = 0
+        """Bytes reserved for keys in flight, and buffered for what is not written yet."""
+
+    def state(self, number: int) -> KeyState:
+        """Return the state of a number."""
         return self._states[number]
 
     @property
     def head(self) -> bytes:
-        """What the answer begins with."""
-        return b"*%d\r\n" % len(self._places)
+        """The RESP2 array header that the reply begins with."""
+        return b"*%d\r\n" % len(self._number_at)
 
     @property
-    def waiting(self) -> int:
-        """Numbers that are not asked yet."""
-        return len(self.keys) - self._next
+    def pending(self) -> int:
+        """The number of keys that are not requested yet."""
+        return len(self.keys) - self._next_pending
 
     @property
-    def written(self) -> bool:
-        """Whether the whole answer has been written."""
-        return self._at == len(self._places) and self._passing is None
-
-    def unended(self) -> Iterator[int]:
-        """The numbers that have not ended, in order."""
-        return (number for number, state in enumerate(self._states) if state is not State.ENDED)
-
-    def ask(self, most: int) -> list[int]:
-        """Take so many numbers to be asked now, the first in the list first, and set their bytes aside."""
-        first = self._next
-        self._next = min(first + most, len(self.keys))
-        numbers = list(range(first, self._next))
+    def is_written(self) -> bool:
+        """Whether the complete reply has been written."""
+        return self._position == len(self._number_at) and self._streaming is None
+
+    def incomplete_numbers(self) -> Iterator[int]:
+        """Iterate over the numbers that are not completed, in order."""
+        return (number for number, state in enumerate(self._states) if state is not KeyState.COMPLETED)
+
+    def take_pending(self, count: int) -> list[int]:
+        """Return up to `count` numbers to be requested now, in order, and reserve their memory."""
+        first = self._next_pending
+        self._next_pending = min(first + count, len(self.keys))
+        numbers = list(range(first, self._next_pending))
         for number in numbers:
-            self._states[number] = State.ASKED
-        self.asked += len(numbers)
-        self.held += len(numbers) * self._value_bytes
+            self._states[number] = KeyState.REQUESTED
+        self.in_flight += len(numbers)
+        self.memory += len(numbers) * self._value_bytes
         return numbers
 
-    def end(self, number: int, entry: bytes) -> None:
-        """A number has ended; `entry` is what stands in the answer for it, as RESP2."""
-        assert self._states[number] is State.ASKED
-        self._leave_asked(number)
-        self._states[number] = State.ENDED
-        self._entries[number] = entry
-        self.open -= 1
-        self.held += len(entry)
+    def complete(self, number: int, entry: bytes) -> None:
+        """Complete a number in flight; `entry` stands for it in the reply, in RESP2."""
+        assert self._states[number] is KeyState.REQUESTED
+        self._release_reserved(number)
+        self._buffer_entry(number, entry)
 
-    def end_all(self, numbers: Sequence[int], entries: Sequence[bytes]) -> None:
-        """`end` for many, each with its entry."""
-        states, kept, held, asked, ended = self._states, self._entries, 0, State.ASKED, State.ENDED
+    def complete_all(self, numbers: Sequence[int], entries: Sequence[bytes]) -> None:
+        """Complete several numbers in flight, each with its entry."""
+        states, buffered, size = self._states, self._entries, 0
+        requested, completed = KeyState.REQUESTED, KeyState.COMPLETED
         for number, entry in zip(numbers, entries, strict=True):
-            assert states[number] is asked
-            states[number] = ended
-            kept[number] = entry
-            held += len(entry)
-        self.asked -= len(numbers)
-        self.open -= len(numbers)
-        self.held += held - len(numbers) * self._value_bytes
-
-    def stream(self, number: int) -> None:
-        """A number's value is too long: it is announced, and passes by when its turn comes."""
-        assert self._states[number] is State.ASKED
-        self._leave_asked(number)
-        self._states[number] = State.STREAMING
-
-    def hold(self, size: int) -> None:
-        """Bytes of a long value came before its turn; below 0: they are written."""
-        self.held += size
-
-    def stream_broke(self, number: int, entry: bytes) -> None:
-        """A long value ended before its turn came: nothing of it is written, and `entry` stands for it."""
-        assert self._states[number] is State.STREAMING
-        assert self._passing != number
-        self._states[number] = State.ENDED
-        self._entries[number] = entry
-        self.open -= 1
-        self.held += len(entry)
-
-    def stream_ended(self, number: int) -> None:
-        """The last byte of a long value is written."""
-        assert self._states[number] is State.STREAMING
-        self._states[number] = State.ENDED
-        self.open -= 1
-        self._uses[number] -= 1
-        # Guards the memory: a value too long to be gathered can't be kept for its other places.
-        self._entries[number] = TOO_LONG
-        self.held += len(TOO_LONG) if self._uses[number] else 0
-        self._at += 1
-        self._passing = None
-
-    def time_up(self) -> list[int]:
-        """The command's time is up: what has not ended is late, but for a long value that is being written.
-
-        Returns the numbers that are late.
+            assert states[number] is requested
+            states[number] = completed
+            buffered[number] = entry
+            size += len(entry)
+        self.in_flight -= len(numbers)
+        self.incomplete -= len(numbers)
+        self.memory += size - len(numbers) * self._value_bytes
+
+    def start_stream(self, number: int) -> None:
+        """Record that a number's value is too long to be buffered, and will be streamed at its position."""
+        assert self._states[number] is KeyState.REQUESTED
+        self._release_reserved(number)
+        self._states[number] = KeyState.STREAMING
+
+    def stream_bytes_buffered(self, size: int) -> None:
+        """Count bytes of a streamed value that are buffered before its position is reached."""
+        self.memory += size
+
+    def stream_bytes_released(self, size: int) -> None:
+        """Uncount bytes of a streamed value that are written or discarded."""
+        self.memory -= size
+
+    def fail_stream(self, number: int, entry: bytes) -> None:
+        """Complete a streamed value that ended before any of it was written: `entry` stands for it."""
+        assert self._states[number] is KeyState.STREAMING
+        assert self._streaming != number
+        self._buffer_entry(number, entry)
+
+    def complete_stream(self, number: int) -> None:
+        """Complete a streamed value whose last byte is written."""
+        assert self._states[number] is KeyState.STREAMING
+        self._states[number] = KeyState.COMPLETED
+        self.incomplete -= 1
+        self._unwritten_uses[number] -= 1
+        # Bounds the memory: a value too long to be buffered can't be kept for its later positions.
+        self._entries[number] = STREAMED_ONCE
+        self.memory += len(STREAMED_ONCE) if self._unwritten_uses[number] else 0
+        self._position += 1
+        self._streaming = None
+
+    def expire(self) -> list[int]:
+        """Complete all incomplete numbers as late at the deadline, but for a streamed value being written.
+
+        Return the late numbers.
         """
-        late = [number for number in self.unended() if number != self._passing]
-        self._next = len(self.keys)
+        late = [number for number in self.incomplete_numbers() if number != self._streaming]
+        self._next_pending = len(self.keys)
         for number in late:
-            if self._states[number] is State.ASKED:
-                self._leave_asked(number)
-            self._states[number] = State.ENDED
-            self._entries[number] = LATE
-            self.open -= 1
-            self.held += len(LATE)
+            if self._states[number] is KeyState.REQUESTED:
+                self._release_reserved(number)
+            self._buffer_entry(number, LATE)
         return late
 
-    def _leave_asked(self, number: int) -> None:
-        self.asked -= 1
-        self.held -= self._value_bytes
+    def _release_reserved(self, number: int) -> None:
+        self.in_flight -= 1
+        self.memory -= self._value_bytes
 
-    def passes(self, number: int) -> bool:
-        """Whether it is this long value's turn to be written."""
-        return self._passing == number
-
-    def turn(self) -> int | None:
-        """The number whose long value is to be written next, if it is its turn and nothing else's."""
-        if self._passing is None and self._at < len(self._places):
-            number = self._places[self._at]
-            if self._states[number] is State.STREAMING:
-                self._passing = number
+    def _buffer_entry(self, number: int, entry: bytes) -> None:
+        self._states[number] = KeyState.COMPLETED
+        self._entries[number] = entry
+        self.incomplete -= 1
+        self.memory += len(entry)
+
+    def is_streaming(self, number: int) -> bool:
+        """Return whether this number's streamed value is being written."""
+        return self._streaming == number
+
+    def start_next_stream(self) -> int | None:
+        """Return the number of a streamed value that is to be written next, if its position is reached."""
+        if self._streaming is None and self._position < len(self._number_at):
+            number = self._number_at[self._position]
+            if self._states[number] is KeyState.STREAMING:
+                self._streaming = number
                 return number
         return None
 
-    def due(self) -> list[bytes]:
-        """What may be written now, in order: each entry once for each of its places."""
-        out: list[bytes] = []
-        places, states, entries, uses, ended = (
-            self._places, self._states, self._entries, self._uses, State.ENDED,
+    def take_writable(self) -> list[bytes]:
+        """Return the entries that may be written now, in order: each once for each of its positions."""
+        writable: list[bytes] = []
+        number_at, states, entries, unwritten_uses, completed = (
+            self._number_at, self._states, self._entries, self._unwritten_uses, KeyState.COMPLETED,
         )  # fmt: skip
-        at, freed = self._at, 0
-        while self._passing is None and at < len(places):
-            number = places[at]
+        position, released = self._position, 0
+        while self._streaming is None and position < len(number_at):
+            number = number_at[position]
             entry = entries[number]
-            if entry is None or states[number] is not ended:
+            if entry is None or states[number] is not completed:
                 break
-            out.append(entry)
-            at += 1
-            uses[number] -= 1
-            if not uses[number]:
+            writable.append(entry)
+            position += 1
+            unwritten_uses[number] -= 1
+            if not unwritten_uses[number]:
                 entries[number] = None
-                freed += len(entry)
-        self._at, self.held = at, self.held - freed
-        return out
+                released += len(entry)
+        self._position, self.memory = position, self.memory - released
+        return writable
--- a/tests/multi_get/site.py
+++ b/tests/multi_get/site.py
@@ -250,7 +250,7 @@
         assert self.host.free_capacity == self.ceilings["maxOpen"]
         many = self.host.many
         assert isinstance(many, MultiGetReads)
-        assert (len(many.shares), many.shares.held) == (0, 0)
+        assert (len(many.allocator), many.allocator.memory) == (0, 0)
         tries = Counter(request for _, _, _, request in self.attempts)
         assert max(tries.values(), default=0) <= self.ceilings["mostTries"] or self.as_one
         for at, _, _, request in self.attempts:
--- a/tests/multi_get/test_fair_allocator.py
+++ b/tests/multi_get/test_fair_allocator.py
@@ -1,27 +1,27 @@
-"""Who is dealt how many keys, and when a stalled client is shed."""
+"""Which command is allocated how many keys, and when a stalled client is shed."""
 
 from __future__ import annotations
 
 import pytest
 from hypothesis import given, strategies
 
-from pebblepass.multi_get import Gathering, HedgeBudget, ShareBounds, Shares
+from pebblepass.multi_get import AllocationBounds, FairAllocator, HedgeBudget, ReplyAssembly
 
 S = 1_000_000_000
 
 
-def gathering(count: int, value: int = 100) -> Gathering:
-    return Gathering([b"k%d" % number for number in range(count)], value)
+def assembly(count: int, value: int = 100) -> ReplyAssembly:
+    return ReplyAssembly([b"k%d" % number for number in range(count)], value)
 
 
-def test_the_command_with_the_fewest_keys_in_flight_is_dealt_to_first() -> None:
-    shares = Shares(ShareBounds(chunk=8, value=100))
-    long, short = gathering(1000), gathering(3)
-    shares.join(long)
-    shares.deal(1000)
-    shares.join(short)
-    assert shares.deal(1000) == (short, [0, 1, 2])
-    assert shares.deal(1000) == (long, list(range(8, 16)))
+def test_the_command_with_the_fewest_keys_in_flight_is_allocated_keys_first() -> None:
+    allocator = FairAllocator(AllocationBounds(chunk=8, value_bytes=100))
+    long, short = assembly(1000), assembly(3)
+    allocator.add(long)
+    allocator.allocate(1000)
+    allocator.add(short)
+    assert allocator.allocate(1000) == (short, [0, 1, 2])
+    assert allocator.allocate(1000) == (long, list(range(8, 16)))
 
 
 @given(
@@ -32,58 +32,65 @@
     strategies.integers(0, 50),
 )
 def test_no_bound_is_ever_passed_and_none_in_need_is_passed_over(
-    counts: list[int], keys: int, of_one: int, held: int, room: int
+    counts: list[int], keys: int, of_one: int, memory: int, capacity: int
 ) -> None:
-    bounds = ShareBounds(keys=keys, keys_of_one=of_one, held=held, held_of_one=held // 2, value=100, chunk=7)
-    shares = Shares(bounds)
-    all_of_them = [gathering(count) for count in counts]
+    bounds = AllocationBounds(
+        keys_in_flight=keys,
+        keys_in_flight_per_command=of_one,
+        memory=memory,
+        memory_per_command=memory // 2,
+        value_bytes=100,
+        chunk=7,
+    )
+    allocator = FairAllocator(bounds)
+    all_of_them = [assembly(count) for count in counts]
     for each in all_of_them:
-        shares.join(each)
-    while dealt := shares.deal(room):
-        poorest = min(each.asked for each in all_of_them if each.waiting or each is dealt[0])
-        assert 0 < len(dealt[1]) <= min(bounds.chunk, room)
-        assert dealt[0].asked - len(dealt[1]) <= poorest
-        assert shares.asked <= keys
-        assert shares.held <= held
-        assert all(each.asked <= of_one for each in all_of_them)
-        assert all(each.held <= held // 2 or each.asked == 1 for each in all_of_them)
-    spread = [each.asked for each in all_of_them if each.waiting]
-    assert not spread or max(spread) - min(spread) <= bounds.chunk or room == 0
-
-
-def test_a_client_that_takes_nothing_is_dealt_nothing_and_others_go_on() -> None:
-    shares = Shares(ShareBounds(value=100))
-    stalled, reading = gathering(5), gathering(5)
-    shares.join(stalled)
-    shares.join(reading)
-    shares.stalls(stalled, 0)
-    assert shares.deal(100) == (reading, [0, 1, 2, 3, 4])
-    assert shares.deal(100) is None
-    shares.reads(stalled)
-    assert shares.deal(100) == (stalled, [0, 1, 2, 3, 4])
+        allocator.add(each)
+    while allocation := allocator.allocate(capacity):
+        poorest = min(each.in_flight for each in all_of_them if each.pending or each is allocation.command)
+        assert 0 < len(allocation.numbers) <= min(bounds.chunk, capacity)
+        assert allocation.command.in_flight - len(allocation.numbers) <= poorest
+        assert allocator.keys_in_flight <= keys
+        assert allocator.memory <= memory
+        assert all(each.in_flight <= of_one for each in all_of_them)
+        assert all(each.memory <= memory // 2 or each.in_flight == 1 for each in all_of_them)
+    spread = [each.in_flight for each in all_of_them if each.pending]
+    assert not spread or max(spread) - min(spread) <= bounds.chunk or capacity == 0
+
+
+def test_a_client_that_takes_nothing_is_allocated_no_keys_and_others_go_on() -> None:
+    allocator = FairAllocator(AllocationBounds(value_bytes=100))
+    stalled, reading = assembly(5), assembly(5)
+    allocator.add(stalled)
+    allocator.add(reading)
+    allocator.client_stalled(stalled, 0)
+    assert allocator.allocate(100) == (reading, [0, 1, 2, 3, 4])
+    assert allocator.allocate(100) is None
+    allocator.client_resumed(stalled)
+    assert allocator.allocate(100) == (stalled, [0, 1, 2, 3, 4])
 
 
 def test_a_stalled_client_is_shed_only_after_its_time_and_where_others_lack_its_memory() -> None:
-    shares = Shares(ShareBounds(held=250, held_of_one=250, value=100))
-    stalled, other = gathering(2), gathering(2)
-    shares.join(stalled)
-    shares.deal(100)
+    allocator = FairAllocator(AllocationBounds(memory=250, memory_per_command=250, value_bytes=100))
+    stalled, other = assembly(2), assembly(2)
+    allocator.add(stalled)
+    allocator.allocate(100)
     for number in (0, 1):
-        stalled.end(number, b"x" * 100)  # held until its client takes it
-    shares.stalls(stalled, now=S)
-    assert shares.to_shed(10 * S) is None  # nobody is in need
-    shares.join(other)
-    assert shares.deal(100) is None
-    assert shares.to_shed(S + S // 2) is None
-    assert shares.to_shed(2 * S) is stalled
-    shares.leave(stalled)
-    assert shares.deal(100) == (other, [0, 1])
-
-
-def test_commands_past_the_bound_do_not_join() -> None:
-    shares = Shares(ShareBounds(commands=1))
-    assert shares.join(gathering(1))
-    assert not shares.join(gathering(1))
+        stalled.complete(number, b"x" * 100)  # buffered until its client reads it
+    allocator.client_stalled(stalled, now=S)
+    assert allocator.command_to_shed(10 * S) is None  # no other command lacks memory
+    allocator.add(other)
+    assert allocator.allocate(100) is None
+    assert allocator.command_to_shed(S + S // 2) is None
+    assert allocator.command_to_shed(2 * S) is stalled
+    allocator.remove(stalled)
+    assert allocator.allocate(100) == (other, [0, 1])
+
+
+def test_commands_past_the_bound_are_not_added() -> None:
+    allocator = FairAllocator(AllocationBounds(commands=1))
+    assert allocator.add(assembly(1))
+    assert not allocator.add(assembly(1))
 
 
 @pytest.mark.parametrize("share", [0.0, 0.02, 0.5])
--- a/tests/multi_get/test_reads.py
+++ b/tests/multi_get/test_reads.py
@@ -244,7 +244,7 @@
         many = site.host.many
         assert isinstance(many, MultiGetReads)
         while not answer.done():
-            most.append(many.shares.held)
+            most.append(many.allocator.memory)
             await asyncio.sleep(0.0005)
         got = await answer
         assert marks(got) == values(keys)
