--- a/pebblepass/daemon/daemon.py
+++ b/pebblepass/daemon/daemon.py
@@ -107,9 +107,9 @@
     def read_many(self, section: ManyKeysSection) -> None:
         """Take reads of many keys; before the start."""
         # Loaded only where the operator wants it.
-        from pebblepass.daemon.multi_get.reads import MultiGetReads
+        from pebblepass.daemon.multi_get.registry import MultiGetRegistry
 
-        many = MultiGetReads(self._loop, self.host, self._pool, section, self._config.memory)
+        many = MultiGetRegistry(self._loop, self.host, self._pool, section, self._config.memory)
         self.host.many = self.clients.many = many
 
     def join_fleet(self, section: FleetSection) -> FleetPart:
--- a/pebblepass/daemon/multi_get/batch_exchange.py
+++ b/pebblepass/daemon/multi_get/batch_exchange.py
@@ -4,9 +4,9 @@
 
 from pebblepass.daemon import deadline_propagation
 from pebblepass.daemon.lag import after_poll
-from pebblepass.daemon.multi_get.entries import KeyAttempt
 from pebblepass.daemon.multi_get.interfaces import BatchRegistry
-from pebblepass.daemon.multi_get.reading import MultiGet
+from pebblepass.daemon.multi_get.key_attempt import KeyAttempt
+from pebblepass.daemon.multi_get.multi_get import MultiGet
 from pebblepass.daemon.upstream import Answer, Exchange, ValueSource
 from pebblepass.decisions import BatchServed, HedgeDue, Outcome
 from pebblepass.multi_get import Batch
@@ -19,23 +19,25 @@
 
 
 class BatchExchange(Exchange):
-    """A batch of one command's keys on one connection, sent as one multi-get or as pipelined single reads."""
+    """A batch of one command's keys on one connection, sent as one multi-get or as pipelined reads."""
 
     carries_several = True
 
-    def __init__(self, reads: BatchRegistry[MultiGet, KeyAttempt], batch: Batch[KeyAttempt]) -> None:
-        self._reads, self._batch = reads, batch
-        read = batch.owner
-        assert isinstance(read, MultiGet)
-        self._read: MultiGet = read
-        read.exchanges[self] = None
-        host, now = reads.host, reads.host.now()
+    def __init__(self, registry: BatchRegistry[MultiGet, KeyAttempt], batch: Batch[KeyAttempt]) -> None:
+        self._registry, self._batch = registry, batch
+        multi_get = batch.owner
+        assert isinstance(multi_get, MultiGet)
+        self._multi_get: MultiGet = multi_get
+        multi_get.exchanges[self] = None
+        host, now = registry.host, registry.host.now()
         self.begun_at, self.lag_before = now, host.lag.total(now)
         self._unreported: list[str] = []  # answered keys not yet reported to the decision module
         self._latency = 0  # of one key, for that report
         for key in batch.items:
             key.begin(self)
-        due = min(now + batch.attempt_timeout, read.deadline) if batch.attempt_timeout else read.deadline
+        due = multi_get.deadline
+        if batch.attempt_timeout:
+            due = min(now + batch.attempt_timeout, due)
         self._timeout_at = due
         hedged = batch.hedge_delay and host.settings.may_hedge
         self._hedge_at = now + batch.hedge_delay if hedged else due
@@ -45,15 +47,15 @@
     def _arm_timer(self) -> None:
         """Start one timer for the earliest of the three checks: most batches end before any of them."""
         at = min(self._timeout_at, self._hedge_at, self._stall_check_at)
-        self._timer = self._reads.host.call_at(at, self._timer_fired)
+        self._timer = self._registry.host.call_at(at, self._timer_fired)
 
     def _timer_fired(self) -> None:
-        after_poll(self._reads.loop, self._check_timers)
+        after_poll(self._registry.loop, self._check_timers)
 
     def _check_timers(self) -> None:
         if self.is_over:
             return
-        now = self._reads.host.now()
+        now = self._registry.host.now()
         if now >= self._timeout_at:
             self._timeout_at = NEVER
             self._timed_out()
@@ -69,33 +71,34 @@
 
         A command whose client has disconnected is closed.
         """
-        if self._reads.host.now() >= deadline_propagation.latest_start(self._read.deadline):
+        if self._registry.host.now() >= deadline_propagation.latest_start(self._multi_get.deadline):
             return False
-        if self._read.reply.client_is_alive():
+        if self._multi_get.reply.client_is_alive():
             return True
-        self._reads.client_disconnected(self._read)
+        self._registry.client_disconnected(self._multi_get)
         return False
 
     def request_bytes(self, address: Address) -> bytes:
         """Encode the reads of the keys that still need an answer; drop the others from the batch."""
-        batch, now = self._batch, self._reads.host.now()
+        batch, now = self._batch, self._registry.host.now()
         batch.last_answer_at = now  # waiting for a connection does not count against the server
-        wanted = []
+        to_send = []
         for key in batch.items:
             if key.is_wanted:
-                wanted.append(key)
+                to_send.append(key)
             else:
                 key.ensure_attempt().end(Outcome.SUPERSEDED)
-        batch.items = wanted
-        if not wanted:
-            self._reads.loop.call_soon(self.give_up, Outcome.SUPERSEDED)
+        batch.items = to_send
+        if not to_send:
+            self._registry.loop.call_soon(self.give_up, Outcome.SUPERSEDED)
             return b""
-        info, keys = self._read.info_to_send(now), self._read.assembly.keys
+        info, keys = self._multi_get.info_to_send(now), self._multi_get.assembly.keys
         if not batch.as_command:
-            return b"".join([read_command(keys[key.number], key.request_id.encode(), info) for key in wanted])
+            reads = [read_command(keys[key.number], key.request_id.encode(), info) for key in to_send]
+            return b"".join(reads)
         self.array_expected = True
-        name = wanted[0].request_id.encode()
-        return command(MANY, b"%d" % len(wanted), *[keys[key.number] for key in wanted], name, info)
+        name = to_send[0].request_id.encode()
+        return command(MANY, b"%d" % len(to_send), *[keys[key.number] for key in to_send], name, info)
 
     def array_started(self, count: int) -> None:
         """Check the array's length against the batch; a negative count is an error line for all keys."""
@@ -113,7 +116,7 @@
         if self._single_error:
             return False
         attempt = batch.items[batch.answered].ensure_attempt()
-        attempt.record_latency(self._reads.batches.record_answer(batch, batch.sent_at + attempt.elapsed()))
+        attempt.record_latency(self._registry.batches.record_answer(batch, batch.sent_at + attempt.elapsed()))
         if batch.answered + 1 == len(batch.items):
             return False
         batch.answered += 1
@@ -134,32 +137,32 @@
 
     def record_hits(self, entries: list[bytes]) -> bool:
         """Record hits for the next keys; return whether the batch is complete."""
-        reads, read, batch = self._reads, self._read, self._batch
-        first, host, now = batch.answered, reads.host, reads.host.now()
-        taken = batch.items[first : first + len(entries)]
-        held_up = host.lag.total(now) - self.lag_before
-        batch.answered += len(taken) - 1
-        self._latency = reads.batches.record_answer(batch, max(now - held_up, batch.sent_at + 1))
+        registry, multi_get, batch = self._registry, self._multi_get, self._batch
+        first, host, now = batch.answered, registry.host, registry.host.now()
+        served = batch.items[first : first + len(entries)]
+        loop_lag = host.lag.total(now) - self.lag_before
+        batch.answered += len(served) - 1
+        self._latency = registry.batches.record_answer(batch, max(now - loop_lag, batch.sent_at + 1))
         batch.answered += 1
-        for key in taken:
-            del read.unopened[key.request_id]
-        reads.unopened -= len(taken)
-        names = [key.request_id for key in taken]
+        for key in served:
+            del multi_get.unopened[key.request_id]
+        registry.unopened -= len(served)
+        names = [key.request_id for key in served]
         self._unreported += names
         if host.ledger is not None:
-            fields = read.command.fields
+            fields = multi_get.command.fields
             for name, entry in zip(names, entries, strict=True):
                 host.ledger.serve(name, now, bulk_length(entry))
                 host.ledger.attempt(fields["c"], fields.get("t"), Outcome.OK.value, False)
-        host.counters.answered[read.command.fields["c"]] += len(names)
-        read.assembly.complete_all([key.number for key in taken], entries)
-        reads.schedule(read)
+        host.counters.answered[multi_get.command.fields["c"]] += len(names)
+        multi_get.assembly.complete_all([key.number for key in served], entries)
+        registry.schedule(multi_get)
         return batch.answered == len(batch.items)
 
     def _report_served(self) -> None:
         served, self._unreported = self._unreported, []
         if served:
-            self._reads.host.handle_event(BatchServed(served, self._batch.server, self._latency))
+            self._registry.host.handle_event(BatchServed(served, self._batch.server, self._latency))
 
     def value_started(self, length: int, source: ValueSource) -> None:
         """Announce that the next key's value is long and will be streamed."""
@@ -174,14 +177,14 @@
 
         Return the time of the next check.
         """
-        reads, batch, assembly = self._reads, self._batch, self._read.assembly
-        left = batch.unanswered
-        if assembly.pending or assembly.incomplete > len(left):
+        registry, batch, assembly = self._registry, self._batch, self._multi_get.assembly
+        unanswered = batch.unanswered
+        if assembly.pending or assembly.incomplete > len(unanswered):
             return now + max(batch.hedge_delay, SLOW_RECHECK_NS)
-        for key in left:
-            if key.is_wanted and reads.hedges.spend():
+        for key in unanswered:
+            if key.is_wanted and registry.hedges.spend():
                 key.ensure_attempt()
-                reads.host.handle_event(HedgeDue(key.request_id))
+                registry.host.handle_event(HedgeDue(key.request_id))
         return NEVER
 
     def _unblock_if_stalled(self, now: int) -> int:
@@ -190,10 +193,10 @@
         They can then be retried elsewhere; the first key is still waited for. Return the time of the next
         check.
         """
-        reads, batch, connection = self._reads, self._batch, self.connection
+        registry, batch, connection = self._registry, self._batch, self.connection
         if connection is None:
             return now + batch.stall_timeout
-        retry_after, behind = reads.batches.check_stall(batch, now)
+        retry_after, behind = registry.batches.check_stall(batch, now)
         if retry_after:
             return now + retry_after
         self._report_served()  # the batch may stay open for long
@@ -208,12 +211,12 @@
             attempt.end(Outcome.TIMEOUT)
         if batch.as_command and not batch.answered:
             self.give_up(Outcome.TIMEOUT)  # the key that blocks can't be identified
-        reads.schedule()
+        registry.schedule()
         return NEVER
 
     def _quarantine(self, keys: list[KeyAttempt]) -> None:
         """Send these keys alone from now on: one of them blocks the others."""
-        self._read.quarantined.update(key.number for key in keys)
+        self._multi_get.quarantined.update(key.number for key in keys)
 
     def _timed_out(self) -> None:
         # A streamed value may continue; the keys behind it have left the batch by then.
@@ -224,23 +227,21 @@
         """End the unanswered keys with the connection's outcome; `answer` belongs to the first of them."""
         batch = self._batch
         self._timer.cancel()
-        self._read.exchanges.pop(self, None)
-        left = batch.unanswered
-        self._reads.batches.finish(batch)
+        self._multi_get.exchanges.pop(self, None)
+        unanswered = batch.unanswered
+        self._registry.batches.finish(batch)
         self._report_served()
-        if left:
+        if unanswered:
             if outcome not in (Outcome.OK, Outcome.MISS, Outcome.CONNECT_FAILED):
-                self._quarantine(left if batch.as_command else left[:1])
-            head = left[0].ensure_attempt()
-            head.connection_failed, head.connection_rejected = (
-                self.connection_failed,
-                self.connection_rejected,
-            )
+                self._quarantine(unanswered if batch.as_command else unanswered[:1])
+            head = unanswered[0].ensure_attempt()
+            head.connection_failed = self.connection_failed
+            head.connection_rejected = self.connection_rejected
             head.end(outcome, answer)
-            for key in left[1:]:
+            for key in unanswered[1:]:
                 attempt = key.ensure_attempt()
                 # Count one failure once in the server's health statistics: on the first key.
                 if outcome is not Outcome.CONNECT_FAILED:
                     attempt.exclude_from_health()
                 attempt.end(outcome)
-        self._reads.schedule()
+        self._registry.schedule()
--- a/pebblepass/daemon/multi_get/interfaces.py
+++ b/pebblepass/daemon/multi_get/interfaces.py
@@ -29,7 +29,7 @@
     """The command of a key, as the key's reply and attempt use it."""
 
     assembly: ReplyAssembly
-    paused: bool
+    is_paused: bool
     abandoned: set[int]
 
     @property
@@ -39,16 +39,16 @@
     def open_key(self, request_id: str) -> None:
         """Open the request of a key that has none, and create the attempt for what was already sent."""
 
-    def ended(self, number: int, entry: bytes) -> None:
+    def complete_key(self, number: int, entry: bytes) -> None:
         """Record a key's final answer."""
 
-    def stream_started(self, number: int, reply: StreamedReply) -> None:
+    def start_stream(self, number: int, reply: StreamedReply) -> None:
         """Record that a key's value is streamed."""
 
-    def stream_ended(self, number: int) -> None:
+    def complete_stream(self, number: int) -> None:
         """Record that a streamed value is complete."""
 
-    def stream_broke(self, number: int) -> None:
+    def fail_stream(self, number: int) -> None:
         """Handle a streamed value that ended too early."""
 
 
@@ -71,22 +71,22 @@
     def deadline_margin(self) -> int:
         """Nanoseconds before a command's deadline at which its reply is completed."""
 
-    def open_key(self, read: CommandT_contra, request_id: str) -> None:
+    def open_key(self, multi_get: CommandT_contra, request_id: str) -> None:
         """Open the request of one of the command's keys, which has none."""
 
-    def schedule(self, read: CommandT_contra | None = None) -> None:
-        """Run a turn soon; `read`: it has changed."""
+    def schedule(self, multi_get: CommandT_contra | None = None) -> None:
+        """Run a turn soon; `multi_get`: it has changed."""
 
-    def close(self, read: CommandT_contra, failed: str) -> None:
+    def close(self, multi_get: CommandT_contra, failed: str) -> None:
         """End a command early: its unfinished keys fail for this reason, or are abandoned if it is empty."""
 
-    def end_unanswered(self, read: CommandT_contra, number: int, failed: str) -> None:
+    def end_unanswered(self, multi_get: CommandT_contra, number: int, failed: str) -> None:
         """End one key without an answer from the decision module."""
 
-    def drop(self, read: CommandT_contra) -> None:
+    def cancel_unsent(self, multi_get: CommandT_contra) -> None:
         """Cancel a command's queued keys, and withdraw its batches."""
 
-    def forget(self, read: CommandT_contra) -> None:
+    def remove(self, multi_get: CommandT_contra) -> None:
         """Remove a command that is finished."""
 
 
@@ -104,5 +104,5 @@
     def hedges(self) -> HedgeBudget:
         """The budget for hedged requests."""
 
-    def client_disconnected(self, read: CommandT_contra) -> None:
+    def client_disconnected(self, multi_get: CommandT_contra) -> None:
         """Close a command whose client has disconnected."""
--- /dev/null
+++ b/pebblepass/daemon/multi_get/key_attempt.py
@@ -0,0 +1,48 @@
+"""One key of a command in flight."""
+
+from __future__ import annotations
+
+from pebblepass.daemon.attempts import Attempt, Carrier
+from pebblepass.daemon.multi_get.interfaces import KeyOwner
+
+
+class KeyAttempt:
+    """The minimal state of a key that is in flight: enough for a hit. Any other outcome creates an attempt.
+
+    Nearly all keys are hits of healthy servers; a request and an attempt for each would cost as much as a
+    single read.
+    """
+
+    __slots__ = ("attempt", "batch", "multi_get", "number", "request_id", "server")
+
+    def __init__(
+        self, multi_get: KeyOwner, number: int, request_id: str, attempt: Attempt | None = None
+    ) -> None:
+        self.multi_get, self.number, self.request_id = multi_get, number, request_id
+        self.server = ""
+        """The server that the decision module has chosen; empty: not chosen yet, or the request is open."""
+        self.batch: Carrier | None = None
+        self.attempt = attempt
+
+    @property
+    def is_wanted(self) -> bool:
+        """Whether its request has no final answer yet."""
+        return self.attempt is None or self.attempt.is_wanted
+
+    @property
+    def streaming(self) -> bool:
+        """Whether a long value of it is under way."""
+        return self.attempt is not None and self.attempt.streaming
+
+    def begin(self, batch: Carrier) -> None:
+        """Mark the key as sent in this batch."""
+        self.batch = batch
+        if self.attempt is not None:
+            self.attempt.begin(batch)
+
+    def ensure_attempt(self) -> Attempt:
+        """Return the key's attempt, and create it, with its request, if there is none yet."""
+        if self.attempt is None:
+            self.multi_get.open_key(self.request_id)
+        assert self.attempt is not None
+        return self.attempt
--- /dev/null
+++ b/pebblepass/daemon/multi_get/key_reply.py
@@ -0,0 +1,87 @@
+"""The reply of one key of a command."""
+
+from __future__ import annotations
+
+from pebblepass.daemon.multi_get.interfaces import KeyOwner
+from pebblepass.daemon.upstream import ValueSource
+from pebblepass.multi_get import KeyState
+
+
+class KeyReply:
+    """The reply of one key: it has a client reply's interface, and passes the answer to the command."""
+
+    __slots__ = ("_buffered", "_multi_get", "_number", "request", "source")
+
+    def __init__(self, multi_get: KeyOwner, number: int) -> None:
+        self._multi_get, self._number = multi_get, number
+        self._buffered: list[bytes] = []
+        self.source: ValueSource | None = None
+        self.request: object = None
+
+    @property
+    def unread_ns(self) -> int:
+        """Always 0: the command's deadline already accounts for the time unread."""
+        return 0
+
+    def send(self, data: bytes) -> None:
+        """Deliver the key's entry, or the last chunk of its streamed value."""
+        multi_get = self._multi_get
+        if self.source is None:
+            multi_get.complete_key(self._number, data)
+        else:
+            self.write(data)
+            self.source = None
+            multi_get.complete_stream(self._number)
+
+    def start(self, data: bytes, source: ValueSource) -> None:
+        """Begin a streamed value, paused until the entries ahead of it are written."""
+        self.source = source
+        self._multi_get.assembly.start_stream(self._number)
+        self.write(data)
+        source.pause()
+        self._multi_get.start_stream(self._number, self)
+
+    def write(self, data: bytes) -> bool:
+        """Write a chunk of a streamed value, or buffer it; return whether it was written."""
+        if self._multi_get.assembly.is_streaming(self._number):
+            self._multi_get.reply.write(data)
+            return True
+        self._buffered.append(data)
+        self._multi_get.assembly.stream_bytes_buffered(len(data))
+        return False
+
+    def write_buffered(self) -> None:
+        """Write what is buffered: the entries ahead have been written."""
+        for data in self._buffered:
+            self._multi_get.assembly.stream_bytes_released(len(data))
+            self._multi_get.reply.write(data)
+        self._buffered.clear()
+        if self.source is not None and not self._multi_get.is_paused:
+            self.source.resume()
+
+    def abort(self) -> None:
+        """Discard what is buffered: the streamed value ended too early."""
+        self.source = None
+        for data in self._buffered:
+            self._multi_get.assembly.stream_bytes_released(len(data))
+        self._buffered.clear()
+        self._multi_get.fail_stream(self._number)
+
+    def free_command(self) -> None:
+        """Do nothing: no memory is reserved for a single key's words."""
+
+    def client_is_alive(self) -> bool:
+        """Return whether the command's client is still connected."""
+        return self._multi_get.reply.client_is_alive()
+
+    def detach_request(self) -> None:
+        """End this key: the client has disconnected. Its connection closes the rest of the command."""
+        multi_get = self._multi_get
+        multi_get.abandoned.add(self._number)
+        if multi_get.assembly.state(self._number) is KeyState.REQUESTED:
+            multi_get.complete_key(self._number, b"")
+
+    @property
+    def null(self) -> bytes:
+        """The null in its client's protocol."""
+        return self._multi_get.reply.null
--- /dev/null
+++ b/pebblepass/daemon/multi_get/limits.py
@@ -0,0 +1,41 @@
+"""The bounds of multi-get, from the operator's `[many_keys]` section and the router's settings.
+
+Only here are the section's keys that bound memory and batches read under the operator's names for them.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from pebblepass.multi_get import AllocationBounds, BatchBounds
+from pebblepass.wire.resp import LARGE
+
+if TYPE_CHECKING:
+    from pebblepass.decisions import Settings
+    from pebblepass.operator_config import ManyKeysSection
+
+MAX_MEMORY_FRACTION = 0.25  # of the router's memory, for replies that are being assembled
+
+
+def allocation_bounds(section: ManyKeysSection, memory: int) -> AllocationBounds:
+    """Return the bounds over all commands and for one; `memory`: the router's, in bytes."""
+    reply_memory = min(section.held_kib << 10, int(memory * MAX_MEMORY_FRACTION))
+    return AllocationBounds(
+        keys_in_flight=section.keys_in_flight,
+        keys_in_flight_per_command=section.keys_of_one,
+        memory=reply_memory,
+        memory_per_command=max(reply_memory // 2, LARGE),
+        value_bytes=LARGE,
+        chunk=section.chunk,
+        commands=section.commands,
+    )
+
+
+def batch_bounds(section: ManyKeysSection, settings: Settings) -> BatchBounds:
+    """Return the bounds of a batch, and of the batches that one server has in flight."""
+    return BatchBounds(
+        keys=section.part_keys,
+        pipelined=min(section.part_keys, settings.requests_per_connection),
+        key_bytes=section.part_kib << 10,
+        in_flight_per_server=section.parts_of_server,
+    )
--- a/pebblepass/daemon/multi_get/reading.py
+++ b/pebblepass/daemon/multi_get/multi_get.py
@@ -1,4 +1,4 @@
-"""One command under way: its answer, its deadline and its keys."""
+"""One multi-get command in progress: its reply, its deadline and its keys."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from pebblepass.daemon import deadline_propagation
 from pebblepass.daemon.clients import Reply
 from pebblepass.daemon.lag import after_poll
-from pebblepass.daemon.multi_get.entries import KeyAttempt
 from pebblepass.daemon.multi_get.interfaces import CommandRegistry, StreamedReply
+from pebblepass.daemon.multi_get.key_attempt import KeyAttempt
 from pebblepass.daemon.upstream import Exchange
 from pebblepass.multi_get import KeyState, MultiGetCommand, ReplyAssembly
 from pebblepass.wire.resp import with_timeout
@@ -23,14 +23,14 @@
     """One command in progress: the source of its reply, paused while the client does not read."""
 
     def __init__(
-        self, reads: CommandRegistry[MultiGet], command: MultiGetCommand, reply: Reply, now: int
+        self, registry: CommandRegistry[MultiGet], command: MultiGetCommand, reply: Reply, now: int
     ) -> None:
-        self.reads, self.command, self.reply = reads, command, reply
+        self.registry, self.command, self.reply = registry, command, reply
         self.name = command.id.decode()
-        self.assembly = ReplyAssembly(command.keys, reads.allocator.bounds.value_bytes)
+        self.assembly = ReplyAssembly(command.keys, registry.allocator.bounds.value_bytes)
         self.deadline = now - reply.unread_ns + command.timeout_ms * NS_PER_MS
-        self.paused = False
-        self.over = False
+        self.is_paused = False
+        self.is_over = False
         """Whether the client has disconnected, or the answer is written."""
         self.streams: dict[int, StreamedReply] = {}
         self.exchanges: dict[Exchange, None] = {}
@@ -41,8 +41,8 @@
         """Numbers of keys that were ended one by one, because the client was found disconnected."""
         self.quarantined: set[int] = set()
         """Numbers of keys that have blocked or failed a batch: they are sent alone from then on."""
-        due = max(self.deadline - reads.deadline_margin, now)
-        self.timer: Deadline = reads.host.call_at(due, lambda: after_poll(reads.loop, self.time_up))
+        due = max(self.deadline - registry.deadline_margin, now)
+        self.timer: Deadline = registry.host.call_at(due, lambda: after_poll(registry.loop, self.expire))
 
     def info_to_send(self, now: int) -> bytes:
         """Return the list of names and values for a batch that is written at this time, in nanoseconds.
@@ -64,61 +64,61 @@
 
     def pause(self) -> None:
         """Stop requesting and reading: the client's connection takes no more."""
-        self.paused = True
-        if self.reply.is_next:  # else it waits for the answers ahead, and its keys may be asked meanwhile
-            self.reads.allocator.client_stalled(self.assembly, self.reads.host.now())
+        self.is_paused = True
+        if self.reply.is_next:  # else it waits for the answers ahead, and its keys may be requested meanwhile
+            self.registry.allocator.client_stalled(self.assembly, self.registry.host.now())
         for reply in self.streams.values():
             if reply.source is not None:
                 reply.source.pause()
 
     def resume(self) -> None:
         """Continue: the client reads again, or the answers ahead on its connection are written."""
-        self.paused = False
-        self.reads.allocator.client_resumed(self.assembly)
+        self.is_paused = False
+        self.registry.allocator.client_resumed(self.assembly)
         for number, reply in self.streams.items():
             if reply.source is not None and self.assembly.is_streaming(number):
                 reply.source.resume()
-        self.reads.schedule(self)
+        self.registry.schedule(self)
 
-    def ended(self, number: int, entry: bytes) -> None:
+    def complete_key(self, number: int, entry: bytes) -> None:
         """Record a key's final answer."""
-        if not self.over:
+        if not self.is_over:
             self.assembly.complete(number, entry)
-            self.reads.schedule(self)
+            self.registry.schedule(self)
 
     def open_key(self, request_id: str) -> None:
         """Open the request of a key that has none, and create the attempt for what was already sent."""
-        self.reads.open_key(self, request_id)
+        self.registry.open_key(self, request_id)
 
-    def stream_started(self, number: int, reply: StreamedReply) -> None:
+    def start_stream(self, number: int, reply: StreamedReply) -> None:
         """Record that a key's value is streamed."""
         self.streams[number] = reply
-        self.reads.schedule(self)
+        self.registry.schedule(self)
 
-    def stream_ended(self, number: int) -> None:
+    def complete_stream(self, number: int) -> None:
         """Record that a streamed value is complete."""
         self.streams.pop(number, None)
-        if self.over:
+        if self.is_over:
             return
         self.assembly.complete_stream(number)
-        self.reads.schedule(self)
+        self.registry.schedule(self)
 
-    def stream_broke(self, number: int) -> None:
+    def fail_stream(self, number: int) -> None:
         """Handle a truncated value: fail the key if none of it is written yet, else cut the client off."""
         self.streams.pop(number, None)
-        if self.over or self.assembly.state(number) is KeyState.COMPLETED:
+        if self.is_over or self.assembly.state(number) is KeyState.COMPLETED:
             return
         if not self.assembly.is_streaming(number):
             self.assembly.fail_stream(number, b"-ERR failed\r\n")
-            self.reads.schedule(self)
+            self.registry.schedule(self)
             return
-        self.reads.close(self, "cut off")
+        self.registry.close(self, "cut off")
         self.reply.abort()
 
-    def write(self) -> None:
+    def write_due(self) -> None:
         """Write the entries that are due; finish the answer after the last one."""
         assembly, reply = self.assembly, self.reply
-        while not self.paused and not self.over:
+        while not self.is_paused and not self.is_over:
             due = assembly.take_writable()
             if due:
                 reply.write(b"".join(due))
@@ -128,16 +128,16 @@
             stream = self.streams.get(number)
             if stream is not None:
                 stream.write_buffered()
-        if assembly.is_written and not self.over:
-            self.reads.forget(self)
+        if assembly.is_written and not self.is_over:
+            self.registry.remove(self)
             reply.send(b"")
 
-    def time_up(self) -> None:
+    def expire(self) -> None:
         """End the unanswered keys at the deadline, and cancel what is not sent yet."""
-        if self.over:
+        if self.is_over:
             return
-        reads, assembly = self.reads, self.assembly
+        registry, assembly = self.registry, self.assembly
         for number in assembly.expire():
-            reads.end_unanswered(self, number, "time")
-        reads.drop(self)
-        reads.schedule(self)
+            registry.end_unanswered(self, number, "time")
+        registry.cancel_unsent(self)
+        registry.schedule(self)
--- a/pebblepass/multi_get/hedging.py
+++ b/pebblepass/multi_get/hedging.py
@@ -1,25 +1,26 @@
-"""When a second copy of a slow key is worth its price."""
+"""The budget for hedged requests."""
 
 from __future__ import annotations
 
-BURST = 8.0  # copies saved up at most
+MAX_SAVED_HEDGES = 8.0  # hedged requests that may be saved up for a burst
 
 
 class HedgeBudget:
-    """A stated share of all attempts may be second copies (Dean and Barroso, The Tail at Scale, 2013)."""
+    """Limits hedged requests to a fraction of all attempts (Dean and Barroso, The Tail at Scale, 2013)."""
 
-    def __init__(self, share: float) -> None:
-        """`share`: of all attempts, from 0 (never) to 1."""
-        self._share = share
+    def __init__(self, fraction: float) -> None:
+        """`fraction`: of all attempts, from 0 (no hedged requests) to 1."""
+        self._fraction = fraction
         self._saved = 0.0
         self.spent = 0
+        """The number of hedged requests so far."""
 
     def attempted(self, count: int) -> None:
-        """So many attempts have been made."""
-        self._saved = min(self._saved + count * self._share, BURST)
+        """Record that so many attempts were made."""
+        self._saved = min(self._saved + count * self._fraction, MAX_SAVED_HEDGES)
 
     def spend(self) -> bool:
-        """Whether one more copy may be sent; it is counted."""
+        """Return whether one more hedged request may be sent, and count it."""
         if self._saved < 1:
             return False
         self._saved -= 1
--- a/tests/multi_get/site.py
+++ b/tests/multi_get/site.py
@@ -14,7 +14,7 @@
 from pebblepass.accounting.ledger import Breach, Ledger
 from pebblepass.daemon.config import read_config
 from pebblepass.daemon.daemon import Daemon
-from pebblepass.daemon.multi_get.reads import MultiGetReads
+from pebblepass.daemon.multi_get.registry import MultiGetRegistry
 from pebblepass.emulators.listening import LOOPBACK, Line, Place, Station
 from pebblepass.emulators.ports import take_port
 from pebblepass.emulators.registry import RegistryAgent
@@ -249,7 +249,7 @@
         assert self.breaches == []
         assert self.host.free_capacity == self.ceilings["maxOpen"]
         many = self.host.many
-        assert isinstance(many, MultiGetReads)
+        assert isinstance(many, MultiGetRegistry)
         assert (len(many.allocator), many.allocator.memory) == (0, 0)
         tries = Counter(request for _, _, _, request in self.attempts)
         assert max(tries.values(), default=0) <= self.ceilings["mostTries"] or self.as_one
--- a/tests/multi_get/test_reads.py
+++ b/tests/multi_get/test_registry.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from pebblepass.daemon.multi_get.reads import MultiGetReads
+from pebblepass.daemon.multi_get.registry import MultiGetRegistry
 from pebblepass.operator_config import ManyKeysSection
 from tests.multi_get.site import LONG, WAY_S, Fate, Site, marks, on_site, values, well
 
@@ -242,7 +242,7 @@
         client.ask_many(keys, d=5000)
         answer = site.loop.create_task(client.answer())
         many = site.host.many
-        assert isinstance(many, MultiGetReads)
+        assert isinstance(many, MultiGetRegistry)
         while not answer.done():
             most.append(many.allocator.memory)
             await asyncio.sleep(0.0005)
@@ -413,7 +413,7 @@
         assert site.loop.time() - begun < 0.4
         assert Counter(key for _, _, key, _ in site.attempts)["pkg/59"] == 2
         many = site.host.many
-        assert isinstance(many, MultiGetReads)
+        assert isinstance(many, MultiGetRegistry)
         assert many.hedges.spent == 1
 
     on_site(test, fate=fate)
@@ -425,7 +425,7 @@
         for number in range(4):
             await client.many([f"warm/{number}/{key}" for key in range(60)], f"w{number}")
         many = site.host.many
-        assert isinstance(many, MultiGetReads)
+        assert isinstance(many, MultiGetRegistry)
         assert many.hedges.spent == 0
 
     on_site(test, fate=well, ceilings={"secondCopies": False})
--- a/tests/simulation/test_deadlines.py
+++ b/tests/simulation/test_deadlines.py
@@ -9,7 +9,7 @@
 
 from pebblepass.daemon import deadline_propagation
 from pebblepass.daemon.attempts import Attempt
-from pebblepass.daemon.multi_get.reading import MultiGet
+from pebblepass.daemon.multi_get.multi_get import MultiGet
 from pebblepass.simulation.page import as_page, deadline_line
 from pebblepass.simulation.plan import Plan, make_plan
 from pebblepass.simulation.referee import Rule
