--- a/pebblepass/multi_get/command.py
+++ b/pebblepass/multi_get/command.py
@@ -8,7 +8,7 @@
 from pebblepass.wire.resp import MANY, MAX_KEYS, Command, check_key, read_fields
 
 MAX_COMMAND_BYTES = 64 << 10  # of all words together
-WORDS_BESIDE_KEYS = 4  # the name, the count, the id, the list of names and values
+FIXED_WORDS = 4  # all but the keys: the name, the count, the id, the list of names and values
 MAX_COUNT_DIGITS = 9
 
 
@@ -35,7 +35,7 @@
 
 def parse_many(words: list[bytes]) -> MultiGetCommand:
     """Parse a multi-get command. Raises ValueError, whose text is the one line that the client is sent."""
-    if len(words) < WORDS_BESIDE_KEYS:
+    if len(words) < FIXED_WORDS:
         raise ValueError(f"wrong number of arguments for {MANY.decode()}")
     count_word, keys, request, info = words[1], words[2:-2], words[-2], words[-1]
     if not count_word.isdigit() or len(count_word) > MAX_COUNT_DIGITS:
--- a/tests/multi_get/test_batches.py
+++ b/tests/multi_get/test_batches.py
@@ -110,6 +110,23 @@
     assert third.items == [8]
 
 
+def test_a_stalled_batch_stays_stalled_whether_its_key_is_answered_or_not() -> None:
+    batches = filled(4)
+    (batch,) = batches.take_due(0, accepts_no_command)
+    stalled_at = batch.stall_timeout
+    assert batches.check_stall(batch, stalled_at) == (0, [1, 2, 3])
+    assert batches.check_stall(batch, stalled_at) == (0, [])
+    assert batch.unanswered == [0]
+    batches.record_answer(batch, stalled_at + MS)
+    assert batch.is_stalled
+    assert batches.check_stall(batch, stalled_at + MS) == (batch.stall_timeout, [])
+    batches.finish(batch)
+    for number in range(8):
+        batches.enqueue("s", "c", number, number)
+    assert batches.take_blocked() == []
+    assert len(batches.take_due(0, accepts_no_command)) == BOUNDS.in_flight_per_server  # counted off once
+
+
 def test_a_command_with_too_many_batches_stalled_at_a_server_sends_nothing_more_there() -> None:
     batches = filled(12)
     stalled = batches.take_due(0, accepts_no_command)
--- a/tests/multi_get/test_fair_allocator.py
+++ b/tests/multi_get/test_fair_allocator.py
@@ -87,6 +87,24 @@
     assert allocator.allocate(100) == (other, [0, 1])
 
 
+def test_the_time_of_a_stall_counts_from_its_first_report_and_anew_after_the_client_resumed() -> None:
+    allocator = FairAllocator(AllocationBounds(memory=100, memory_per_command=100, value_bytes=100))
+    stalled, other = assembly(1), assembly(1)
+    for command in (stalled, other):
+        allocator.add(command)
+    assert allocator.allocate(100) == (stalled, [0])
+    stalled.complete(0, b"x" * 100)
+    allocator.client_stalled(stalled, now=S)
+    allocator.client_stalled(stalled, now=2 * S)
+    assert allocator.command_to_shed(2 * S - 1) is None
+    assert allocator.command_to_shed(2 * S) is stalled
+    allocator.client_resumed(stalled)
+    assert allocator.command_to_shed(2 * S) is None
+    allocator.client_stalled(stalled, now=3 * S)
+    assert allocator.command_to_shed(4 * S - 1) is None
+    assert allocator.command_to_shed(4 * S) is stalled
+
+
 def test_commands_past_the_bound_are_not_added() -> None:
     allocator = FairAllocator(AllocationBounds(commands=1))
     assert allocator.add(assembly(1))
