--- a/pebblepass/daemon/daemon.py
+++ b/pebblepass/daemon/daemon.py
@@ -110,9 +110,9 @@
     def read_many(self, section: MultiGetSection) -> None:
         """Enable multi-gets; call it before `start`."""
         # Imported only if the operator has configured it.
-        from pebblepass.daemon.multi_get.reads import MultiGetReads
+        from pebblepass.daemon.multi_get.registry import MultiGetRegistry
 
-        many = MultiGetReads(self._loop, self.host, self._pool, section, self._config.memory)
+        many = MultiGetRegistry(self._loop, self.host, self._pool, section, self._config.memory)
         self.host.many = self.clients.many = many
 
     def join_fleet(self, section: FleetSection) -> FleetPart:
