--- a/pebblepass/daemon/client_connection.py
+++ b/pebblepass/daemon/client_connection.py
@@ -199,7 +199,7 @@
             return
         if self.refusing or self.server.shutting_down:
             self._closes_when_idle = True
-            reply.send(b"-REPLY_PENDING\r\n")
+            reply.send(b"-BUSY\r\n")
             self.server.host.record_rejection(
                 command, refused="connections" if self.refusing else "router ends"
             )
--- a/pebblepass/simulation/clock.py
+++ b/pebblepass/simulation/clock.py
@@ -27,6 +27,7 @@
 WINDOW = 64 << 10  # bytes under way in one direction; under the kernel's own smallest buffers
 ARRIVAL_MS = 10_000  # of real time, for the kernel to bring what was sent on loopback
 BACKLOG = 4096
+LINGER_0 = b"\x01\x00\x00\x00\x00\x00\x00\x00"
 
 Address = tuple[str, int]
 
@@ -141,8 +142,12 @@
             self.network.forget(self)
             if self.incoming is not None and self.outgoing is not None:
                 linger = self.getsockopt(socket.SOL_SOCKET, socket.SO_LINGER, 8)
-                if self.incoming.bytes or linger == b"\x01\x00\x00\x00\x00\x00\x00\x00":
+                if self.incoming.bytes or linger == LINGER_0:
                     self.outgoing.reset = True
+                if self.incoming.ended and self.outgoing.reader is None:
+                    # An orderly end leaves a port in TIME_WAIT for a minute, and thousands use up the range.
+                    # The other end has closed already and reads no more: a reset loses nothing.
+                    self.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_0)
                 self._end(self.outgoing)
                 self.incoming.reader = self.outgoing.writer = None
                 self.incoming.reset = True  # for who still writes to it
--- a/tests/daemon/test_large_fleet.py
+++ b/tests/daemon/test_large_fleet.py
@@ -2,20 +2,24 @@
 
 from __future__ import annotations
 
+import itertools
 import os
+import subprocess
 import time
 from collections.abc import Iterator
+from concurrent.futures import ThreadPoolExecutor, wait
 from contextlib import contextmanager
 from pathlib import Path
 from typing import Any
 
 from pebblepass.emulators.ports import take_port
 from tests.daemon.test_operations import figures
-from tests.daemon.test_upgrade import site
+from tests.daemon.test_upgrade import Site, site
 from tests.processes import end_by_sigterm
 from tests.sockets import (
     FACTS,
     PATIENCE_S,
+    Client,
     DiscoveryPeer,
     Peer,
     Routed,
@@ -30,6 +34,7 @@
 
 SERVERS = PEERS = 1100
 KEYS = 300
+ACTIVE_CLIENT_INTERVAL_S = 0.2
 READY_S = 10.0  # in which nine in ten restarted routers have to be ready
 LIMIT_MB = 192  # over which the platform kills a router
 PRICED_KB = LIMIT_MB * 1024 // 2  # memory over half of the limit is priced
@@ -125,6 +130,18 @@
         peer.close()
 
 
+def start_beside_active_clients(made: Site, clients: list[Client]) -> tuple[subprocess.Popen[str], int]:
+    """Start a process while the clients go on asking: one that is idle for 2 s is closed, as it should be."""
+    with ThreadPoolExecutor(max_workers=1) as executor:
+        started = executor.submit(made.start)
+        for turn in itertools.count():
+            for number, client in enumerate(clients):
+                assert client.ask(get(f"during{turn}-{number}", f"key-{number}")) == b"v"
+            if wait([started], timeout=ACTIVE_CLIENT_INTERVAL_S).done:
+                break
+        return started.result()
+
+
 def test_an_upgrade_before_1100_servers_goes_on_with_all_of_them(tmp_path: Path) -> None:
     """The successor has the list from the older process: discovery says nothing of use meanwhile."""
     peer = Peer(lambda _, words: hit(b"v"))
@@ -134,7 +151,7 @@
         for number, client in enumerate(clients):
             assert client.ask(get(f"a{number}", f"key-{number}")) == b"v"
         made.discovery.junk = b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"
-        new, ops = made.start()
+        new, ops = start_beside_active_clients(made, clients)
         made.end(old)
         for number, client in enumerate(clients):
             assert client.ask(get(f"b{number}", f"key-{number}")) == b"v"
