--- /dev/null
+++ b/tests/compatibility/test_byte_literals.py
@@ -0,0 +1,60 @@
+"""The bytes that the program writes and recognises: each literal is one that ae9ac8f had."""
+
+from __future__ import annotations
+
+import ast
+from collections import Counter
+from pathlib import Path
+
+import pytest
+
+FROZEN = Path(__file__).parent / "frozen" / "byte-literals.txt"
+PACKAGE = Path(__file__).resolve().parents[2] / "pebblepass"
+
+
+def byte_literals(source: str) -> list[bytes]:
+    """Return the bytes literals of a module, docstrings left out as they are no bytes."""
+    return [
+        node.value
+        for node in ast.walk(ast.parse(source))
+        if isinstance(node, ast.Constant) and isinstance(node.value, bytes)
+    ]
+
+
+def literals_of_package() -> Counter[bytes]:
+    """Count the bytes literals of all modules."""
+    found: Counter[bytes] = Counter()
+    for path in sorted(PACKAGE.rglob("*.py")):
+        found.update(byte_literals(path.read_text()))
+    return found
+
+
+def frozen_literals() -> set[bytes]:
+    """Return the literals of ae9ac8f."""
+    return {ast.literal_eval(line) for line in FROZEN.read_text().splitlines()}
+
+
+def differences(frozen: set[bytes], found: set[bytes]) -> tuple[list[bytes], list[bytes]]:
+    """Return the literals that are gone, and those that are new."""
+    return sorted(frozen - found), sorted(found - frozen)
+
+
+def test_no_literal_is_gone_and_none_is_new() -> None:
+    assert differences(frozen_literals(), set(literals_of_package())) == ([], [])
+
+
+def test_an_overload_reply_is_busy_everywhere() -> None:
+    """A rename of an enum's member once changed one of them."""
+    assert literals_of_package()[b"-BUSY\r\n"] == 5
+
+
+@pytest.mark.parametrize(
+    ("source", "gone", "new"),
+    [
+        ('reply.send(b"-BUSY\\r\\n")', [], []),
+        ('reply.send(b"-REPLY_PENDING\\r\\n")', [b"-BUSY\r\n"], [b"-REPLY_PENDING\r\n"]),
+        ("reply.send(busy)", [b"-BUSY\r\n"], []),
+    ],
+)
+def test_a_changed_literal_is_found(source: str, gone: list[bytes], new: list[bytes]) -> None:
+    assert differences({b"-BUSY\r\n"}, set(byte_literals(source))) == (gone, new)
--- a/tests/daemon/test_clients.py
+++ b/tests/daemon/test_clients.py
@@ -113,6 +113,19 @@
     with_clients(test)
 
 
+def test_a_command_in_shutdown_is_rejected_with_the_protocols_overload_reply() -> None:
+    async def test(stand: Stand) -> None:
+        reader, writer = await stand.connect()
+        writer.write(bulk(b"PING"))
+        assert await reader.readline() == b"+PONG\r\n"
+        stand.server.shutting_down = True
+        writer.write(get("late"))
+        assert await asyncio.wait_for(reader.readline(), PATIENCE_S) == b"-BUSY\r\n"
+        assert await asyncio.wait_for(reader.read(), PATIENCE_S) == b""
+
+    with_clients(test)
+
+
 def test_command_that_comes_in_drops_is_ended_with_an_error_line_in_time() -> None:
     async def test(stand: Stand) -> None:
         loop = asyncio.get_running_loop()
