--- a/pebblepass/consensus/lease_server.py
+++ b/pebblepass/consensus/lease_server.py
@@ -7,7 +7,8 @@
 | released | released at other voters | a quorum of the voters of v | closed, announced |
 | any | another router reports v closed | - | closed |
 
-A voter grants the decided version once it is on its disk and the one before is closed.
+Released is said of this voter, closed of the whole fleet. A voter grants the decided version once it is on
+its disk and the one before is closed.
 """
 
 from __future__ import annotations
@@ -107,6 +108,7 @@
             released = sum(
                 1 for name, disk_id in before.items() if self.has_released(name, disk_id, version - 1)
             )
+            # Version 0 is the state before the fleet forms: nobody holds a lease on it.
             if released >= quorum(before, False) or version == 1:
                 self.close(version - 1)
                 self._announce()
--- a/pebblepass/consensus/leases.py
+++ b/pebblepass/consensus/leases.py
@@ -5,7 +5,7 @@
 quorum of the voters of that version grants nothing more on it and has no valid lease of its own. So no two
 routers ever hold leases on two versions at once, whoever is down, paused or partitioned.
 
-The router counts from when it sent the request, less the drift; the voter from when it received it, plus the
+The router counts from when it sent the request, less the drift; the voter from when it grants it, plus the
 drift: with clocks that diverge by up to `drift` the router's lease always expires first.
 
 | lease of one run, as its voter sees it | event | guard | next |
@@ -43,7 +43,7 @@
 
     @property
     def granter_duration(self) -> int:
-        """For how many nanoseconds a voter keeps to a lease, from when it received the request."""
+        """For how many nanoseconds a voter keeps to a lease, from when it grants it."""
         return int(self.duration * (1 + self.drift))
 
     @property
--- a/pebblepass/consensus/quota_leases.py
+++ b/pebblepass/consensus/quota_leases.py
@@ -10,7 +10,7 @@
 | lease k | another version is decided | - | nothing |
 
 The router compares its clock before each event (`PolicyChanged.leases_until`), and counts from when it sent
-the request, less the drift; the voter from when it received it, plus the drift: so the router's lease always
+the request, less the drift; the voter from when it grants it, plus the drift: so the router's lease always
 expires first.
 """
 
--- a/pebblepass/control/counters.py
+++ b/pebblepass/control/counters.py
@@ -8,7 +8,7 @@
 
 
 class Counters:
-    """Final answers by class, and attempts sent to cache servers, since the start of this process.
+    """Final answers by class, and attempts sent, since the start of this process.
 
     A streamed value is counted as an answer with its last part.
     """
@@ -22,7 +22,10 @@
         self.errored = dict.fromkeys(names, 0)
         """Requests failed, by class."""
         self.sends = 0
-        """Attempts of which the last byte was written, without health checks."""
+        """Attempts whose last byte was written, at cache servers and the origin.
+
+        Health checks and the batches of multi-get commands are not counted.
+        """
 
     def lines(self, current: int, cluster_size: int, cluster_unhealthy: int) -> list[str]:
         """Return the counters in the StatsD form, a line each; the arguments are the present gauges."""
--- a/pebblepass/daemon/__main__.py
+++ b/pebblepass/daemon/__main__.py
@@ -108,7 +108,7 @@
 async def serve(
     config: Config, operator: OperatorFile, figures: AccountingService | None, early: list[int]
 ) -> None:
-    """Run until SIGTERM, and then until all that was taken is answered.
+    """Run until SIGTERM, and then until `Daemon.drain` ends: all is answered, or its time limit has passed.
 
     `early` notes a SIGHUP that has come since the files were read.
     """
--- a/pebblepass/daemon/daemon.py
+++ b/pebblepass/daemon/daemon.py
@@ -31,9 +31,10 @@
 
 READY_S = 1.0  # wait for discovery's first endpoint list, before the cached one is used
 START_SHARE = 0.4  # maximum fraction of its cores that the start has used when it accepts clients
-MOST_SETTLING_S = 0.4
-ACCEPT_S = 0.5
-MIDWAY_S = 0.65
+MOST_SETTLING_S = 0.4  # maximum pause before accepting clients, for a start that has used much CPU
+# The shutdown, see Daemon.drain; seconds from SIGTERM.
+ACCEPT_S = 0.5  # connections are accepted as before
+MIDWAY_S = 0.65  # from then on connections in the middle of a command are closed too
 SERVED_SHARE = 0.5  # fraction of the longest deadline for which requests are still accepted in a shutdown
 ANSWER_SLACK_S = 0.55  # beyond the longest deadline; then every open request is failed
 KILL_SLACK_S = 0.65  # beyond the longest deadline; SIGKILL comes no sooner than 0.7 s
@@ -206,7 +207,19 @@
             await asyncio.sleep(RELOAD_STEP_S)
 
     async def drain(self) -> None:
-        """Shut down gracefully: accept for a moment, then no new connection, and answer what was accepted."""
+        """Shut down gracefully. Without a successor that takes the connections over, after SIGTERM:
+
+        | from (seconds) | what changes |
+        | --- | --- |
+        | 0 | nothing: open requests keep their attempts, retries and fetches to the end |
+        | ACCEPT_S | no new connection but those pending (until MIDWAY_S); idle ones are closed |
+        | MIDWAY_S | connections in the middle of a command are closed too |
+        | MIDWAY_S + SERVED_SHARE of the longest deadline | new commands are rejected |
+        | longest deadline + ANSWER_SLACK_S | open requests fail |
+        | longest deadline + KILL_SLACK_S, or no client left | it returns; `stop` aborts the rest |
+
+        With a successor connections are handed over as they become idle.
+        """
         begun, succession = self._loop.time(), self._succession
         longest = max(cls.deadline for cls in self._config.settings.classes) / NS_PER_S
         if succession is None or not succession.leave():
--- a/pebblepass/daemon/succession.py
+++ b/pebblepass/daemon/succession.py
@@ -117,7 +117,10 @@
         self._routed.clients.finish(even_midway=False)
 
     def connection_counts(self) -> ConnectionCounts:
-        """Return the number of client connections, and the maximum of connections to servers from now on."""
+        """Lower the limit of server connections, offer idle clients once more, and return what remains.
+
+        The second number is the new limit of server connections, not how many are open.
+        """
         pool = self._routed.pool
         if self._routed.clients.on_handover is not None:
             self._routed.clients.hand_over(self._give)  # some had unsent bytes before
--- a/pebblepass/decisions/health.py
+++ b/pebblepass/decisions/health.py
@@ -131,7 +131,21 @@
         self._connect_rejections = min(self._connect_rejections + 1, MAX_CONNECT_DOUBLINGS)
 
     def record_outcome(self, outcome: Outcome, late: bool, now: int) -> None:
-        """Update the health by an attempt's outcome; `late`: after the latency target."""
+        """Update the health by an attempt's outcome; `late`: after the latency target.
+
+        The first row that fits holds:
+
+        | outcome | send probability | full again after |
+        | --- | --- | --- |
+        | connect failed; reset, the second loss in a row | UNREACHABLE_PROBABILITY, unreachable | 60 s |
+        | timeout that is late, or the second loss in a row | MIN_PROBABILITY, held for 4 s | 8 s |
+        | answer or miss, late | times LATE_DECREASE | 2 s |
+        | late, overloaded, or the second loss in a row | times LATE_DECREASE | 8 s |
+        | answer or miss in time | plus SUCCESS_INCREASE; reachable | as before |
+        | error in time, a first loss that is not late | unchanged | as before |
+
+        A late answer leaves a server unreachable: only one in time shows that it serves again.
+        """
         probability, hold = self.send_probability(now), 0
         answered = outcome in (Outcome.OK, Outcome.MISS)
         lost = outcome in (Outcome.TIMEOUT, Outcome.RESET)
--- a/pebblepass/decisions/interface/actions.py
+++ b/pebblepass/decisions/interface/actions.py
@@ -73,7 +73,10 @@
 
 
 class HealthCheck(Struct, frozen=True):
-    """Check a server's health."""
+    """Check a server's health.
+
+    These decisions never ask for one: health is learned from attempts, and recovers by the clock.
+    """
 
     server: str
 
--- a/pebblepass/decisions/interface/events.py
+++ b/pebblepass/decisions/interface/events.py
@@ -117,7 +117,7 @@
 
 
 class StreamStarted(Struct, frozen=True):
-    """A streamed answer has begun: the client gets what this attempt returns."""
+    """A streamed answer has begun: the client gets what this attempt returns. Needs no decision."""
 
     request: str
     attempt: int
@@ -157,7 +157,7 @@
 
 
 class HealthCheckEnded(Struct, frozen=True):
-    """A health check ended."""
+    """A health check ended. Needs no decision: none is asked for."""
 
     server: str
     outcome: Outcome
--- a/pebblepass/decisions/router.py
+++ b/pebblepass/decisions/router.py
@@ -146,7 +146,7 @@
         return self.tenants.limits()
 
     def demand(self) -> dict[str, int]:
-        """Return each tenant's fetches and writes so far, refused ones included and retries not."""
+        """Return each tenant's fetches and writes so far, declined ones included (see Suppressor.demand)."""
         return self.tenants.demand()
 
     def ready_servers(self) -> list[api.Server]:
--- a/pebblepass/decisions/suppressor.py
+++ b/pebblepass/decisions/suppressor.py
@@ -53,7 +53,10 @@
         self.declined = 0
         """Declined calls in the window."""
         self.demand = 0
-        """Fetches and writes so far, declined ones included and retries not."""
+        """Fetches and writes so far, declined ones included.
+
+        A client's retry of a read is not counted, and a write is counted at each attempt.
+        """
         self.hard_factor = HARD_LIMIT_FACTOR
         self.configured_limit = ConfiguredLimit(self.weight, self.cap, self.window_s)
         self.has_quota, self._leased = tenant.quota_per_s > 0, False
