--- /dev/null
+++ b/tests/compatibility/test_outward_names.py
@@ -0,0 +1,98 @@
+"""The names that leave the process: each one listed in `frozen/outward-names.txt` stands in the program.
+
+A name stands there as a text or bytes literal, as a word of one, or as a field of a class. Clients, cache
+servers, other routers, the platform, operators' files and scripts rely on these names.
+"""
+
+from __future__ import annotations
+
+import ast
+import re
+from collections.abc import Iterator
+from pathlib import Path
+
+import pytest
+
+from tests.compatibility.checks import frozen_lines
+
+PACKAGE = Path(__file__).resolve().parents[2] / "pebblepass"
+WORD = re.compile(r"[\w.:/-]+")
+
+
+def docstrings(tree: ast.AST) -> set[ast.AST]:
+    """Return the constants that are statements of their own."""
+    return {node.value for node in ast.walk(tree) if isinstance(node, ast.Expr)}
+
+
+def literals(tree: ast.AST) -> Iterator[str]:
+    """Return the text and bytes literals of a module, docstrings left out."""
+    left_out = docstrings(tree)
+    for node in ast.walk(tree):
+        if not isinstance(node, ast.Constant) or node in left_out:
+            continue
+        if isinstance(node.value, bytes):
+            yield node.value.decode("latin-1")
+        elif isinstance(node.value, str):
+            yield node.value
+
+
+def fields(tree: ast.AST) -> Iterator[str]:
+    """Return the annotated fields of the classes of a module."""
+    for node in ast.walk(tree):
+        if isinstance(node, ast.ClassDef):
+            for statement in node.body:
+                if isinstance(statement, ast.AnnAssign) and isinstance(statement.target, ast.Name):
+                    yield statement.target.id
+
+
+def names(source: str) -> set[str]:
+    """Return the names that the source of a module may write or recognise."""
+    tree = ast.parse(source)
+    found = set(fields(tree))
+    for literal in literals(tree):
+        found.add(literal.strip())
+        found.update(WORD.findall(literal))
+        found.update(re.findall(r"[A-Za-z_]\w*", literal))
+    return found
+
+
+def missing(listed: list[str], found: set[str], texts: str) -> list[str]:
+    """Return the listed names that are not found; one with a blank may be a part of a literal."""
+    return [name for name in listed if name not in found and not (" " in name and name in texts)]
+
+
+def test_every_listed_name_stands_in_the_program() -> None:
+    sources = [path.read_text() for path in sorted(PACKAGE.rglob("*.py"))]
+    found = set().union(*map(names, sources))
+    texts = "\n".join(literal for source in sources for literal in literals(ast.parse(source)))
+    assert missing(frozen_lines("outward-names.txt"), found, texts) == []
+
+
+def test_the_list_is_sorted_and_names_nothing_twice() -> None:
+    listed = frozen_lines("outward-names.txt")
+    assert listed == sorted(set(listed))
+
+
+REPLY = 'REPLY = b"-BUSY\\r\\n"'
+LOG = 'LOG = "handover: {} failed"'
+
+
+@pytest.mark.parametrize(
+    ("source", "lost"),
+    [
+        (['"""giveUpAtNs"""', 'KEY = "giveUpAtNs"', REPLY, LOG], []),
+        (['"""giveUpAtNs"""', 'KEY = "deadline"', REPLY, LOG], ["giveUpAtNs"]),
+        (['KEY = "giveUpAtNs"', 'REPLY = b"-PENDING\\r\\n"', LOG], ["-BUSY"]),
+        (
+            ["class Form:", "    giveUpAtNs: int", REPLY, 'LOG = "upgrade: {} failed"'],
+            ["handover: {} failed"],
+        ),
+        (["giveUpAtNs = 1", REPLY, LOG], ["giveUpAtNs"]),
+    ],
+    ids=["all there", "a key", "a reply", "a log line", "only a variable"],
+)
+def test_a_name_that_was_taken_out_is_found(source: list[str], lost: list[str]) -> None:
+    listed = ["-BUSY", "giveUpAtNs", "handover: {} failed"]
+    module = "\n".join(source)
+    texts = "\n".join(literals(ast.parse(module)))
+    assert missing(listed, names(module), texts) == lost
