--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -29,7 +29,7 @@
 from tests.daemon.test_upgrade import served
 from tests.daemon.test_upgrade import site as upgrade_site
 from tests.fault_injection.site import Site
-from tests.sockets import PATIENCE_S, Client, Peer, get, hit
+from tests.sockets import WAIT_TIMEOUT_S, Client, Peer, get, hit
 
 ROUTERS = 3
 CONNECTIONS = 40
@@ -62,7 +62,7 @@
 
 def wait_for(check: Callable[[], bool], what: str) -> None:
     """Wait until this holds; raises CaseError."""
-    end = time.monotonic() + PATIENCE_S
+    end = time.monotonic() + WAIT_TIMEOUT_S
     while not check():
         expect(time.monotonic() < end, f"never came: {what}")
         time.sleep(0.02)
@@ -230,7 +230,7 @@
     finally:
         stop.set()
         for client in clients:
-            client.join(PATIENCE_S)
+            client.join(WAIT_TIMEOUT_S)
     check_clients(clients, [0] * CONNECTIONS)
 
 
--- a/pebblepass/daemon/__main__.py
+++ b/pebblepass/daemon/__main__.py
@@ -118,9 +118,9 @@
         lambda _, context: log.error("%s", context["message"], exc_info=context.get("exception"))
     )
     taken = beside(operator, config.name)
-    daemon = daemon_class(loop, config, spent=time.process_time(), beside=taken)
+    daemon = daemon_class(loop, config, startup_cpu_s=time.process_time(), beside=taken)
     if operator.many_keys is not None:
-        daemon.read_many(operator.many_keys)
+        daemon.enable_multi_get(operator.many_keys)
     if operator.fleet is not None:
         daemon.join_fleet(operator.fleet)
     terminated = asyncio.Event()
--- a/pebblepass/daemon/gathered.py
+++ b/pebblepass/daemon/buffer_budget.py
@@ -5,17 +5,17 @@
 from typing import Protocol
 
 
-class Reader(Protocol):
+class BufferingConnection(Protocol):
     """A connection that buffers an answer."""
 
-    def hold_back(self) -> None:
+    def pause_buffering(self) -> None:
         """Pause reading."""
 
-    def go_on(self) -> None:
+    def resume_buffering(self) -> None:
         """Resume reading."""
 
 
-class GatherBudget:
+class BufferBudget:
     """Divides memory among readers that each may need up to the longest answer.
 
     The first reader may always continue: memory for one complete answer is reserved for it, so that all
@@ -24,30 +24,30 @@
 
     def __init__(self, total: int, longest: int) -> None:
         self._shared = max(total - longest, 0)
-        self._held: dict[Reader, int] = {}
-        self._waiting: dict[Reader, None] = {}
+        self._held: dict[BufferingConnection, int] = {}
+        self._waiting: dict[BufferingConnection, None] = {}
 
     @property
-    def held(self) -> int:
+    def used(self) -> int:
         """Bytes buffered by all readers."""
         return sum(self._held.values())
 
-    def take(self, reader: Reader, size: int) -> None:
+    def take(self, reader: BufferingConnection, size: int) -> None:
         """Count `size` received bytes of a reader; it is paused if it has to wait for memory."""
         self._held[reader] = self._held.get(reader, 0) + size
         if reader not in self._waiting and not self._may_read(reader):
             self._waiting[reader] = None
-            reader.hold_back()
+            reader.pause_buffering()
 
-    def release(self, reader: Reader) -> None:
+    def release(self, reader: BufferingConnection) -> None:
         """Release all memory of a reader, and resume those that may continue."""
         self._held.pop(reader, None)
         self._waiting.pop(reader, None)
         for waiting in list(self._waiting):
             if waiting in self._waiting and self._may_read(waiting):
                 del self._waiting[waiting]
-                waiting.go_on()
+                waiting.resume_buffering()
 
-    def _may_read(self, reader: Reader) -> bool:
+    def _may_read(self, reader: BufferingConnection) -> bool:
         first = next(iter(self._held))
-        return reader is first or self.held - self._held[first] <= self._shared
+        return reader is first or self.used - self._held[first] <= self._shared
--- a/pebblepass/daemon/client_connection.py
+++ b/pebblepass/daemon/client_connection.py
@@ -13,10 +13,16 @@
 from pebblepass.daemon.memory_budget import MemoryBudget
 from pebblepass.daemon.reply import Reply
 from pebblepass.daemon.request_hosts import Host, MultiKeyHost, PollTimes
-from pebblepass.wire.resp import LARGE, MANY, CommandReader, UnknownCommandError, parse_request
+from pebblepass.wire.resp import (
+    LONG_VALUE_BYTES,
+    MULTI_GET_COMMAND,
+    CommandReader,
+    UnknownCommandError,
+    parse_request,
+)
 
 if TYPE_CHECKING:
-    from pebblepass.daemon.greetings import ClientSession
+    from pebblepass.daemon.session_commands import ClientSession
     from pebblepass.handover.messages import ConnectionState
 
 MAX_PIPELINE = 256
@@ -32,7 +38,7 @@
 
     loop: asyncio.AbstractEventLoop
     host: Host
-    many: MultiKeyHost | None
+    multi_gets: MultiKeyHost | None
     lag: PollTimes
     budget: MemoryBudget
     poll_socket: Callable[[int, int], int]
@@ -73,7 +79,7 @@
         self.replies: deque[Reply] = deque()
         self.blocked = self.closed = False
         self.last_used_at = server.loop.time()
-        self.reader = CommandReader(server.many is not None)
+        self.reader = CommandReader(server.multi_gets is not None)
         self.session: ClientSession | None = None
         self._reserved = 0  # bytes of the budget, for the command being received
         # The first command is timed from the start of the connection.
@@ -89,7 +95,7 @@
         """Bytes in the write buffer when the timeouts were last enforced."""
         self.unread_ns = 0
         """Nanoseconds for which the bytes of the last read may have been unread."""
-        self.refusing = False
+        self.is_over_limit = False
         """Whether it is over the connection limit: its commands are rejected."""
         self.in_handover = False
         """Whether it is being handed over to another process."""
@@ -124,7 +130,7 @@
         # Danger: a connection left registered holds its memory, counts in the limit, and blocks a drain.
         self.server.unregister(self)
         if self._reserved:
-            self.server.budget.give_back(self._reserved)
+            self.server.budget.release(self._reserved)
         replies, self.replies = self.replies, deque()
         for reply in replies:
             if not reply.done:
@@ -142,7 +148,7 @@
         reader = self.reader
         self.last_used_at = now = self.server.loop.time()
         self.unread_ns = self.liveness.record_read(now, len(data))
-        starts_command = not reader.need
+        starts_command = not reader.needed_bytes
         commands = reader.feed(data)
         if len(commands) > 1 and self.client_has_disconnected():
             # Danger: commands of a client that sent several and disconnected would be sent on for nobody.
@@ -154,15 +160,15 @@
             reply.reserved, self._reserved = self._reserved, 0
             self.replies.append(reply)
             self._dispatch(words, reply)
-        if reader.broken:
-            self._reject_broken(reader.broken)
-        elif reader.need:
+        if reader.framing_error:
+            self._reject_broken(reader.framing_error)
+        elif reader.needed_bytes:
             if commands or (starts_command and self.has_sent_command):
                 self.command_started_at = self.last_used_at
-            if reader.need > LARGE and not self._reserved and not self._awaits_budget:
+            if reader.needed_bytes > LONG_VALUE_BYTES and not self._reserved and not self._awaits_budget:
                 self.reserve()
         elif self._reserved:
-            self.server.budget.give_back(self._reserved)
+            self.server.budget.release(self._reserved)
             self._reserved = 0
         if len(self.replies) >= MAX_PIPELINE:
             self.update_reading()
@@ -177,9 +183,9 @@
 
     def reserve(self) -> None:
         """Reserve memory for the command being received, or wait until some is released."""
-        self._awaits_budget = not self.server.budget.take(self, self.reader.need)
+        self._awaits_budget = not self.server.budget.reserve(self, self.reader.needed_bytes)
         if not self._awaits_budget:
-            self._reserved = self.reader.need
+            self._reserved = self.reader.needed_bytes
             self.command_started_at = self.server.loop.time()
         self.update_reading()
 
@@ -197,11 +203,11 @@
             reply.send(b"-ERR %b\r\n" % str(error).encode())
             reply.free_command()
             return
-        if self.refusing or self.server.shutting_down:
+        if self.is_over_limit or self.server.shutting_down:
             self._closes_when_idle = True
             reply.send(b"-BUSY\r\n")
             self.server.host.record_rejection(
-                command, refused="connections" if self.refusing else "router ends"
+                command, refused="connections" if self.is_over_limit else "router ends"
             )
             reply.free_command()
             return
@@ -210,12 +216,12 @@
     def _dispatch_other(self, words: list[bytes], reply: Reply) -> None:
         """Dispatch a command that is neither a read nor a write of one key."""
         server = self.server
-        if server.many is not None and words[0].upper() == MANY:
-            self._closes_when_idle = self._closes_when_idle or self.refusing
-            server.many.command_arrived(words, reply, self.refusing)
+        if server.multi_gets is not None and words[0].upper() == MULTI_GET_COMMAND:
+            self._closes_when_idle = self._closes_when_idle or self.is_over_limit
+            server.multi_gets.command_arrived(words, reply, self.is_over_limit)
             return
         # Imported with the first handshake: the platform's clients have none.
-        from pebblepass.daemon.greetings import ClientSession, answer_session_command
+        from pebblepass.daemon.session_commands import ClientSession, answer_session_command
 
         if self.session is None:
             server.session_count += 1
@@ -224,7 +230,7 @@
             answer = answer_session_command(words, self.session, server.host.ready, server.connected)
         except UnknownCommandError as error:
             answer = b"-ERR %b\r\n" % str(error).encode()
-        self._closes_when_idle = self._closes_when_idle or self.session.leaves
+        self._closes_when_idle = self._closes_when_idle or self.session.has_quit
         reply.send(answer)
         reply.free_command()
 
@@ -275,7 +281,9 @@
     def update_reading(self) -> None:
         """Pause or resume reading, by whether another command can be accepted now."""
         full = len(self.replies) >= MAX_PIPELINE
-        wanted = not (self.blocked or self._awaits_budget or self.reader.broken or full or self.in_handover)
+        wanted = not (
+            self.blocked or self._awaits_budget or self.reader.framing_error or full or self.in_handover
+        )
         if wanted == self.liveness.is_reading or self.transport is None or self.transport.is_closing():
             return
         if wanted and self.client_has_disconnected():
@@ -323,27 +331,27 @@
     @property
     def idle(self) -> bool:
         """Whether it has neither an open request nor a partial command."""
-        return not self.replies and not self.reader.need
+        return not self.replies and not self.reader.needed_bytes
 
     @property
     def activity(self) -> Activity:
         """Its state, by which connections are chosen for eviction."""
         if self.replies or self.in_handover:
             return Activity.REPLY_PENDING
-        if self.reader.need:
+        if self.reader.needed_bytes:
             return Activity.PARTIAL_COMMAND
         return Activity.IDLE if self.has_sent_command else Activity.NEW
 
-    def finish(self, even_midway: bool) -> None:
-        """Close once nothing is open; `even_midway`: also with a partial command."""
+    def finish(self, with_partial_commands: bool) -> None:
+        """Close once nothing is open; `with_partial_commands`: also with a partial command."""
         if self.transport is None or self.closed:
             return
         new = not (self.has_sent_command or self.replies)
-        if not self.replies and (even_midway or not (self.reader.need or new)):
+        if not self.replies and (with_partial_commands or not (self.reader.needed_bytes or new)):
             self._closes_when_idle = self._draining = True
             if not self.has_unread():
                 self.transport.close()
-        elif self.replies and (even_midway or not self.reader.need):
+        elif self.replies and (with_partial_commands or not self.reader.needed_bytes):
             self._closes_when_idle = self._draining = True
 
     @property
@@ -351,7 +359,7 @@
         """Whether another process could serve it: it is open for commands, and owes no reply."""
         if self.transport is None or self.transport.is_closing() or self.replies:
             return False
-        ends = self._closes_when_idle or self.closed or self.refusing
+        ends = self._closes_when_idle or self.closed or self.is_over_limit
         waits = self.blocked or self._awaits_budget or self._reserved
         return not (ends or waits or self.in_handover)
 
@@ -366,7 +374,7 @@
         """Restore the state that came with a handover."""
         self.has_sent_command = handed.has_sent_command
         if handed.protocol:
-            from pebblepass.daemon.greetings import ClientSession
+            from pebblepass.daemon.session_commands import ClientSession
 
             self.server.session_count += 1
             self.session = ClientSession(handed.connection_number, handed.protocol, handed.client_name)
@@ -386,7 +394,7 @@
         """Reply to a command that was not received in time, and close."""
         # Guards connections queued for memory behind this one: they are next, and have waited as long.
         reserved, self._reserved = self._reserved, 0
-        self.server.budget.give_back(reserved)
+        self.server.budget.release(reserved)
         self._closes_when_idle = True
         reply = Reply(self)
         self.replies.append(reply)
--- a/pebblepass/daemon/client_liveness.py
+++ b/pebblepass/daemon/client_liveness.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from pebblepass.daemon.request_hosts import PollTimes
-from pebblepass.daemon.unread import READ_EVENTS, peer_has_closed
+from pebblepass.daemon.socket_polling import READ_EVENTS, peer_has_closed
 from pebblepass.daemon.unread_age import UnreadAge
 
 
--- a/pebblepass/daemon/client_server.py
+++ b/pebblepass/daemon/client_server.py
@@ -15,7 +15,7 @@
 from pebblepass.daemon.client_timeouts import enforce_timeouts
 from pebblepass.daemon.memory_budget import MemoryBudget
 from pebblepass.daemon.request_hosts import Host, MultiKeyHost, PollTimes
-from pebblepass.daemon.unread import accept_pending, socket_poller
+from pebblepass.daemon.socket_polling import accept_pending, socket_poller
 from pebblepass.daemon.unread_age import BacklogAge
 from pebblepass.wire.address import Address
 
@@ -48,7 +48,7 @@
         """Whether commands are rejected: the router exits before it could reply."""
         self._paused_timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
-        self.many: MultiKeyHost | None = None
+        self.multi_gets: MultiKeyHost | None = None
         self.session_count = 0
         """Number of connections with a handshake or another command that is no request."""
         self.budget = MemoryBudget(budget)
@@ -127,7 +127,7 @@
             if evicted is not None:
                 evicted.abort()
             elif len(self._connections) < self._limit + self._rejected_limit:
-                connection.refusing = True
+                connection.is_over_limit = True
             else:
                 connection.abort()
                 return
@@ -194,11 +194,11 @@
         if handover.begin():
             self.on_handover(handover)
 
-    def finish(self, even_midway: bool) -> None:
+    def finish(self, with_partial_commands: bool) -> None:
         """Close every connection once it has nothing open."""
         self.on_handover = None
         for connection in list(self._connections):
-            connection.finish(even_midway)
+            connection.finish(with_partial_commands)
 
     def _sweep(self) -> None:
         self._timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
--- a/pebblepass/daemon/client_timeouts.py
+++ b/pebblepass/daemon/client_timeouts.py
@@ -23,7 +23,7 @@
         _check_idle(connection, now)
     # A client that waits for memory is owed a reply within the same time.
     elif (
-        connection.reader.need
+        connection.reader.needed_bytes
         and not connection.replies
         and now - connection.command_started_at > COMMAND_TIMEOUT_S
     ):
--- a/pebblepass/daemon/connection_pool.py
+++ b/pebblepass/daemon/connection_pool.py
@@ -6,14 +6,14 @@
 from collections import deque
 from collections.abc import Callable, Iterator
 
+from pebblepass.daemon.buffer_budget import BufferBudget
 from pebblepass.daemon.dial import dial
 from pebblepass.daemon.exchange import Exchange
-from pebblepass.daemon.gathered import GatherBudget
 from pebblepass.daemon.server_connection import MAX_CONNECTIONS_PER_SERVER, Connection, Server
-from pebblepass.daemon.unread import socket_poller
+from pebblepass.daemon.socket_polling import socket_poller
 from pebblepass.decisions import Outcome
 from pebblepass.wire.address import Address
-from pebblepass.wire.resp import MAX_ANSWER
+from pebblepass.wire.resp import MAX_ANSWER_VALUE_BYTES
 
 IDLE_CLOSE_FRACTION = 0.9
 """Fraction of the servers' idle timeout after which idle connections are closed here."""
@@ -44,7 +44,7 @@
         """
         self.reports = reports
         self.poller = socket_poller(loop)
-        self.gathered = GatherBudget(gather, MAX_ANSWER)
+        self.buffer_budget = BufferBudget(gather, MAX_ANSWER_VALUE_BYTES)
         self.loop = loop
         self._limit, self._dial_timeout = limit, dial_timeout
         self._idle_limit = idle_close * IDLE_CLOSE_FRACTION
--- a/pebblepass/daemon/daemon.py
+++ b/pebblepass/daemon/daemon.py
@@ -16,7 +16,7 @@
 from pebblepass.daemon.client_server import ClientServer
 from pebblepass.daemon.config import Config, ConfigError, reload_discovery
 from pebblepass.daemon.connection_pool import Pool
-from pebblepass.daemon.inherited import adopt
+from pebblepass.daemon.inherited_listener import adopt
 from pebblepass.daemon.router import RouterHost
 from pebblepass.decisions import ListKind
 from pebblepass.decisions.interface import NS_PER_S
@@ -25,16 +25,16 @@
 from pebblepass.wire.address import Address
 
 if TYPE_CHECKING:
-    from pebblepass.daemon.fleet import FleetPart
-    from pebblepass.daemon.succession import Succession
+    from pebblepass.daemon.fleet import FleetMember
+    from pebblepass.daemon.upgrade import Succession
     from pebblepass.operator_config import FleetSection, MultiGetSection
 
 READY_S = 1.0  # wait for discovery's first endpoint list, before the cached one is used
 START_SHARE = 0.4  # maximum fraction of its cores that the start has used when it accepts clients
-MOST_SETTLING_S = 0.4  # maximum pause before accepting clients, for a start that has used much CPU
+MAX_SETTLING_S = 0.4  # maximum pause before accepting clients, for a start that has used much CPU
 # The shutdown, see Daemon.drain; seconds from SIGTERM.
 ACCEPT_S = 0.5  # connections are accepted as before
-MIDWAY_S = 0.65  # from then on connections in the middle of a command are closed too
+PARTIAL_COMMANDS_S = 0.65  # from then on connections in the middle of a command are closed too
 SERVED_SHARE = 0.5  # fraction of the longest deadline for which requests are still accepted in a shutdown
 ANSWER_SLACK_S = 0.55  # beyond the longest deadline; then every open request is failed
 KILL_SLACK_S = 0.65  # beyond the longest deadline; SIGKILL comes no sooner than 0.7 s
@@ -46,12 +46,12 @@
 log = logging.getLogger("pebblepass")
 
 
-def settling(spent: float, cores: float) -> float:
+def settling_delay(spent: float, cores: float) -> float:
     """Seconds to wait after a start that took `spent` seconds of CPU, so that it is not throttled later."""
-    return min(max(spent / (cores * START_SHARE) - spent, 0.0), MOST_SETTLING_S)
+    return min(max(spent / (cores * START_SHARE) - spent, 0.0), MAX_SETTLING_S)
 
 
-async def news() -> None:
+async def sockets_polled() -> None:
     """Return once the sockets have been read: after a lag of the event loop timers run first."""
     # The first iteration may begin before the sockets are polled, the second can't.
     for _ in range(2):
@@ -72,10 +72,10 @@
         loop: asyncio.AbstractEventLoop,
         config: Config,
         unix_ns: Callable[[], int] = time.time_ns,
-        spent: float = 0.0,
+        startup_cpu_s: float = 0.0,
         beside: int = 0,
     ) -> None:
-        """`spent`: seconds of CPU that the start has used so far.
+        """`startup_cpu_s`: seconds of CPU time that the start has used so far.
 
         `beside`: descriptors that the operator's sections take.
         """
@@ -93,8 +93,8 @@
             loop, self.host, self._allocation.served, budget, self._allocation.rejected
         )
         clock = self._clock = ClockOffset(self.host.now(), unix_ns())
-        self._succession: Succession | None = None
-        self._settled_at = loop.time() + settling(spent, config.cores)
+        self._upgrade: Succession | None = None
+        self._settled_at = loop.time() + settling_delay(startup_cpu_s, config.cores)
         asked, draws = config.settings.must_subscribe, random.Random(config.seed)
         self._discovery = DiscoveryClient(
             config.discovery, asked, clock, self._take, self.host.discovery_failed, draws
@@ -106,22 +106,22 @@
             self.host.servers_changed(known)
         self._reloading: asyncio.Task[None] | None = None
         self._control: ControlServer | None = None
-        self._fleet: FleetPart | None = None
+        self._fleet: FleetMember | None = None
 
-    def read_many(self, section: MultiGetSection) -> None:
+    def enable_multi_get(self, section: MultiGetSection) -> None:
         """Enable multi-gets; call it before `start`."""
         # Imported only if the operator has configured it.
         from pebblepass.daemon.multi_get.registry import MultiGetRegistry
 
         many = MultiGetRegistry(self._loop, self.host, self._pool, section, self._config.memory)
-        self.host.many = self.clients.many = many
+        self.host.multi_gets = self.clients.multi_gets = many
 
-    def join_fleet(self, section: FleetSection) -> FleetPart:
+    def join_fleet(self, section: FleetSection) -> FleetMember:
         """Join a fleet of routers; call it before `start`. Raises ConfigError."""
         # Imported only if the operator has configured it.
-        from pebblepass.daemon.fleet import FleetPart
+        from pebblepass.daemon.fleet import FleetMember
 
-        self._fleet = FleetPart(self._loop, self.host, self._config, section)
+        self._fleet = FleetMember(self._loop, self.host, self._config, section)
         return self._fleet
 
     async def start(self) -> None:
@@ -141,24 +141,22 @@
         if self._config.known is None or not self._config.settings.must_subscribe:
             self._discovery.start()
         if self._config.known is not None:
-            self._loop.call_later(READY_S, self._make_do)
+            self._loop.call_later(READY_S, self._become_ready)
 
     async def _succeed(self, listener: socket.socket) -> None:
         """Start beside a running process, or alone; clients are accepted once the servers are known."""
         # Imported only if the platform holds the clients' listening socket.
         import tempfile
 
-        from pebblepass.daemon.succession import Routed, Succession
+        from pebblepass.daemon.upgrade import Routed, Succession
 
         folder = os.environ.get("TMPDIR") or tempfile.gettempdir()
         budget = int(self._config.memory * BUDGET_SHARE)
         routed = Routed(self._loop, self.host, self.clients, self._pool, self._discovery, self._clock, budget)
-        self._succession = Succession(
-            routed, listener, folder, self._allocation.own + self._allocation.rejected
-        )
-        await self._succession.begin()
-        if self._succession.told:
-            self._loop.call_later(READY_S, self._make_do)
+        self._upgrade = Succession(routed, listener, folder, self._allocation.own + self._allocation.rejected)
+        await self._upgrade.begin()
+        if self._upgrade.told:
+            self._loop.call_later(READY_S, self._become_ready)
 
     def is_ready(self) -> bool:
         """Whether it knows its servers and accepts requests."""
@@ -168,20 +166,20 @@
     def _take(self, listing: EndpointList) -> None:
         if not self.host.servers_changed(listing):
             raise RuntimeError("the decision module failed to handle an endpoint list")
-        self._make_do()
+        self._become_ready()
 
-    def _make_do(self) -> None:
+    def _become_ready(self) -> None:
         if self.host.ready:
             return
         left = self._settled_at - self._loop.time()
         if left > 0:
             # Danger: a start uses its CPU quota up, and the platform throttles the process afterwards, with
             # the clients that it has accepted.
-            self._loop.call_later(left, self._make_do)
+            self._loop.call_later(left, self._become_ready)
             return
         self.host.ready = True
-        if self._succession is not None:
-            self._succession.ready()
+        if self._upgrade is not None:
+            self._upgrade.ready()
 
     def move_discovery(self, address: Address) -> None:
         """Watch the endpoint list at another address; the current list stays until the first from there."""
@@ -212,33 +210,35 @@
         | from (seconds) | what changes |
         | --- | --- |
         | 0 | nothing: open requests keep their attempts, retries and fetches to the end |
-        | ACCEPT_S | no new connection but those pending (until MIDWAY_S); idle ones are closed |
-        | MIDWAY_S | connections in the middle of a command are closed too |
-        | MIDWAY_S + SERVED_SHARE of the longest deadline | new commands are rejected |
+        | ACCEPT_S | no new connection but those pending (until PARTIAL_COMMANDS_S); idle ones are closed |
+        | PARTIAL_COMMANDS_S | connections in the middle of a command are closed too |
+        | PARTIAL_COMMANDS_S + SERVED_SHARE of the longest deadline | new commands are rejected |
         | longest deadline + ANSWER_SLACK_S | open requests fail |
         | longest deadline + KILL_SLACK_S, or no client left | it returns; `stop` aborts the rest |
 
         With a successor connections are handed over as they become idle.
         """
-        begun, succession = self._loop.time(), self._succession
+        begun, succession = self._loop.time(), self._upgrade
         longest = max(cls.deadline for cls in self._config.settings.classes) / NS_PER_S
         if succession is None or not succession.leave():
             await asyncio.sleep(ACCEPT_S)
-            await news()
+            await sockets_polled()
             if succession is None:  # else they wait at the platform's socket, which stays open
-                while self.clients.accept_pending() and self._loop.time() < begun + MIDWAY_S:
+                while self.clients.accept_pending() and self._loop.time() < begun + PARTIAL_COMMANDS_S:
                     await asyncio.sleep(0)
-                await news()
+                await sockets_polled()
             self.clients.stop_accepting()
-            self.clients.finish(even_midway=False)
+            self.clients.finish(with_partial_commands=False)
         while self.clients.connected and self._loop.time() < begun + longest + KILL_SLACK_S:
             await asyncio.sleep(DRAIN_STEP_S)
             # Connections that another process takes over are not closed.
-            if self._loop.time() >= begun + MIDWAY_S and self.clients.on_handover is None:
-                await news()
-                self.clients.finish(even_midway=True)
+            if self._loop.time() >= begun + PARTIAL_COMMANDS_S and self.clients.on_handover is None:
+                await sockets_polled()
+                self.clients.finish(with_partial_commands=True)
                 # Guards the shutdown against a client that keeps its connection busy.
-                self.clients.shutting_down = self._loop.time() >= begun + MIDWAY_S + longest * SERVED_SHARE
+                self.clients.shutting_down = (
+                    self._loop.time() >= begun + PARTIAL_COMMANDS_S + longest * SERVED_SHARE
+                )
             if self._loop.time() >= begun + longest + ANSWER_SLACK_S:
                 # Danger: a client may wait for longer than its class's deadline, but SIGKILL comes.
                 self.host.end_open()
@@ -248,7 +248,7 @@
         if self._reloading is not None:
             self._reloading.cancel()
         if self._fleet is not None:
-            self._fleet.let_go()
+            self._fleet.close()
         self.host.lag.close()
         self.host.abandon()
         self._pool.close()
@@ -256,5 +256,5 @@
         self._discovery.close()
         if self._control is not None:
             self._control.close()
-        if self._succession is not None:
-            self._succession.close()
+        if self._upgrade is not None:
+            self._upgrade.close()
--- a/pebblepass/daemon/deadlines.py
+++ b/pebblepass/daemon/deadlines.py
@@ -8,7 +8,7 @@
 from heapq import heappop, heappush
 
 STEP_NS = 500_000  # deadlines within a step come together, after its end: never early
-ROUNDED_S = 0.0005  # loops count in whole milliseconds and round to the nearest
+TIMER_ROUNDING_S = 0.0005  # loops count in whole milliseconds and round to the nearest
 
 log = logging.getLogger("pebblepass")
 
@@ -55,7 +55,7 @@
             self._timer = None
         if self._order:
             left = max(self._order[0] * STEP_NS - self._now(), 0) / 1e9
-            self._timer = self._loop.call_later(left + ROUNDED_S, self._fire)
+            self._timer = self._loop.call_later(left + TIMER_ROUNDING_S, self._fire)
 
     def _fire(self) -> None:
         self._timer = None
--- a/pebblepass/daemon/fleet.py
+++ b/pebblepass/daemon/fleet.py
@@ -61,7 +61,7 @@
         """Of what it draws."""
 
 
-class FleetPart:
+class FleetMember:
     """What joins a running router to its fleet."""
 
     service_class: type[ConsensusService] = ConsensusService
@@ -137,7 +137,7 @@
             log.error("fleet.directory %s: %s", self._section.directory, error)
         self._lock_timer = self._loop.call_later(LOCK_STEP_S, self._succeed)
 
-    def let_go(self) -> None:
+    def close(self) -> None:
         """The router ends: its successor may have the address and the disk."""
         if self._lock_timer is not None:
             self._lock_timer.cancel()
--- a/pebblepass/daemon/memory_budget.py
+++ b/pebblepass/daemon/memory_budget.py
@@ -24,7 +24,7 @@
         self._total = self._free = total
         self._waiting: deque[BudgetWaiter] = deque()
 
-    def take(self, connection: BudgetWaiter, size: int) -> bool:
+    def reserve(self, connection: BudgetWaiter, size: int) -> bool:
         """Reserve bytes; returns False and queues the connection where too few are free."""
         if size > self._free:
             self._waiting.append(connection)
@@ -35,9 +35,9 @@
     def resize(self, total: int) -> None:
         """Change the total; reservations stay."""
         self._total, self._free = total, self._free + total - self._total
-        self.give_back(0)
+        self.release(0)
 
-    def give_back(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """Release reserved bytes, and let the queued connections try again."""
         self._free += size
         waiting, self._waiting = self._waiting, deque()
--- a/pebblepass/daemon/multi_get/batch_exchange.py
+++ b/pebblepass/daemon/multi_get/batch_exchange.py
@@ -12,7 +12,7 @@
 from pebblepass.multi_get import Batch
 from pebblepass.wire.address import Address
 from pebblepass.wire.answers import AnswerFormatError
-from pebblepass.wire.resp import MANY, bulk_length, command, read_command
+from pebblepass.wire.resp import MULTI_GET_COMMAND, bulk_length, command, read_command
 
 NEVER = 1 << 63
 SLOW_RECHECK_NS = 5_000_000  # between checks of a slow batch while other keys are outstanding
@@ -98,7 +98,9 @@
             return b"".join(reads)
         self.array_expected = True
         name = to_send[0].request_id.encode()
-        return command(MANY, b"%d" % len(to_send), *[keys[key.number] for key in to_send], name, info)
+        return command(
+            MULTI_GET_COMMAND, b"%d" % len(to_send), *[keys[key.number] for key in to_send], name, info
+        )
 
     def array_started(self, count: int) -> None:
         """Check the array's length against the batch; a negative count is an error line for all keys."""
--- a/pebblepass/daemon/multi_get/limits.py
+++ b/pebblepass/daemon/multi_get/limits.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from pebblepass.multi_get import AllocationBounds, BatchBounds
-from pebblepass.wire.resp import LARGE
+from pebblepass.wire.resp import LONG_VALUE_BYTES
 
 if TYPE_CHECKING:
     from pebblepass.decisions import Settings
@@ -24,8 +24,8 @@
         keys_in_flight=section.keys_in_flight,
         keys_in_flight_per_command=section.keys_of_one,
         memory=reply_memory,
-        memory_per_command=max(reply_memory // 2, LARGE),
-        value_bytes=LARGE,
+        memory_per_command=max(reply_memory // 2, LONG_VALUE_BYTES),
+        value_bytes=LONG_VALUE_BYTES,
         chunk=section.chunk,
         commands=section.commands,
     )
--- a/pebblepass/daemon/multi_get/registry.py
+++ b/pebblepass/daemon/multi_get/registry.py
@@ -75,7 +75,7 @@
 
     # Clients
 
-    def command_arrived(self, words: list[bytes], reply: Reply, refusing: bool) -> None:
+    def command_arrived(self, words: list[bytes], reply: Reply, is_over_limit: bool) -> None:
         """Accept a command, or answer it with one error line."""
         host = self.host
         try:
@@ -91,7 +91,7 @@
             self._answer(reply, b"-ERR many keys are read in a class that is safe to repeat\r\n")
             return
         multi_get = MultiGet(self, command, reply, host.now())
-        if refusing:
+        if is_over_limit:
             self._reject(multi_get, b"-BUSY\r\n", refused="connections")
         elif multi_get.name in self._multi_gets or host.knows_key_of(multi_get.name):
             # Two requests under one id would share attempts, and one would get the other's answer.
--- a/pebblepass/daemon/origin.py
+++ b/pebblepass/daemon/origin.py
@@ -6,7 +6,7 @@
 from pebblepass.daemon.server_connection import Connection, Server
 from pebblepass.decisions import Outcome
 from pebblepass.wire.http import HttpError, HttpReader
-from pebblepass.wire.resp import LARGE, MAX_ANSWER
+from pebblepass.wire.resp import LONG_VALUE_BYTES, MAX_ANSWER_VALUE_BYTES
 
 _NOT_EXECUTED_STATUSES = (503, 504)
 _NOT_FOUND_STATUSES = (404, 410)
@@ -39,12 +39,12 @@
             self._take()
 
     def _take(self) -> None:
-        if self.status == 200 and len(self._body) > LARGE and self.exchange is not None:
+        if self.status == 200 and len(self._body) > LONG_VALUE_BYTES and self.exchange is not None:
             self._pass_on_gathered()
             return
         value = None if self._streaming else bytes(self._body)
         self._streaming = False
-        if len(self._body) > LARGE:  # an error's text, which nobody needs, but it was counted
+        if len(self._body) > LONG_VALUE_BYTES:  # an error's text, which nobody needs, but it was counted
             self._let_go()
         self._body.clear()
         self._finish(value)
@@ -64,9 +64,14 @@
 
     def body_started(self, length: int | None) -> None:
         """Begin to stream a long value; a short one, or one of unknown length, is buffered."""
-        if length is not None and length > MAX_ANSWER:
+        if length is not None and length > MAX_ANSWER_VALUE_BYTES:
             raise HttpError("value too long")
-        if length is not None and length > LARGE and self.status == 200 and self.exchange is not None:
+        if (
+            length is not None
+            and length > LONG_VALUE_BYTES
+            and self.status == 200
+            and self.exchange is not None
+        ):
             self._streaming = True
             self.exchange.value_started(length, self)
 
@@ -78,11 +83,13 @@
             return
         before = len(self._body)
         self._body += data
-        if len(self._body) > MAX_ANSWER:
+        if len(self._body) > MAX_ANSWER_VALUE_BYTES:
             raise HttpError("value too long")
-        if len(self._body) > LARGE:
+        if len(self._body) > LONG_VALUE_BYTES:
             # Guards the memory: the client needs the length first, so the whole value is buffered here.
-            self.server.pool.gathered.take(self, len(self._body) - (before if before > LARGE else 0))
+            self.server.pool.buffer_budget.take(
+                self, len(self._body) - (before if before > LONG_VALUE_BYTES else 0)
+            )
 
     # A long value received without a length: it stays buffered until the client has read it
 
@@ -95,7 +102,7 @@
 
     def _feed(self) -> None:
         while self._rest and not self._paused and self.exchange is not None:
-            part, self._rest = self._rest[:LARGE], self._rest[LARGE:]
+            part, self._rest = self._rest[:LONG_VALUE_BYTES], self._rest[LONG_VALUE_BYTES:]
             self.exchange.value_received(bytes(part))
         if self._rest is not None and not self._rest:
             self._let_go()
@@ -115,17 +122,17 @@
         else:
             self._feed()
 
-    def hold_back(self) -> None:
+    def pause_buffering(self) -> None:
         """Pause reading: other values are being buffered."""
         super().pause()
 
-    def go_on(self) -> None:
+    def resume_buffering(self) -> None:
         """Resume reading."""
         super().resume()
 
     def _let_go(self) -> None:
         self._rest = None
-        self.server.pool.gathered.release(self)
+        self.server.pool.buffer_budget.release(self)
 
     def close(self) -> None:
         """Abort the connection, and discard what is buffered."""
--- a/pebblepass/daemon/reply.py
+++ b/pebblepass/daemon/reply.py
@@ -9,7 +9,7 @@
 from pebblepass.daemon.memory_budget import MemoryBudget
 
 if TYPE_CHECKING:
-    from pebblepass.daemon.greetings import ClientSession
+    from pebblepass.daemon.session_commands import ClientSession
 
 
 class ReplyConnection(Protocol):
@@ -103,7 +103,7 @@
 
     def free_command(self) -> None:
         """Release the memory reserved for the command, which the host needs no longer."""
-        self._connection.budget.give_back(self.reserved)
+        self._connection.budget.release(self.reserved)
         self.reserved = 0
 
     def write_buffered(self) -> None:
--- a/pebblepass/daemon/request_hosts.py
+++ b/pebblepass/daemon/request_hosts.py
@@ -37,5 +37,5 @@
 class MultiKeyHost(Protocol):
     """Handles the clients' commands that read many keys."""
 
-    def command_arrived(self, words: list[bytes], reply: Reply, refusing: bool) -> None:
-        """Handle a command that was received completely; `refusing`: reject its keys."""
+    def command_arrived(self, words: list[bytes], reply: Reply, is_over_limit: bool) -> None:
+        """Handle a command that was received completely; `is_over_limit`: reject its keys."""
--- a/pebblepass/daemon/router.py
+++ b/pebblepass/daemon/router.py
@@ -80,7 +80,7 @@
         """Accounts for every request, if the operator has configured it; set by its owner."""
         self.subscribe: Callable[[], None] = lambda: None
         """Begins a watch of discovery; set by the owner of the watch."""
-        self.many: MultiGetHost | None = None
+        self.multi_gets: MultiGetHost | None = None
         """Handles multi-gets, if the operator has configured them; set by its owner."""
         self._router = Router(settings, seed)
         self._pool, self._max_open = pool, max_open
@@ -110,8 +110,8 @@
             for request in self._requests.values()
             if not request.closed or (request.streaming and not request.accounted)
         }
-        if self.many is not None:
-            found.update(dict.fromkeys(self.many.open_ids()))
+        if self.multi_gets is not None:
+            found.update(dict.fromkeys(self.multi_gets.open_ids()))
         return found
 
     def limits(self) -> dict[str, float]:
@@ -175,7 +175,9 @@
 
     def is_known(self, request_id: str) -> bool:
         """Whether this is the id of a request without a final answer, or with attempts in flight."""
-        return request_id in self._requests or (self.many is not None and self.many.owns(request_id))
+        return request_id in self._requests or (
+            self.multi_gets is not None and self.multi_gets.owns(request_id)
+        )
 
     def knows_key_of(self, name: str) -> bool:
         """Whether a request has an id that a key of a multi-get of this name would have."""
@@ -185,7 +187,11 @@
     def request(self, request_id: str) -> OpenRequest | None:
         """The open request of this id, if there is one."""
         found = self._requests.get(request_id)
-        return found if found is not None or self.many is None else self.many.open_request(request_id)
+        return (
+            found
+            if found is not None or self.multi_gets is None
+            else self.multi_gets.open_request(request_id)
+        )
 
     def add_request(self, request: OpenRequest) -> None:
         """Add the request of a multi-get's key, which the decision module knows already."""
@@ -195,7 +201,7 @@
     @property
     def free_capacity(self) -> int:
         """How many more requests may be open."""
-        light = self.many.unopened if self.many is not None else 0
+        light = self.multi_gets.unopened if self.multi_gets is not None else 0
         return self._max_open - len(self._requests) - light
 
     def record_rejection(self, command: Command, refused: str = "", failed: str = "") -> None:
@@ -211,8 +217,8 @@
         """Drop the request of this reply: its client has disconnected."""
         if isinstance(reply.request, OpenRequest):
             self.drop_request(reply.request)
-        elif self.many is not None and reply.request is not None:
-            self.many.client_disconnected(reply.request)
+        elif self.multi_gets is not None and reply.request is not None:
+            self.multi_gets.client_disconnected(reply.request)
 
     def drop_request(self, request: OpenRequest, failed: str = "") -> None:
         """Close a request whose client has disconnected, or that has `failed` for this reason."""
@@ -232,8 +238,8 @@
 
     def end_open(self) -> None:
         """Fail every open request now: the router is about to be killed."""
-        if self.many is not None:
-            self.many.end_all()
+        if self.multi_gets is not None:
+            self.multi_gets.end_all()
         for request in list(self._requests.values()):
             if not request.closed:
                 self._answer(request.id, FAILED, failed="router ended")
@@ -244,8 +250,8 @@
         if self.ledger is not None:
             for request_id in self.open_requests():
                 self.ledger.record_failed(request_id, self.now(), "router ended")
-        if self.many is not None:
-            self.many.abandon()
+        if self.multi_gets is not None:
+            self.multi_gets.abandon()
         for request in self._requests.values():
             request.closed = request.accounted = True
 
@@ -302,8 +308,8 @@
         for server_id in removed:
             self._pool.unlist_server(server_id)
             self.kinds.pop(server_id, None)
-            if self.many is not None:
-                self.many.server_left(server_id)
+            if self.multi_gets is not None:
+                self.multi_gets.server_left(server_id)
 
     def discovery_failed(self) -> None:
         """Report to the decision module that a call of discovery failed."""
@@ -350,8 +356,8 @@
             case Send():
                 self._send(action)
             case SendBatch():
-                assert self.many is not None
-                self.many.send_batch(action)
+                assert self.multi_gets is not None
+                self.multi_gets.send_batch(action)
             case SetTimer():
                 self._set_timer(self.now() + action.delay, action.token)
             case Reject():
@@ -390,8 +396,8 @@
         if request.closed or now >= request.deadline or request.attempts > self.settings.max_attempts:
             attempt.end(Outcome.SUPERSEDED)
             return
-        if request.of_command and self.many is not None and action.server not in self._origins:
-            self.many.send_single(attempt, action.server, action.timeout)
+        if request.of_command and self.multi_gets is not None and action.server not in self._origins:
+            self.multi_gets.send_single(attempt, action.server, action.timeout)
             return
         due = min(now + action.timeout, request.deadline) if action.timeout else request.deadline
         attempt.wait_until(due)
--- a/pebblepass/daemon/server_connection.py
+++ b/pebblepass/daemon/server_connection.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from typing import Protocol, cast
 
+from pebblepass.daemon.buffer_budget import BufferBudget
 from pebblepass.daemon.exchange import NOTHING, Answer, Exchange
-from pebblepass.daemon.gathered import GatherBudget
-from pebblepass.daemon.unread import SocketPoller
+from pebblepass.daemon.socket_polling import SocketPoller
 from pebblepass.decisions import Outcome
 from pebblepass.wire.address import Address
 
@@ -24,7 +24,7 @@
     """The pool as its connections see it."""
 
     poller: SocketPoller
-    gathered: GatherBudget
+    buffer_budget: BufferBudget
     reports: bool
     """Whether servers give load reports."""
 
--- a/pebblepass/daemon/greetings.py
+++ b/pebblepass/daemon/session_commands.py
@@ -26,7 +26,7 @@
     """The number of the connection."""
     protocol: int = 2
     name: bytes = b""
-    leaves: bool = False
+    has_quit: bool = False
     """Whether the client has sent QUIT."""
 
 
@@ -58,7 +58,7 @@
             client.protocol, client.name = 2, b""
             return b"+RESET\r\n"
         case b"QUIT":
-            client.leaves = True
+            client.has_quit = True
             return OK
         case b"PING" | b"ECHO" | b"AUTH" | b"CLIENT" | b"SELECT" | b"RESET":
             return b"-ERR wrong number of arguments for '%b' command\r\n" % name.lower()
--- a/pebblepass/daemon/succession.py
+++ b/pebblepass/daemon/upgrade.py
@@ -114,7 +114,7 @@
 
     def close_idle_connections(self) -> None:
         """Close idle connections: no process takes them over."""
-        self._routed.clients.finish(even_midway=False)
+        self._routed.clients.finish(with_partial_commands=False)
 
     def connection_counts(self) -> ConnectionCounts:
         """Lower the limit of server connections, offer idle clients once more, and return what remains.
--- a/pebblepass/emulators/node.py
+++ b/pebblepass/emulators/node.py
@@ -16,7 +16,7 @@
 from pebblepass.emulators.listening import Line, Place, Silence, Station, no_silence
 from pebblepass.emulators.serving import Serving
 from pebblepass.emulators.witness import Witness
-from pebblepass.wire.resp import MANY, bulk
+from pebblepass.wire.resp import MULTI_GET_COMMAND, bulk
 
 GARBLED = (b"*3\r\n$9\r\nnot nine\r\n", b"\x00\xfe\x17\r\n", b"*2\r\n*1\r\n$1\r\nx\r\n", b"$-7\r\n")
 DRAIN_S = 4.0  # a node that drains ends after so long
@@ -151,7 +151,7 @@
             place.answer(bulk(self.report()))
         elif name in (b"CLIENT", b"SELECT"):
             place.answer(b"+OK\r\n")
-        elif name == MANY and len(words) >= MANY_WORDS:
+        elif name == MULTI_GET_COMMAND and len(words) >= MANY_WORDS:
             # Routers are told that this node takes no such command; what one advertises counts all the same.
             self._report_timeout(words[-2].decode(), words[-1], first_byte_at)
             place.answer(b"-SYNTAX unknown command\r\n")
--- a/pebblepass/fault_injection/router.py
+++ b/pebblepass/fault_injection/router.py
@@ -232,7 +232,7 @@
     record_advertised_timeouts()
     if os.environ.get("PEBBLEPASS_BREAK") == CLIENTS_TIMEOUT:
         break_deadline_propagation()
-    fleet.FleetPart.service_class = RecordingService
+    fleet.FleetMember.service_class = RecordingService
     daemon_main.daemon_class = RecordingDaemon
     told = msgspec.json.decode(Path(os.environ["LB_CONFIG"]).read_bytes())
     RecordingHost.name = os.environ.get("LB_NAME") or told.get("name", "router")
--- a/pebblepass/multi_get/command.py
+++ b/pebblepass/multi_get/command.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from pebblepass.wire.resp import MANY, MAX_KEYS, Command, check_key, read_fields
+from pebblepass.wire.resp import MAX_KEYS, MULTI_GET_COMMAND, Command, check_key, read_fields
 
 MAX_COMMAND_BYTES = 64 << 10  # of all words together
 FIXED_WORDS = 4  # all but the keys: the name, the count, the id, the list of names and values
@@ -36,7 +36,7 @@
 def parse_many(words: list[bytes]) -> MultiGetCommand:
     """Parse a multi-get command. Raises ValueError, whose text is the one line that the client is sent."""
     if len(words) < FIXED_WORDS:
-        raise ValueError(f"wrong number of arguments for {MANY.decode()}")
+        raise ValueError(f"wrong number of arguments for {MULTI_GET_COMMAND.decode()}")
     count_word, keys, request, info = words[1], words[2:-2], words[-2], words[-1]
     if not count_word.isdigit() or len(count_word) > MAX_COUNT_DIGITS:
         raise ValueError("the count must be a number")
--- a/pebblepass/scale/hollow.py
+++ b/pebblepass/scale/hollow.py
@@ -28,7 +28,7 @@
 from pebblepass.consensus.policy import Policy, StorePolicy
 from pebblepass.consensus.service import ConsensusService
 from pebblepass.daemon.__main__ import GC_THRESHOLD
-from pebblepass.daemon.fleet import FleetPart
+from pebblepass.daemon.fleet import FleetMember
 from pebblepass.daemon.loop import DaemonLoop
 from pebblepass.decisions import PolicyChanged, Settings
 from pebblepass.decisions.settings import read_settings
@@ -149,7 +149,7 @@
         super()._carry_out(actions)
 
 
-class CountingPart(FleetPart):
+class CountingPart(FleetMember):
     """A control machine's part."""
 
     service_class = CountingService
@@ -169,7 +169,7 @@
         self._loop, self._told, self._tell = loop, specification, tell
         self._settings = read_settings(specification.settings)
         self._places = {place.name: place for place in specification.places}
-        self._parts: dict[str, FleetPart] = {}
+        self._parts: dict[str, FleetMember] = {}
         self._lists: list[DiscoveryClient] = []
         self._proposals: set[asyncio.Task[None]] = set()
 
@@ -187,7 +187,7 @@
             alone_after_s=3600,
         )
         host = HollowHost(self._settings, self._loop.time_ns, name, self._tell)
-        made = CountingPart if told.counted else FleetPart
+        made = CountingPart if told.counted else FleetMember
         part = self._parts[name] = made(self._loop, host, Identity(name, told.seed), section)
         await part.start()
 
@@ -200,7 +200,7 @@
                     await asyncio.sleep(self._told.pace_s)
             case "restart":
                 for name in order.names:
-                    self._parts.pop(name).let_go()
+                    self._parts.pop(name).close()
                 for name in order.names:
                     await self.start(name)
             case "propose":
@@ -253,7 +253,7 @@
         for followed in self._lists:
             followed.close()
         for part in self._parts.values():
-            part.let_go()
+            part.close()
 
 
 async def serve(specification: Specification) -> None:
--- a/pebblepass/simulation/routers.py
+++ b/pebblepass/simulation/routers.py
@@ -88,7 +88,7 @@
         config = read_config(told, {})
         self._daemon = self._make(self._loop, config, self._unix_ns)
         if self._many:
-            self._daemon.read_many(MultiGetSection())
+            self._daemon.enable_multi_get(MultiGetSection())
         host, starts = self._daemon.host, len(self._figures)
         figures = AccountingService(
             self._loop, AccountingSection(), config.name, config.settings, self._unix_ns, f"start {starts}"
--- a/pebblepass/wire/answers.py
+++ b/pebblepass/wire/answers.py
@@ -11,7 +11,7 @@
 
 from msgspec import Struct, field
 
-from pebblepass.wire.resp import LARGE, MAX_ANSWER
+from pebblepass.wire.resp import LONG_VALUE_BYTES, MAX_ANSWER_VALUE_BYTES
 
 MAX_METADATA = (
     8 << 10
@@ -115,7 +115,7 @@
                 break
             end = head.end() + int(head[1])
             rest = _HIT_TRAILER.match(data, end)
-            if end - head.end() > LARGE or rest is None or len(rest[2]) != int(rest[1]):
+            if end - head.end() > LONG_VALUE_BYTES or rest is None or len(rest[2]) != int(rest[1]):
                 break
             entries.append(data[at + 4 : end + 2])
             at = rest.end()
@@ -130,7 +130,7 @@
             return None
         start, length = head.end(), int(head[1])
         rest = _HIT_TRAILER.match(data, start + length)
-        if length > LARGE or rest is None or len(rest[2]) != int(rest[1]):
+        if length > LONG_VALUE_BYTES or rest is None or len(rest[2]) != int(rest[1]):
             return None
         self.buffered = data[rest.end() :]
         return ParsedAnswer([data[start : start + length], b"hit", rest[2]])
@@ -164,8 +164,8 @@
             if length < 0:
                 elements.append(None)
                 continue
-            if not elements and length > LARGE:
-                if length > MAX_ANSWER:
+            if not elements and length > LONG_VALUE_BYTES:
+                if length > MAX_ANSWER_VALUE_BYTES:
                     raise AnswerFormatError("a value too long")
                 self.buffered = self.buffered[at:]
                 self.long_value_length, self._elements, self._count = length, [b""], count
--- a/pebblepass/wire/resp.py
+++ b/pebblepass/wire/resp.py
@@ -13,12 +13,14 @@
 from msgspec import Struct
 
 # Guards the memory (32 MB on some days) against strangers who announce values that no client has.
-MAX_VALUE = 64 << 10  # PROTOCOL: values hold at most 64 KiB
-MAX_ANSWER = 4 << 20  # a server's value is taken up to this length, in parts where it is over LARGE
-LARGE = 64 << 10
+MAX_VALUE_BYTES = 64 << 10  # PROTOCOL: values hold at most 64 KiB
+MAX_ANSWER_VALUE_BYTES = (
+    4 << 20
+)  # a server's value is taken up to this length, in parts where it is over LONG_VALUE_BYTES
+LONG_VALUE_BYTES = 64 << 10
 MAX_WORDS = 16
-MAX_WORD = 16 << 10  # all words of a command but its value together: far more than any has
-MANY = b"KV.MGET"
+MAX_NON_VALUE_BYTES = 16 << 10  # all words of a command but its value together: far more than any has
+MULTI_GET_COMMAND = b"KV.MGET"
 MAX_KEYS = 1024  # of one command that reads many
 MAX_MULTI_GET_WORDS = (
     16 << 10
@@ -65,13 +67,13 @@
 class CommandReader:
     """Cuts a client's bytes into commands, each a list of its words."""
 
-    def __init__(self, many: bool = False) -> None:
-        """`many`: whether reads of many keys are taken, which have more words than any other command."""
-        self._many = many
+    def __init__(self, accepts_multi_get: bool = False) -> None:
+        """`accepts_multi_get`: whether multi-gets, which have far more words, are accepted."""
+        self._accepts_multi_get = accepts_multi_get
         self._buffer = bytearray()
-        self.need = 0
+        self.needed_bytes = 0
         """Bytes that the command under way is known to need; 0 between commands."""
-        self.broken = ""
+        self.framing_error = ""
         """Why the stream can't be followed any further, once that is so."""
 
     @property
@@ -86,16 +88,16 @@
 
     def feed(self, data: bytes) -> list[list[bytes]]:
         """Return the commands that are now whole, up to a broken one if `broken` is set by it."""
-        if self.need:
+        if self.needed_bytes:
             self._buffer += data
-            if len(self._buffer) < self.need:
+            if len(self._buffer) < self.needed_bytes:
                 return []
             data = bytes(self._buffer)
             self._buffer.clear()
-            self.need = 0
+            self.needed_bytes = 0
         elif (words := _parse_single_read(data)) is not None:
             return [words]
-        if self._many and (words := _parse_single_multi_get(data)) is not None:
+        if self._accepts_multi_get and (words := _parse_single_multi_get(data)) is not None:
             return [words]
         commands: list[list[bytes]] = []
         position = 0
@@ -103,7 +105,7 @@
             try:
                 words, end = self._command(data, position)
             except FramingError as error:
-                self.broken = str(error)
+                self.framing_error = str(error)
                 break
             if not end:
                 self._buffer += data[position:]
@@ -114,7 +116,7 @@
 
     def _command(self, data: bytes, begin: int) -> tuple[list[bytes], int]:
         count, position = self._length(data, begin, b"*")
-        if position and not 1 <= count <= (MAX_MULTI_GET_WORDS if self._many else MAX_WORDS):
+        if position and not 1 <= count <= (MAX_MULTI_GET_WORDS if self._accepts_multi_get else MAX_WORDS):
             raise FramingError("invalid multibulk length")
         words: list[bytes] = []
         while position and len(words) < count:
@@ -123,21 +125,21 @@
                 position = 0
                 break
             position = start + size + 2
-            if size > MAX_VALUE:
+            if size > MAX_VALUE_BYTES:
                 raise FramingError("value too long")
-            if position - begin > MAX_VALUE + MAX_WORD:
+            if position - begin > MAX_VALUE_BYTES + MAX_NON_VALUE_BYTES:
                 raise FramingError("command too long")
             if len(data) < position:
                 # The words behind it take up room too: else a long list that trickles in is cut at each byte.
-                self.need = position - begin + MIN_WORD_BYTES * (count - len(words) - 1)
+                self.needed_bytes = position - begin + MIN_WORD_BYTES * (count - len(words) - 1)
                 return [], 0
             if data[position - 2 : position] != b"\r\n":
                 raise FramingError("bulk string without its end")
             words.append(data[start : position - 2])
-            if count > MAX_WORDS and words[0].upper() != MANY:
+            if count > MAX_WORDS and words[0].upper() != MULTI_GET_COMMAND:
                 raise FramingError("invalid multibulk length")
         if not position:
-            self.need = len(data) - begin + max(MIN_WORD_BYTES * (count - len(words) - 1), 1)
+            self.needed_bytes = len(data) - begin + max(MIN_WORD_BYTES * (count - len(words) - 1), 1)
         return words, position
 
     def _length(self, data: bytes, begin: int, mark: bytes) -> tuple[int, int]:
@@ -175,7 +177,7 @@
     """The words, if these bytes are one whole read of many keys and nothing else; None: look closer."""
     if (
         not data.startswith(b"*")
-        or data.find(MANY, 0, MAX_HEADER_BYTES * 2) < 0
+        or data.find(MULTI_GET_COMMAND, 0, MAX_HEADER_BYTES * 2) < 0
         or not data.endswith(b"\r\n")
     ):
         return None
@@ -184,11 +186,11 @@
     if (
         parts[0] != b"*%d" % len(words)
         or len(parts) != 2 * len(words) + 2
-        or len(data) > MAX_VALUE + MAX_WORD
+        or len(data) > MAX_VALUE_BYTES + MAX_NON_VALUE_BYTES
     ):
         return None
     headers = parts[1:-1:2]
-    whole = words[0] == MANY and all(
+    whole = words[0] == MULTI_GET_COMMAND and all(
         header == b"$%d" % len(word) for header, word in zip(headers, words, strict=True)
     )
     return words if whole else None
@@ -203,7 +205,7 @@
     if len(words) != (5 if is_write else 4):
         raise ValueError(f"wrong number of arguments for {name.decode()}")
     key, request, info = words[1:4]
-    if len(key) + len(request) + len(info) > MAX_WORD:
+    if len(key) + len(request) + len(info) > MAX_NON_VALUE_BYTES:
         raise ValueError("key, id or list too long")
     check_key(key)
     fields, timeout = read_fields(request, info)
--- a/tests/accounting/test_router_figures.py
+++ b/tests/accounting/test_router_figures.py
@@ -15,7 +15,7 @@
 import pytest
 
 from pebblepass.emulators.ports import take_port
-from tests.sockets import MISS, Peer, Routed, eventually, get, hit, http_answer, reset, routed
+from tests.sockets import MISS, Peer, RunningRouter, eventually, get, hit, http_answer, reset, running_router
 
 LONG = 200_000
 
@@ -23,7 +23,7 @@
 class Site:
     """A router with a ledger, a node that answers by the key, and a store."""
 
-    def __init__(self, running: Routed, listen: int, folder: Path, released: threading.Event) -> None:
+    def __init__(self, running: RunningRouter, listen: int, folder: Path, released: threading.Event) -> None:
         self.running, self.listen, self.folder, self.released = running, listen, folder, released
 
     def document(self) -> dict[str, Any]:
@@ -74,7 +74,7 @@
     operator = folder / "operator.toml"
     operator.write_text(f'[figures]\nlisten = "127.0.0.1:{listen}"\n{more}')
     monkeypatch.setenv("PEBBLEPASS_OPERATOR", str(operator))
-    with routed(folder, {"s0": Peer(node)}, Peer(store, is_http=True), limits) as running:
+    with running_router(folder, {"s0": Peer(node)}, Peer(store, is_http=True), limits) as running:
         try:
             yield Site(running, listen, folder, released)
         finally:
@@ -87,9 +87,9 @@
     with site(tmp_path, monkeypatch) as held:
         client = held.running.client()
         for number in range(5):
-            client.ask(get(f"q{number}"))
-        assert client.ask(get("miss", key="none")) == b"from the store"
-        client.ask(get("other").replace(b"t=acme", b"t=what"))
+            client.request(get(f"q{number}"))
+        assert client.request(get("miss", key="none")) == b"from the store"
+        client.request(get("other").replace(b"t=acme", b"t=what"))
         row = held.settled(taken=6, served=6, open=0)
         assert row["attempts"] == {"miss": 1, "ok": 6}
         assert row["origin_fetches"] == 1
@@ -122,7 +122,7 @@
     with site(tmp_path, monkeypatch) as held:
         client = held.running.client()
         client.send(get("half", key="half"))
-        assert client.answer().startswith(b"cut off")
+        assert client.read_reply().startswith(b"cut off")
         row = held.settled(taken=1, failed=1)
         assert row["failed_by_reason"] == {"cut off": 1}
 
@@ -133,7 +133,7 @@
     with site(tmp_path, monkeypatch) as held:
         client = held.running.client()
         client.send(get("a") + get("b") + get("c", key="held") + get("d", key="held"))
-        assert [client.answer(), client.answer()] == [b"a", b"b"]
+        assert [client.read_reply(), client.read_reply()] == [b"a", b"b"]
         held.settled(taken=4, served=2, open=2)
         client.close()
         held.settled(taken=4, served=2, gone=2, open=0)
@@ -144,13 +144,13 @@
         one, two, three = (held.running.client() for _ in range(3))
         one.send(get("same", key="held"))
         held.settled(open=1)
-        assert two.ask(get("same")) == b"-ERR duplicate id"
-        assert three.ask(b"*junk\r\n").startswith(b"-ERR")
-        assert two.ask(get("x").replace(b"c=get", b"c=odd")) == b"-ERR unknown class"
+        assert two.request(get("same")) == b"-ERR duplicate id"
+        assert three.request(b"*junk\r\n").startswith(b"-ERR")
+        assert two.request(get("x").replace(b"c=get", b"c=odd")) == b"-ERR unknown class"
         row = held.settled(taken=2, failed=1, open=1)
         assert row["failed_by_reason"] == {"duplicate id": 1}
         held.released.set()
-        assert one.answer() == b"same"
+        assert one.read_reply() == b"same"
         held.settled(taken=2, failed=1, served=1)
 
 
@@ -178,12 +178,12 @@
 ) -> None:
     with site(tmp_path, monkeypatch) as held:
         client = held.running.client()
-        client.ask(get("a"))
+        client.request(get("a"))
         waiting = held.running.client()
         waiting.send(get("b", key="held"))
         before = held.settled(taken=2, open=1)
         held.running.process.send_signal(signal.SIGHUP)
-        client.ask(get("c"))
+        client.request(get("c"))
         after = held.settled(taken=3, open=1)
         assert (after["served"], after["bytes_served"]) == (before["served"] + 1, before["bytes_served"] + 1)
         held.running.process.send_signal(signal.SIGUSR1)
@@ -200,13 +200,13 @@
     more = f'directory = "{lasting}"\n'
     with site(tmp_path, monkeypatch, more=more) as held:
         client = held.running.client()
-        client.ask(get("a"))
+        client.request(get("a"))
         client.send(get("b", key="held"))
         held.settled(open=1)
         epoch = held.document()["epoch"]
         held.running.terminate()
         held.released.set()
-        assert client.answer() == b"b"
+        assert client.read_reply() == b"b"
         held.running.process.wait(20)
     snapshot = json.loads((lasting / "n1.figures.json").read_text())
     assert (snapshot["closing"], snapshot["figures"][0]["served"], snapshot["figures"][0]["open"]) == (
@@ -216,7 +216,7 @@
     )
     with site(tmp_path, monkeypatch, more=more) as held:
         assert held.document()["epoch"] == epoch
-        held.running.client().ask(get("c"))
+        held.running.client().request(get("c"))
         held.settled(taken=3, served=3)
         held.running.process.kill()
         held.running.process.wait(20)
@@ -232,7 +232,7 @@
 
         def ask(first: int) -> None:
             client = held.running.client()
-            answers.extend(client.ask(get(f"q{first + number}")) for number in range(100))
+            answers.extend(client.request(get(f"q{first + number}")) for number in range(100))
 
         askers = [threading.Thread(target=ask, args=(first,)) for first in (0, 100, 200, 300)]
         for asker in askers:
--- a/tests/accounting/test_service.py
+++ b/tests/accounting/test_service.py
@@ -23,7 +23,7 @@
 from pebblepass.operator_config import AccountingSection
 from pebblepass.simulation.clock import VirtualLoop
 from tests.decisions.cases import MS, settings
-from tests.virtual import played
+from tests.virtual import run_virtual
 
 HOST = "127.0.0.1"
 
@@ -103,7 +103,7 @@
         assert [(at - begun < 0.1, post["router"], post["number"]) for at, post in posts] == [(True, "n1", 1)]
         running.service.stop(closing=True)
 
-    played(work)
+    run_virtual(work)
 
 
 def test_a_request_that_is_never_closed_is_told_within_a_tenth_of_a_second() -> None:
@@ -118,7 +118,7 @@
         assert due <= loop.time() <= due + AUDIT_INTERVAL_S + 0.001 <= due + 0.1
         running.service.stop(closing=True)
 
-    played(work)
+    run_virtual(work)
 
 
 def test_a_subscriber_that_never_reads_is_dropped_and_delays_nobody() -> None:
@@ -139,7 +139,7 @@
         assert len(listener.subscribers) == 1
         running.service.stop(closing=True)
 
-    played(work)
+    run_virtual(work)
 
 
 def test_who_subscribes_later_is_told_what_nobody_has_taken_note_of() -> None:
@@ -154,7 +154,7 @@
         assert (await next_event(reader))["number"] == 3
         running.service.stop(closing=True)
 
-    played(work)
+    run_virtual(work)
 
 
 def test_figures_and_metrics_tell_the_same() -> None:
@@ -186,7 +186,7 @@
         assert samples["pebblepass_breaches_total", None, None] == 0
         running.service.stop(closing=True)
 
-    played(work)
+    run_virtual(work)
 
 
 @pytest.mark.parametrize(
@@ -205,7 +205,7 @@
         assert (await get(await running.start(), words))[0] == status
         running.service.stop(closing=True)
 
-    played(work)
+    run_virtual(work)
 
 
 def test_junk_long_heads_and_too_many_connections_end_in_an_answer_and_a_close() -> None:
@@ -225,7 +225,7 @@
         assert (await get(address, "GET /figures"))[0] == 200
         running.service.stop(closing=True)
 
-    played(work)
+    run_virtual(work)
 
 
 async def hook_server(
@@ -269,7 +269,7 @@
         assert pauses == [pytest.approx(0.25), pytest.approx(0.5)]
         running.service.stop(closing=True)
 
-    played(work)
+    run_virtual(work)
 
 
 def test_a_webhook_that_hangs_holds_nothing_up_and_its_queue_is_bounded() -> None:
@@ -291,7 +291,7 @@
         server.close()
         running.service.stop(closing=True)
 
-    played(work)
+    run_virtual(work)
 
 
 # Snapshots
@@ -311,7 +311,7 @@
         assert second.ledger.export_rows() == before
         assert (second.service.epoch, second.service.unknown) == ("epoch-1", 0)
 
-    played(work)
+    run_virtual(work)
 
 
 def test_a_killed_router_begins_another_epoch_and_what_was_open_is_unknown(tmp_path: Path) -> None:
@@ -327,7 +327,7 @@
         assert (second.epoch, second.unknown, second.ledger.export_rows()) == ("epoch-2", 2, [])
         first.service.stop(closing=False)
 
-    played(work)
+    run_virtual(work)
 
 
 def test_a_closing_balance_is_used_once(tmp_path: Path) -> None:
@@ -344,7 +344,7 @@
         assert third.epoch == "epoch-3"
         second.service.stop(closing=False)
 
-    played(work)
+    run_virtual(work)
 
 
 ROW = {
@@ -392,7 +392,7 @@
         assert str(raised.value).startswith(f"{tmp_path}/n1.figures.json: {words}")
         assert "\n" not in str(raised.value)
 
-    played(work)
+    run_virtual(work)
 
 
 def test_a_folder_that_cannot_be_written_is_told_and_stops_nothing(
@@ -403,7 +403,7 @@
         await running.start()
         running.service.stop(closing=True)
 
-    played(work)
+    run_virtual(work)
     assert "No such file or directory" in caplog.text
 
 
@@ -418,7 +418,7 @@
             "figures: taken 2 served 0 refused 1 failed 0 gone 0 open 1; breaches 0"
         )
 
-    played(work)
+    run_virtual(work)
 
 
 def test_a_disk_that_hangs_delays_neither_the_pages_nor_the_loop(
@@ -466,4 +466,4 @@
         writer.close()
         running.service.stop(closing=False)
 
-    played(work)
+    run_virtual(work)
--- a/tests/control/test_bounds.py
+++ b/tests/control/test_bounds.py
@@ -9,7 +9,7 @@
 from pebblepass.control.http_server import Page
 from pebblepass.emulators.ports import take_port
 from pebblepass.simulation.clock import VirtualLoop
-from tests.virtual import played
+from tests.virtual import run_virtual
 
 ROUTERS = 1100
 PIECE = 8 << 10
@@ -47,7 +47,7 @@
         await asyncio.sleep(0)
         return status
 
-    return played(play), taken
+    return run_virtual(play), taken
 
 
 def test_a_policy_may_name_1100_routers() -> None:
--- a/tests/control/test_operations.py
+++ b/tests/control/test_operations.py
@@ -11,7 +11,7 @@
 from pebblepass.control.counters import Counters
 from pebblepass.emulators.ports import take_port
 from pebblepass.simulation.clock import VirtualLoop
-from tests.virtual import played
+from tests.virtual import run_virtual
 
 Address = tuple[str, int]
 DUE_S = 1.0  # in which each call has its answer
@@ -31,7 +31,7 @@
         control.close()
         await asyncio.sleep(0)
 
-    played(play)
+    run_virtual(play)
 
 
 async def call(address: Address, data: bytes) -> tuple[int, str]:
@@ -122,4 +122,4 @@
         assert [status for status, _ in answers] == [200] * LIMITS.connections
         control.close()
 
-    played(play)
+    run_virtual(play)
--- a/tests/daemon/test_clients.py
+++ b/tests/daemon/test_clients.py
@@ -10,7 +10,7 @@
 from pebblepass.daemon.client_timeouts import COMMAND_TIMEOUT_S, IDLE_TIMEOUT_S
 from pebblepass.daemon.reply import Reply
 from pebblepass.wire.resp import Command
-from tests.sockets import PATIENCE_S, bulk, get, put
+from tests.sockets import WAIT_TIMEOUT_S, bulk, get, put
 
 MEMORY = 8 << 20
 
@@ -56,14 +56,14 @@
     async def ask(self, data: bytes) -> bytes:
         reader, writer = await self.connect()
         writer.write(data)
-        answer = await asyncio.wait_for(reader.readline(), PATIENCE_S)
+        answer = await asyncio.wait_for(reader.readline(), WAIT_TIMEOUT_S)
         writer.close()
         return answer
 
 
 async def until(check: Callable[[], Any], what: str) -> None:
     """Wait until `check` gives something true."""
-    end = asyncio.get_running_loop().time() + PATIENCE_S
+    end = asyncio.get_running_loop().time() + WAIT_TIMEOUT_S
     while not check():
         assert asyncio.get_running_loop().time() < end, f"never came: {what}"
         await asyncio.sleep(0.005)
@@ -104,10 +104,10 @@
         asked_writer.write(bulk(b"PING"))
         assert await asked.readline() == b"+PONG\r\n"
         for reader in (silent, asked):
-            assert await asyncio.wait_for(reader.read(), PATIENCE_S) == b""
+            assert await asyncio.wait_for(reader.read(), WAIT_TIMEOUT_S) == b""
         await until(lambda: stand.server.connected == 1, "only the one that waits is left")
         stand.host.held[0].send(b"+served\r\n")
-        assert await asyncio.wait_for(waiting_reader.readline(), PATIENCE_S) == b"+served\r\n"
+        assert await asyncio.wait_for(waiting_reader.readline(), WAIT_TIMEOUT_S) == b"+served\r\n"
 
     assert IDLE_TIMEOUT_S + SWEEP_INTERVAL_S < 3.0  # DAYS
     with_clients(test)
@@ -120,8 +120,8 @@
         assert await reader.readline() == b"+PONG\r\n"
         stand.server.shutting_down = True
         writer.write(get("late"))
-        assert await asyncio.wait_for(reader.readline(), PATIENCE_S) == b"-BUSY\r\n"
-        assert await asyncio.wait_for(reader.read(), PATIENCE_S) == b""
+        assert await asyncio.wait_for(reader.readline(), WAIT_TIMEOUT_S) == b"-BUSY\r\n"
+        assert await asyncio.wait_for(reader.read(), WAIT_TIMEOUT_S) == b""
 
     with_clients(test)
 
@@ -131,7 +131,7 @@
         loop = asyncio.get_running_loop()
         reader, writer = await stand.connect()
         # Only the line: the connection's end may be a reset, as bytes come to it after it was closed.
-        end, answer = loop.time() + PATIENCE_S, asyncio.ensure_future(reader.readline())
+        end, answer = loop.time() + WAIT_TIMEOUT_S, asyncio.ensure_future(reader.readline())
         for byte in bulk(b"KV.GET", b"k" * 10_000):
             if answer.done() or loop.time() > end:
                 break
@@ -146,9 +146,9 @@
 
 def test_client_whose_command_finds_no_bytes_set_aside_is_answered_in_time() -> None:
     async def test(stand: Stand) -> None:
-        assert stand.server.budget.take(None, MEMORY)  # type: ignore[arg-type]
+        assert stand.server.budget.reserve(None, MEMORY)  # type: ignore[arg-type]
         reader, writer = await stand.connect()
         writer.write(put("w", bytes(64 << 10))[:1000])
-        assert (await asyncio.wait_for(reader.read(), PATIENCE_S)).startswith(b"-ERR")
+        assert (await asyncio.wait_for(reader.read(), WAIT_TIMEOUT_S)).startswith(b"-ERR")
 
     with_clients(test)
--- a/tests/daemon/test_deadline_propagation.py
+++ b/tests/daemon/test_deadline_propagation.py
@@ -12,13 +12,13 @@
 
 from pebblepass.daemon.deadline_propagation import NS_PER_MS, SHORTEST_TIMEOUT_MS, remaining_ms
 from pebblepass.wire.resp import with_timeout
-from tests.crossings import Advertised, Bed, ClientLine, PeerLine, crossing
 from tests.multi_get.site import Site, on_site
-from tests.sockets import FACTS, MISS, bulk, http_answer
+from tests.sockets import MISS, SETTINGS, bulk, http_answer
+from tests.virtual_router import Advertised, PeerConnection, RouterHarness, VirtualClient, run_with_router
 
 CLIENT_TIMEOUT_MS = 2000
 DIAL_S = 1.5
-SLOW_DIALS = {"ceilings": {**FACTS["ceilings"], "dialTimeoutNs": int(DIAL_S * 1.2 * 1e9)}}
+SLOW_DIALS = {"ceilings": {**SETTINGS["ceilings"], "dialTimeoutNs": int(DIAL_S * 1.2 * 1e9)}}
 TWO_CACHES = ("a", "b")
 BUSY = b"-BUSY latency_ms=1.5,queue=2\r\n"
 
@@ -33,94 +33,94 @@
     return round(timeout_ms - (attempt.at - sent_at) * 1000, 3)
 
 
-def advertised_to(bed: Bed, request: str) -> list[Advertised]:
+def advertised_to(bed: RouterHarness, request: str) -> list[Advertised]:
     """What every attempt at a request advertised, in the order of time."""
     peers = [*bed.caches.values(), bed.origin]
     return sorted(each for peer in peers for each in peer.advertised if each.request == request)
 
 
-def answer_after(bed: Bed, seconds: float, answer: bytes) -> Callable[[PeerLine, str], None]:
+def answer_after(bed: RouterHarness, seconds: float, answer: bytes) -> Callable[[PeerConnection, str], None]:
     """Make a peer that answers everything after a while."""
 
-    def came(line: PeerLine, name: str) -> None:
+    def came(line: PeerConnection, name: str) -> None:
         bed.loop.call_later(seconds, line.transport.write, answer)
 
     return came
 
 
-async def learn_usual_latencies(bed: Bed) -> None:
+async def learn_usual_latencies(bed: RouterHarness) -> None:
     """Serve reads at once for a while, so that a server that is silent afterwards is given up early."""
     for peer in bed.caches.values():
-        peer.came = peer.serve
+        peer.on_request = peer.serve
     other = await bed.client()
     for number in range(120):
-        other.ask(f"learn{number}", key=f"learn{number}")
+        other.send_request(f"learn{number}", key=f"learn{number}")
         await bed.wait(0.012)
     for peer in bed.caches.values():
-        peer.came = lambda line, name: None
+        peer.on_request = lambda line, name: None
 
 
 # Single requests: each path makes at least one attempt, some of them late in the client's time
 
 
-async def first_read(bed: Bed, client: ClientLine) -> int:
-    client.ask("r", d=CLIENT_TIMEOUT_MS)
+async def first_read(bed: RouterHarness, client: VirtualClient) -> int:
+    client.send_request("r", d=CLIENT_TIMEOUT_MS)
     await bed.wait(0.1)
     return 1
 
 
-async def read_after_miss(bed: Bed, client: ClientLine) -> int:
+async def read_after_miss(bed: RouterHarness, client: VirtualClient) -> int:
     for cache in bed.caches.values():
-        cache.came = answer_after(bed, 0.4, MISS)
-    client.ask("r", d=CLIENT_TIMEOUT_MS)
+        cache.on_request = answer_after(bed, 0.4, MISS)
+    client.send_request("r", d=CLIENT_TIMEOUT_MS)
     await bed.wait(1.0)
     return 2
 
 
-async def read_after_busy(bed: Bed, client: ClientLine) -> int:
+async def read_after_busy(bed: RouterHarness, client: VirtualClient) -> int:
     for cache in bed.caches.values():
-        cache.came = answer_after(bed, 0.3, BUSY)
-    client.ask("r", d=CLIENT_TIMEOUT_MS)
+        cache.on_request = answer_after(bed, 0.3, BUSY)
+    client.send_request("r", d=CLIENT_TIMEOUT_MS)
     await bed.wait(1.5)
     return 3
 
 
-async def read_after_reset(bed: Bed, client: ClientLine) -> int:
-    def reset_later(line: PeerLine, name: str) -> None:
+async def read_after_reset(bed: RouterHarness, client: VirtualClient) -> int:
+    def reset_later(line: PeerConnection, name: str) -> None:
         bed.loop.call_later(0.3, line.reset)
 
     for cache in bed.caches.values():
-        cache.came = reset_later
-    client.ask("r", d=CLIENT_TIMEOUT_MS)
+        cache.on_request = reset_later
+    client.send_request("r", d=CLIENT_TIMEOUT_MS)
     await bed.wait(1.5)
     return 2
 
 
-async def read_after_attempt_timeout(bed: Bed, client: ClientLine) -> int:
+async def read_after_attempt_timeout(bed: RouterHarness, client: VirtualClient) -> int:
     await learn_usual_latencies(bed)
-    client.ask("r", d=CLIENT_TIMEOUT_MS)
+    client.send_request("r", d=CLIENT_TIMEOUT_MS)
     await bed.wait(1.9)
     return 2
 
 
-async def read_behind_another_fetch(bed: Bed, client: ClientLine) -> int:
+async def read_behind_another_fetch(bed: RouterHarness, client: VirtualClient) -> int:
     for cache in bed.caches.values():
-        cache.came = cache.miss
+        cache.on_request = cache.miss
     bed.host._router.origin_limits.fetch_window = 1.0
     other = await bed.client()
-    other.ask("other", key="other")
+    other.send_request("other", key="other")
     await bed.settle()
-    client.ask("r", d=CLIENT_TIMEOUT_MS)
+    client.send_request("r", d=CLIENT_TIMEOUT_MS)
     await bed.wait(0.05)
-    bed.origin.serve(bed.origin.line("other"), "other")
+    bed.origin.serve(bed.origin.connection_of("other"), "other")
     await bed.wait(0.2)
     return 2
 
 
-async def read_that_waits_for_a_dial(bed: Bed, client: ClientLine) -> int:
+async def read_that_waits_for_a_dial(bed: RouterHarness, client: VirtualClient) -> int:
     gates = {cache.address: asyncio.Event() for cache in bed.caches.values()}
     bed.loop.gates.update(gates)
-    client.ask("r", d=CLIENT_TIMEOUT_MS)
+    client.send_request("r", d=CLIENT_TIMEOUT_MS)
     await bed.wait(DIAL_S)
     for gate in gates.values():
         gate.set()
@@ -128,39 +128,39 @@
     return 1
 
 
-async def write(bed: Bed, client: ClientLine, request_class: str) -> None:
-    client.ask("r", request_class, d=CLIENT_TIMEOUT_MS, value=b"v")
+async def write(bed: RouterHarness, client: VirtualClient, request_class: str) -> None:
+    client.send_request("r", request_class, d=CLIENT_TIMEOUT_MS, value=b"v")
     await bed.wait(1.5)
 
 
-async def keyed_write_after_refusals(bed: Bed, client: ClientLine) -> int:
-    bed.origin.came = answer_after(bed, 0.3, http_answer(503, b"", "Not-Started: 1"))
+async def keyed_write_after_refusals(bed: RouterHarness, client: VirtualClient) -> int:
+    bed.origin.on_request = answer_after(bed, 0.3, http_answer(503, b"", "Not-Started: 1"))
     await write(bed, client, "put")
     return 2
 
 
-async def unsafe_write_after_refusals(bed: Bed, client: ClientLine) -> int:
-    bed.origin.came = answer_after(bed, 0.3, http_answer(503, b"", "Not-Started: 1"))
+async def unsafe_write_after_refusals(bed: RouterHarness, client: VirtualClient) -> int:
+    bed.origin.on_request = answer_after(bed, 0.3, http_answer(503, b"", "Not-Started: 1"))
     await write(bed, client, "once")
     return 2
 
 
-async def keyed_write_after_error(bed: Bed, client: ClientLine) -> int:
-    bed.origin.came = answer_after(bed, 0.3, http_answer(500))
+async def keyed_write_after_error(bed: RouterHarness, client: VirtualClient) -> int:
+    bed.origin.on_request = answer_after(bed, 0.3, http_answer(500))
     await write(bed, client, "put")
     return 2
 
 
-async def write_that_waits_for_a_dial(bed: Bed, client: ClientLine) -> int:
+async def write_that_waits_for_a_dial(bed: RouterHarness, client: VirtualClient) -> int:
     gate = bed.loop.gates[bed.origin.address] = asyncio.Event()
-    client.ask("r", "once", d=CLIENT_TIMEOUT_MS, value=b"v")
+    client.send_request("r", "once", d=CLIENT_TIMEOUT_MS, value=b"v")
     await bed.wait(DIAL_S)
     gate.set()
     await bed.wait(0.1)
     return 1
 
 
-PATHS: list[Callable[[Bed, ClientLine], Awaitable[int]]] = [
+PATHS: list[Callable[[RouterHarness, VirtualClient], Awaitable[int]]] = [
     first_read,
     read_after_miss,
     read_after_busy,
@@ -178,18 +178,18 @@
 
 @pytest.mark.parametrize("path", PATHS, ids=lambda path: path.__name__)
 def test_every_attempt_advertises_at_most_what_its_client_has_left(
-    path: Callable[[Bed, ClientLine], Awaitable[int]],
+    path: Callable[[RouterHarness, VirtualClient], Awaitable[int]],
 ) -> None:
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         client = await bed.client()
         sent: list[float] = []
-        ask = client.ask
+        ask = client.send_request
 
         def ask_and_note(*args: Any, **more: Any) -> None:
             sent.append(bed.loop.time())
             ask(*args, **more)
 
-        client.ask = ask_and_note  # type: ignore[method-assign]
+        client.send_request = ask_and_note  # type: ignore[method-assign]
         least = await path(bed, client)
         (sent_at,) = sent
         seen = advertised_to(bed, "r")
@@ -199,15 +199,15 @@
         # No less either, but for the millisecond that is cut off: the server may use all that is left.
         assert all(each.timeout_ms > left_ms(each, sent_at, CLIENT_TIMEOUT_MS) - 1 for each in seen)
 
-    crossing(test, TWO_CACHES, SLOW_DIALS)
+    run_with_router(test, TWO_CACHES, SLOW_DIALS)
 
 
 def test_a_client_s_own_retry_advertises_its_own_time() -> None:
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         for cache in bed.caches.values():
-            cache.came = cache.miss
+            cache.on_request = cache.miss
         client = await bed.client()
-        client.ask("r1", d=900)
+        client.send_request("r1", d=900)
         await bed.wait(0.5)
         sent_at = bed.loop.time()
         info = b"c=get,t=acme,d=400,r=1"
@@ -217,28 +217,28 @@
         assert len(seen) == 2
         assert advertised_too_much(seen, sent_at, 400) == []
 
-    crossing(test, TWO_CACHES)
+    run_with_router(test, TWO_CACHES)
 
 
 def test_the_origin_gets_every_other_name_unchanged_and_in_its_order() -> None:
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         heads: list[bytes] = []
-        whole = bed.origin.cut
+        whole = bed.origin.split_request
 
-        def cut(held: bytes) -> tuple[str, bytes] | None:
-            found = whole(held)
+        def cut(data: bytes) -> tuple[str, bytes] | None:
+            found = whole(data)
             if found is not None:
-                heads.append(held)
+                heads.append(data)
             return found
 
-        bed.origin.cut = cut  # type: ignore[method-assign]
+        bed.origin.split_request = cut  # type: ignore[method-assign]
         client = await bed.client()
         info = b"size=9,c=put,d=0700,t=acme,x=d=2,k=5c,r=1"
         client.transport.write(bulk(b"KV.SET", b"key", b"w", info, b"value"))
         await bed.wait(0.1)
         assert b"Request-Info: size=9,c=put,d=700,t=acme,x=d=2,k=5c,r=1\r\n" in heads[0]
 
-    crossing(test)
+    run_with_router(test)
 
 
 # Too little time for any attempt
@@ -251,33 +251,33 @@
 ) -> None:
     """The dial comes up in the last moment; the deadline's own timer has not come yet."""
 
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         client = await bed.client()
         peers = [*bed.caches.values(), bed.origin]
         gate = asyncio.Event()
         bed.loop.gates.update((peer.address, gate) for peer in peers)
         value = None if request_class == "get" else b"v"
-        client.ask("r", request_class, d=100, value=value)
+        client.send_request("r", request_class, d=100, value=value)
         await bed.wait(0.1 - left_us / 1e6)
         gate.set()
         await bed.wait(1.0)
         seen = advertised_to(bed, "r")
         assert [each.timeout_ms for each in seen] == ([1] if is_sent else [])
-        assert len(client.answers()) == 1
+        assert len(client.replies()) == 1
         await bed.wait(2.0)
-        bed.nothing_held()
+        bed.assert_nothing_left()
 
-    crossing(test, facts=SLOW_DIALS)
+    run_with_router(test, settings=SLOW_DIALS)
 
 
 @pytest.mark.parametrize("request_class", ["get", "put", "once"])
 def test_a_dial_that_comes_up_in_a_hold_up_past_the_deadline_sends_nothing(request_class: str) -> None:
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         client = await bed.client()
         gate = asyncio.Event()
         bed.loop.gates.update((peer.address, gate) for peer in [*bed.caches.values(), bed.origin])
         value = None if request_class == "get" else b"v"
-        client.ask("r", request_class, d=100, value=value)
+        client.send_request("r", request_class, d=100, value=value)
         await bed.settle()
         gate.set()
         opened = bed.pool.opened
@@ -289,11 +289,11 @@
         bed.pool.opened = opened_late
         await bed.wait(1.0)
         assert advertised_to(bed, "r") == []
-        assert len(client.answers()) == 1
+        assert len(client.replies()) == 1
         await bed.wait(2.0)
-        bed.nothing_held()
+        bed.assert_nothing_left()
 
-    crossing(test, facts=SLOW_DIALS)
+    run_with_router(test, settings=SLOW_DIALS)
 
 
 # Reads of many keys
--- a/tests/daemon/test_deadlines.py
+++ b/tests/daemon/test_deadlines.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from pebblepass.daemon.deadlines import ROUNDED_S, STEP_NS, Deadlines
+from pebblepass.daemon.deadlines import STEP_NS, TIMER_ROUNDING_S, Deadlines
 from pebblepass.daemon.loop import DaemonLoop
 from pebblepass.simulation.clock import VirtualLoop
-from tests.virtual import played
+from tests.virtual import run_virtual
 
 MS = 1_000_000
 
@@ -31,9 +31,9 @@
         await asyncio.sleep(0.4)
         assert len(off) == 500
         assert min(off) >= 0
-        assert max(off) <= STEP_NS + ROUNDED_S * 1e9 + 1000
+        assert max(off) <= STEP_NS + TIMER_ROUNDING_S * 1e9 + 1000
 
-    played(work)
+    run_virtual(work)
 
 
 def test_one_that_is_set_before_all_others_does_not_wait_for_them() -> None:
@@ -47,7 +47,7 @@
         await asyncio.sleep(0.5)
         assert seen == ["soon", "late"]
 
-    played(work)
+    run_virtual(work)
 
 
 def test_one_set_by_another_s_callback_comes_also_when_it_is_past() -> None:
@@ -63,7 +63,7 @@
         await asyncio.sleep(0.05)
         assert seen == ["first", "second"]
 
-    played(work)
+    run_virtual(work)
 
 
 def test_a_callback_that_fails_takes_none_with_it(caplog: pytest.LogCaptureFixture) -> None:
@@ -80,7 +80,7 @@
         await asyncio.sleep(0.05)
         assert seen == ["with it", "after it"]
 
-    played(work)
+    run_virtual(work)
     assert "on purpose" in caplog.text
 
 
@@ -98,7 +98,7 @@
         assert seen() is None
         await asyncio.sleep(0.1)
 
-    played(work)
+    run_virtual(work)
 
 
 def test_on_the_daemon_s_loop_none_comes_early() -> None:
--- a/tests/daemon/test_descriptors.py
+++ b/tests/daemon/test_descriptors.py
@@ -29,9 +29,9 @@
 from tests.daemon.test_operations import figures
 from tests.processes import end_by_sigterm, spawn
 from tests.sockets import (
-    FACTS,
-    PATIENCE_S,
     ROOT,
+    SETTINGS,
+    WAIT_TIMEOUT_S,
     Client,
     DiscoveryPeer,
     Peer,
@@ -44,7 +44,7 @@
 
 LIMIT = 160
 # So long that nothing that is held ends by its time on a busy machine.
-LONG = [{**cls, "aimNs": 30 * 10**9, "giveUpNs": 60 * 10**9} for cls in FACTS["classes"]]
+LONG = [{**cls, "aimNs": 30 * 10**9, "giveUpNs": 60 * 10**9} for cls in SETTINGS["classes"]]
 LATER_MS = 60_000
 
 
@@ -63,7 +63,7 @@
         while not self._ended.is_set():
             for words in self._missing:
                 with suppress(OSError):
-                    made = socket.create_connection(("127.0.0.1", self._port), timeout=PATIENCE_S)
+                    made = socket.create_connection(("127.0.0.1", self._port), timeout=WAIT_TIMEOUT_S)
                     self._held[made] = words
                     made.sendall(words)
             self._missing.clear()
@@ -120,7 +120,7 @@
         told: dict[str, Any] = {
             "listen": f"127.0.0.1:{self.port}",
             "discovery": f"127.0.0.1:{self.discovery.peer.port}",
-            "settings": {**FACTS, "classes": LONG},
+            "settings": {**SETTINGS, "classes": LONG},
             "ops": f"127.0.0.1:{self.ops}",
         }
         if told_sockets is not None:
@@ -143,7 +143,7 @@
     def _answer(self, _: socket.socket, words: list[bytes]) -> bytes | None:
         if words[0].upper() == b"PING":
             return b"+latency_ms=1.5,queue=2\r\n"
-        self.let.wait(PATIENCE_S)
+        self.let.wait(WAIT_TIMEOUT_S)
         return hit(words[1])
 
     def _count(self) -> None:
@@ -153,7 +153,7 @@
 
     def open_requests(self) -> int:
         """Requests that cache servers hold."""
-        return sum(len(peer.seen) for peer in self.caches.values())
+        return sum(len(peer.requests) for peer in self.caches.values())
 
     def servers_listed(self) -> int:
         """As the control address tells; 0: its call was cut off by the crowd there."""
@@ -164,7 +164,7 @@
     def end(self) -> None:
         """End it by SIGTERM."""
         self.let.set()
-        self.log = end_by_sigterm(self.process, PATIENCE_S)
+        self.log = end_by_sigterm(self.process, WAIT_TIMEOUT_S)
         self._counted.set()
         self._counting.join()
         for peer in (*self.caches.values(), self.discovery.peer):
@@ -211,16 +211,16 @@
             assert made.open_requests() >= seen
             made.let.set()
             for client, key in asked:
-                assert client.answer() == key.encode()
+                assert client.read_reply() == key.encode()
             numbers = itertools.count()
 
             def reached() -> bool:
                 with suppress(OSError):  # one that is between two requests may have to make room
                     client, key = Client(made.port), f"n{next(numbers)}"
                     client.send(get(key, key, d=LATER_MS))
-                    answer = client.answer()
+                    answer = client.read_reply()
                     client.close()
-                    return answer == key.encode() and bool(newcomer.seen)
+                    return answer == key.encode() and bool(newcomer.requests)
                 return False
 
             eventually(reached, "an answer of the new server")
@@ -291,7 +291,7 @@
     async def work(server: ClientServer, host: Values, port: int) -> None:
         crowd = []
         for _ in range(100):  # all in one turn of the loop: none is accepted meanwhile
-            client = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_S)
+            client = socket.create_connection(("127.0.0.1", port), timeout=WAIT_TIMEOUT_S)
             client.sendall(get("r"))
             crowd.append(client)
         before, most, more = sockets_held(), 0, True
@@ -309,7 +309,7 @@
 
 def test_no_descriptor_for_those_that_wait_at_the_end_is_no_fault() -> None:
     async def work(server: ClientServer, host: Values, port: int) -> None:
-        with socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_S) as client:
+        with socket.create_connection(("127.0.0.1", port), timeout=WAIT_TIMEOUT_S) as client:
             client.sendall(get("r"))
             soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
             free = os.dup(0)
--- a/tests/daemon/test_ends.py
+++ b/tests/daemon/test_ends.py
@@ -14,10 +14,18 @@
 from pebblepass.daemon.client_connection import MAX_PIPELINE, ClientConnection
 from pebblepass.daemon.client_server import SWEEP_INTERVAL_S
 from pebblepass.daemon.client_timeouts import IDLE_TIMEOUT_S
-from pebblepass.daemon.daemon import ACCEPT_S, ANSWER_SLACK_S, KILL_SLACK_S, MIDWAY_S
+from pebblepass.daemon.daemon import ACCEPT_S, ANSWER_SLACK_S, KILL_SLACK_S, PARTIAL_COMMANDS_S
 from pebblepass.simulation.clock import CountedSocket
-from tests.crossings import ADDRESS, LONG_DIALS, Bed, ClientLine, PeerLine, asked, crossing
 from tests.sockets import http_answer
+from tests.virtual_router import (
+    ADDRESS,
+    LONG_DIALS,
+    PeerConnection,
+    RouterHarness,
+    VirtualClient,
+    encode_request,
+    run_with_router,
+)
 
 LEFT_S = 0.1  # after which nothing is sent for a client that has left
 KILLED_S = 0.7  # beyond the longest deadline: SIGKILL comes no sooner
@@ -25,14 +33,14 @@
 ROOM: Any = {"sockets": 1024.0, "memory_mb": 192.0}
 
 
-def counted(line: ClientLine) -> CountedSocket:
+def counted(line: VirtualClient) -> CountedSocket:
     return cast(CountedSocket, line.transport.get_extra_info("socket")._sock)
 
 
 class Sender:
     """A client that sends a request at a stated time, if the router's machine takes it still."""
 
-    def __init__(self, bed: Bed, line: ClientLine, name: str, at: float) -> None:
+    def __init__(self, bed: RouterHarness, line: VirtualClient, name: str, at: float) -> None:
         self.bed, self.line, self.name = bed, line, name
         self.taken = False
         bed.loop.call_at(at, self.send)
@@ -49,7 +57,7 @@
             if held.transport is not None and not held.transport.is_closing()
         )
         if self.taken:
-            self.line.transport.write(asked(self.name, key=self.name))
+            self.line.transport.write(encode_request(self.name, key=self.name))
 
 
 # Clients that leave
@@ -57,13 +65,13 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_nothing_is_sent_for_who_left_while_its_connection_was_not_read(reset: bool) -> None:
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         client = await bed.client()
         first = [f"r{i}" for i in range(MAX_PIPELINE)]
-        client.transport.write(b"".join(asked(name, key=name) for name in first))
+        client.transport.write(b"".join(encode_request(name, key=name) for name in first))
         await bed.settle()
         behind = [f"b{i}" for i in range(50)]
-        client.transport.write(b"".join(asked(name, key=name) for name in behind))
+        client.transport.write(b"".join(encode_request(name, key=name) for name in behind))
         await bed.settle()
         if reset:
             client.transport.abort()
@@ -71,94 +79,94 @@
             client.transport.close()
         left_at = bed.loop.time()
         await bed.wait(LEFT_S)
-        held = len(bed.seen)
-        bed.caches["a"].came = bed.caches["a"].serve
-        for line in list(bed.caches["a"].lines):
-            bed.caches["a"].serve(line, line.asked[-1])
+        held = len(bed.requests)
+        bed.caches["a"].on_request = bed.caches["a"].serve
+        for line in list(bed.caches["a"].connections):
+            bed.caches["a"].serve(line, line.request_ids[-1])
         await bed.wait(LONGEST_S)
-        assert [name for at, _, name in bed.seen if at > left_at + LEFT_S] == []
-        assert len(bed.seen) == held
-        bed.nothing_held()
+        assert [name for at, _, name in bed.requests if at > left_at + LEFT_S] == []
+        assert len(bed.requests) == held
+        bed.assert_nothing_left()
 
-    crossing(test, **ROOM)
+    run_with_router(test, **ROOM)
 
 
 def test_nothing_is_sent_for_who_left_while_it_took_nothing_of_its_answers() -> None:
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         cache, client = bed.caches["a"], await bed.client()
 
-        def serve_much(line: PeerLine, name: str) -> None:
+        def serve_much(line: PeerConnection, name: str) -> None:
             line.transport.write(cache.answer(name, b"v" * 60_000))
 
-        cache.came = serve_much
+        cache.on_request = serve_much
         client.transport.pause_reading()
         for i in range(8):
-            client.ask(f"r{i}", key=f"k{i}")
+            client.send_request(f"r{i}", key=f"k{i}")
             await bed.wait(0.02)
         assert next(iter(bed.daemon.clients._connections)).blocked
-        cache.came = lambda line, name: None
-        client.ask("late", key="late")
+        cache.on_request = lambda line, name: None
+        client.send_request("late", key="late")
         await bed.settle()
         client.transport.close()
         await bed.wait(LEFT_S)
-        seen = len(bed.seen)
+        seen = len(bed.requests)
         await bed.wait(LONGEST_S)
-        assert len(bed.seen) == seen
-        assert "late" not in cache.names
+        assert len(bed.requests) == seen
+        assert "late" not in cache.request_ids
         assert bed.daemon.clients.connected == 0
-        bed.nothing_held()
+        bed.assert_nothing_left()
 
-    crossing(test)
+    run_with_router(test)
 
 
 def test_what_is_sent_at_once_by_who_goes_is_not_sent_on() -> None:
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         client = await bed.client()
-        client.transport.write(b"".join(asked(f"r{i}", key=f"r{i}") for i in range(100)))
+        client.transport.write(b"".join(encode_request(f"r{i}", key=f"r{i}") for i in range(100)))
         client.transport.close()
         await bed.wait(LONGEST_S)
-        assert bed.seen == []
-        bed.nothing_held()
+        assert bed.requests == []
+        bed.assert_nothing_left()
 
-    crossing(test)
+    run_with_router(test)
 
 
 def test_requests_that_wait_for_places_are_not_sent_once_their_client_has_left() -> None:
     """More requests than one server may have connections: the rest wait for one of them to come free."""
 
-    async def test(bed: Bed) -> None:
-        bed.tell("origin", whole=True)
-        bed.tell("a")
+    async def test(bed: RouterHarness) -> None:
+        bed.update_servers("origin", full=True)
+        bed.update_servers("a")
         client = await bed.client()
         for i in range(40):
-            client.ask(f"r{i}", key="k")
+            client.send_request(f"r{i}", key="k")
         await bed.settle()
-        held = list(bed.seen)
+        held = list(bed.requests)
         assert 0 < len(held) < 40
         client.transport.abort()
         await bed.wait(LEFT_S)
-        for line in list(bed.caches["a"].lines):
-            bed.caches["a"].serve(line, line.asked[-1])
+        for line in list(bed.caches["a"].connections):
+            bed.caches["a"].serve(line, line.request_ids[-1])
         await bed.wait(LONGEST_S)
-        assert bed.seen == held
-        bed.nothing_held()
+        assert bed.requests == held
+        bed.assert_nothing_left()
 
-    crossing(test)
+    run_with_router(test)
 
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_a_connection_that_another_process_could_not_have_is_left_if_its_client_has(reset: bool) -> None:
     """Its end came while it was on its way, and nobody read it."""
 
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         cache, client, clients = bed.caches["a"], await bed.client(), bed.daemon.clients
-        cache.came = cache.serve
-        client.ask("r1")
+        cache.on_request = cache.serve
+        client.send_request("r1")
         await bed.settle()
         handed_over: list[Any] = []
         clients.hand_over(handed_over.append)
         assert len(handed_over) == 1
-        client.ask("r2")
+        client.send_request("r2")
         if reset:
             client.transport.abort()
         else:
@@ -167,65 +175,65 @@
         clients.on_handover = None
         handed_over[0].cancel()
         await bed.wait(LEFT_S)
-        assert cache.names == ["r1"]
+        assert cache.request_ids == ["r1"]
         assert clients.connected == 0
-        bed.nothing_held()
+        bed.assert_nothing_left()
 
-    crossing(test)
+    run_with_router(test)
 
 
 # Places
 
 
 def test_a_connection_whose_request_nobody_has_read_makes_no_room() -> None:
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         cache = bed.caches["a"]
-        cache.came = cache.serve
+        cache.on_request = cache.serve
         clients = bed.daemon.clients
         clients.limit = 2
         old, young = await bed.client(), await bed.client()
         for line, name in ((old, "r1"), (young, "r2")):
-            line.ask(name, key=name)
+            line.send_request(name, key=name)
             await bed.wait(0.1)
         await bed.wait(0.4)
         # In one turn: a newcomer is accepted first, as the listener is older, and the oldest has just asked.
-        newcomer = bed.loop.create_task(bed.loop.create_connection(ClientLine, ADDRESS, bed.port))
-        old.ask("r3", key="r3")
+        newcomer = bed.loop.create_task(bed.loop.create_connection(VirtualClient, ADDRESS, bed.port))
+        old.send_request("r3", key="r3")
         await bed.wait(0.1)
         _, third = await newcomer
-        cast(ClientLine, third).ask("r4", key="r4")
+        cast(VirtualClient, third).send_request("r4", key="r4")
         await bed.wait(0.1)
-        assert old.answers() == [b"value of r1", b"value of r3"]
-        assert cast(ClientLine, third).answers() == [b"value of r4"]
-        assert young.ended
-        bed.nothing_held()
+        assert old.replies() == [b"value of r1", b"value of r3"]
+        assert cast(VirtualClient, third).replies() == [b"value of r4"]
+        assert young.closed
+        bed.assert_nothing_left()
 
-    crossing(test)
+    run_with_router(test)
 
 
 def test_a_request_that_crosses_the_close_of_an_idle_connection_is_answered() -> None:
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         cache = bed.caches["a"]
-        cache.came = cache.serve
+        cache.on_request = cache.serve
         began = bed.loop.time()
         senders = []
         for i in range(200):
             line = await bed.client()
-            line.ask(f"first{i}", key=f"k{i}")
+            line.send_request(f"first{i}", key=f"k{i}")
             senders.append(Sender(bed, line, f"r{i}", began + IDLE_TIMEOUT_S + i * SWEEP_INTERVAL_S / 100))
         await bed.wait(IDLE_TIMEOUT_S + 4 * SWEEP_INTERVAL_S)
         taken = [sender for sender in senders if sender.taken]
         assert 0 < len(taken) < len(senders)
-        assert [sender.name for sender in taken if len(sender.line.answers()) != 2] == []
-        bed.nothing_held()
+        assert [sender.name for sender in taken if len(sender.line.replies()) != 2] == []
+        bed.assert_nothing_left()
 
-    crossing(test, **ROOM)
+    run_with_router(test, **ROOM)
 
 
 # SIGTERM
 
 
-def drain(bed: Bed) -> asyncio.Task[None]:
+def drain(bed: RouterHarness) -> asyncio.Task[None]:
     """What the process does at SIGTERM, up to its end."""
 
     async def ends() -> None:
@@ -239,12 +247,12 @@
 def test_every_request_that_crosses_the_end_of_the_router_is_answered(held_up: float) -> None:
     """Clients send on idle connections, one each millisecond round every step of the drain."""
 
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         cache = bed.caches["a"]
-        cache.came = cache.serve
+        cache.on_request = cache.serve
         lines = [await bed.client() for _ in range(300)]
         for i, line in enumerate(lines):
-            line.ask(f"first{i}", key=f"k{i}")
+            line.send_request(f"first{i}", key=f"k{i}")
         await bed.wait(0.05)
         began = bed.loop.time()
         task = drain(bed)
@@ -252,22 +260,22 @@
             Sender(bed, line, f"r{i}", began + ACCEPT_S - 0.1 + i / 1000) for i, line in enumerate(lines)
         ]
         if held_up:
-            for step in (ACCEPT_S, MIDWAY_S):
+            for step in (ACCEPT_S, PARTIAL_COMMANDS_S):
                 bed.loop.call_at(began + step - held_up / 2, bed.loop.stall, held_up)
         await bed.wait(LONGEST_S + KILLED_S)
         assert task.done()
         taken = [sender for sender in senders if sender.taken]
         assert len(taken) > 80
-        assert [sender.name for sender in taken if len(sender.line.answers()) != 2] == []
+        assert [sender.name for sender in taken if len(sender.line.replies()) != 2] == []
 
-    crossing(test, **ROOM)
+    run_with_router(test, **ROOM)
 
 
 @pytest.mark.parametrize("held_up", [0.0, 0.06])
 def test_whoever_is_let_in_before_the_listener_closes_is_answered(held_up: float) -> None:
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         cache = bed.caches["a"]
-        cache.came = cache.serve
+        cache.on_request = cache.serve
         began = bed.loop.time()
         task = drain(bed)
         answered: dict[int, list[bytes]] = {}
@@ -278,10 +286,10 @@
                 line = await bed.client()
             except ConnectionRefusedError:
                 return
-            line.ask(f"r{number}", key=f"k{number}")
+            line.send_request(f"r{number}", key=f"k{number}")
             answered[number] = []
             await asyncio.sleep(0.5)
-            answered[number] = line.answers()
+            answered[number] = line.replies()
 
         if held_up:
             bed.loop.call_at(began + ACCEPT_S - held_up / 2, bed.loop.stall, held_up)
@@ -291,17 +299,17 @@
         assert {number: said for number, said in answered.items() if len(said) != 1} == {}
         await task
 
-    crossing(test, **ROOM)
+    run_with_router(test, **ROOM)
 
 
 def test_a_client_that_keeps_its_connection_busy_gets_every_answer_and_then_its_end() -> None:
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         cache = bed.caches["a"]
 
-        def serve_late(line: PeerLine, name: str) -> None:
+        def serve_late(line: PeerConnection, name: str) -> None:
             bed.loop.call_later(0.2, cache.serve, line, name)
 
-        cache.came = serve_late
+        cache.on_request = serve_late
         line = await bed.client()
         sent: list[str] = []
         began = bed.loop.time()
@@ -310,7 +318,7 @@
             out = counted(line).outgoing if not line.transport.is_closing() else None
             if out is not None and out.reader is not None:
                 sent.append(f"r{number}")
-                line.ask(sent[-1], key=f"k{number}")
+                line.send_request(sent[-1], key=f"k{number}")
                 bed.loop.call_later(0.02, keep_on, number + 1)
 
         keep_on(0)
@@ -319,11 +327,11 @@
         await bed.wait(LONGEST_S + KILLED_S)
         assert task.done()
         assert len(sent) > 30
-        assert len(line.answers()) == len(sent)
-        assert line.ended
+        assert len(line.replies()) == len(sent)
+        assert line.closed
         assert bed.loop.time() - began < LONGEST_S + KILLED_S + 0.4
 
-    crossing(test, **ROOM)
+    run_with_router(test, **ROOM)
 
 
 @pytest.mark.parametrize("d", [100, 1200, 2000, 8000])
@@ -333,63 +341,63 @@
 ) -> None:
     """Also one whose client waits for longer than its class does: SIGKILL does not wait for it."""
 
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         if where == "store":
-            bed.caches["a"].came = bed.caches["a"].miss
+            bed.caches["a"].on_request = bed.caches["a"].miss
         line = await bed.client()
-        line.ask("r1", d=d)
-        line.ask("r2", "once", d=d, key="k2")
+        line.send_request("r1", d=d)
+        line.send_request("r2", "once", d=d, key="k2")
         await bed.settle()
         task = drain(bed)
         last = await bed.client()
-        bed.loop.call_later(ACCEPT_S - 0.01, lambda: last.ask("r3", d=d, key="k3"))
+        bed.loop.call_later(ACCEPT_S - 0.01, lambda: last.send_request("r3", d=d, key="k3"))
         await bed.wait(LONGEST_S + KILL_SLACK_S + 0.02)
-        assert len(line.answers()) == 2
-        assert len(last.answers()) == 1
-        assert line.ended
-        assert last.ended
+        assert len(line.replies()) == 2
+        assert len(last.replies()) == 1
+        assert line.closed
+        assert last.closed
         assert task.done()
         assert ANSWER_SLACK_S < KILL_SLACK_S < KILLED_S
 
-    crossing(test)
+    run_with_router(test)
 
 
 def test_half_a_command_at_the_end_holds_up_nothing_and_a_whole_one_is_answered() -> None:
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         cache = bed.caches["a"]
-        cache.came = cache.serve
+        cache.on_request = cache.serve
         whole, half = await bed.client(), await bed.client()
-        request = asked("r1")
+        request = encode_request("r1")
         for line in (whole, half):
             line.transport.write(request[:20])
         await bed.settle()
         task = drain(bed)
         bed.loop.call_later(ACCEPT_S + 0.1, whole.transport.write, request[20:])
-        await bed.wait(MIDWAY_S + 0.1)
-        assert whole.answers() == [b"value of r1"]
-        assert half.answers() == []
-        assert half.ended
+        await bed.wait(PARTIAL_COMMANDS_S + 0.1)
+        assert whole.replies() == [b"value of r1"]
+        assert half.replies() == []
+        assert half.closed
         await bed.wait(0.1)
         assert task.done()
 
-    crossing(test)
+    run_with_router(test)
 
 
 def test_a_limit_of_time_that_ends_a_request_tells_the_module_too() -> None:
     """Nothing is sent for it after its final answer, whatever its attempts come to."""
 
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         line = await bed.client()
-        line.ask("r1", d=8000)
+        line.send_request("r1", d=8000)
         await bed.settle()
         task: Any = drain(bed)
-        bed.loop.call_later(LONGEST_S + ANSWER_SLACK_S + 0.05, bed.caches["a"].lines[0].reset)
+        bed.loop.call_later(LONGEST_S + ANSWER_SLACK_S + 0.05, bed.caches["a"].connections[0].reset)
         await bed.wait(LONGEST_S + KILLED_S)
-        assert line.answers() == [b"-ERR failed"]
-        assert len(bed.seen) == 1
+        assert line.replies() == [b"-ERR failed"]
+        assert len(bed.requests) == 1
         assert task.done()
 
-    crossing(test)
+    run_with_router(test)
 
 
 # The term, all of it at once
@@ -404,20 +412,20 @@
     late: list[str] = []
     sent: set[str] = set()
 
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         draw = random.Random(seed)
         cache, origin = bed.caches["a"], bed.origin
         gates = {peer.address: asyncio.Event() for peer in (cache, bed.caches["b"], origin)}
         bed.loop.gates.update(gates)
         bed.host._router.origin_limits.fetch_window = 2.0
-        cache.came = bed.caches["b"].came = cache.miss
+        cache.on_request = bed.caches["b"].on_request = cache.miss
 
-        def busy(line: PeerLine, name: str) -> None:
+        def busy(line: PeerConnection, name: str) -> None:
             # A write is tried again after a pause, a read waits for the next place.
             delay = draw.uniform(0.0, 0.4)
             bed.loop.call_later(delay, line.transport.write, http_answer(503, b"", "Not-Started: 1"))
 
-        origin.came = busy
+        origin.on_request = busy
         left: dict[str, float] = {}
 
         async def client(number: int) -> None:
@@ -428,7 +436,7 @@
             value = b"v" if cls != "get" and draw.random() < 0.5 else None
             half = min(len(names), MAX_PIPELINE)
             for part in (names[:half], names[half:]):
-                line.transport.write(b"".join(asked(n, cls, key=n, value=value) for n in part))
+                line.transport.write(b"".join(encode_request(n, cls, key=n, value=value) for n in part))
                 await asyncio.sleep(0.001)
             await asyncio.sleep(draw.uniform(0, 0.8))
             left.update(dict.fromkeys(names, bed.loop.time()))
@@ -444,11 +452,11 @@
 
         await asyncio.gather(swing(), *(client(number) for number in range(40)))
         await bed.wait(3.0)
-        sent.update(name for _, _, name in bed.seen)
-        late.extend(name for at, _, name in bed.seen if at > left[name] + LEFT_S)
-        bed.nothing_held()
+        sent.update(name for _, _, name in bed.requests)
+        late.extend(name for at, _, name in bed.requests if at > left[name] + LEFT_S)
+        bed.assert_nothing_left()
 
-    crossing(test, ("a", "b"), LONG_DIALS, **ROOM)
+    run_with_router(test, ("a", "b"), LONG_DIALS, **ROOM)
     return late, len(sent)
 
 
--- a/tests/daemon/test_gathered.py
+++ b/tests/daemon/test_gathered.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given, strategies
 
-from pebblepass.daemon.gathered import GatherBudget
+from pebblepass.daemon.buffer_budget import BufferBudget
 
 LONGEST = 8
 STEP = 2
@@ -16,11 +16,11 @@
     def __init__(self, need: int) -> None:
         self.need, self.reading = need, True
 
-    def hold_back(self) -> None:
+    def pause_buffering(self) -> None:
         assert self.reading
         self.reading = False
 
-    def go_on(self) -> None:
+    def resume_buffering(self) -> None:
         assert not self.reading
         self.reading = True
 
@@ -29,7 +29,7 @@
 def test_all_are_served_in_the_end_and_little_more_than_the_total_is_held(
     total: int, needs: list[int]
 ) -> None:
-    budget, open_ones = GatherBudget(total, LONGEST), [Gatherer(need) for need in needs]
+    budget, open_ones = BufferBudget(total, LONGEST), [Gatherer(need) for need in needs]
     while open_ones:
         moved = False
         for each in list(open_ones):
@@ -39,20 +39,20 @@
             budget.take(each, min(STEP, each.need))
             each.need -= min(STEP, each.need)
             # What has come can't be sent back: a step for each reader at most is over the total.
-            assert budget.held <= max(total, LONGEST) + STEP * len(needs)
+            assert budget.used <= max(total, LONGEST) + STEP * len(needs)
             if not each.need:
                 open_ones.remove(each)
                 budget.release(each)
         assert moved, "all of them wait for one another"
-    assert budget.held == 0
+    assert budget.used == 0
 
 
 def test_one_that_waits_and_leaves_makes_no_trouble() -> None:
-    budget, first, second, third = GatherBudget(LONGEST, LONGEST), Gatherer(8), Gatherer(8), Gatherer(8)
+    budget, first, second, third = BufferBudget(LONGEST, LONGEST), Gatherer(8), Gatherer(8), Gatherer(8)
     for each in (first, second, third):
         budget.take(each, STEP)
     assert [each.reading for each in (first, second, third)] == [True, False, False]
     budget.release(second)
     budget.release(first)
     assert third.reading
-    assert budget.held == STEP
+    assert budget.used == STEP
--- a/tests/daemon/test_gone.py
+++ b/tests/daemon/test_gone.py
@@ -19,9 +19,17 @@
 from pebblepass.daemon.connection_pool import REUSE_DELAY_S
 from pebblepass.daemon.multi_get.batch_exchange import BatchExchange
 from pebblepass.decisions import Send
-from tests.crossings import ADDRESS, LONG_DIALS, Bed, ClientLine, PeerLine, asked, crossing
 from tests.multi_get.site import Site, on_site
 from tests.sockets import bulk, http_answer
+from tests.virtual_router import (
+    ADDRESS,
+    LONG_DIALS,
+    PeerConnection,
+    RouterHarness,
+    VirtualClient,
+    encode_request,
+    run_with_router,
+)
 
 GONE_S = 0.1  # after which nothing begins for a client that has gone
 HOLD_S = 0.2
@@ -43,7 +51,7 @@
             self._loop.stall(HOLD_S)
 
 
-def raw(line: ClientLine) -> socket.socket:
+def raw(line: VirtualClient) -> socket.socket:
     found: socket.socket = line.transport.get_extra_info("socket")._sock
     return found
 
@@ -76,23 +84,23 @@
     setattr(owner, method, call)
 
 
-async def warm(bed: Bed) -> None:
+async def warm(bed: RouterHarness) -> None:
     """Leave a rested connection to every server: nothing has to be dialled."""
     line = await bed.client()
     served = [bed.origin, *bed.caches.values()]
     for peer in served:
-        peer.came = peer.serve
-    line.ask("warm", "put", value=b"v")
+        peer.on_request = peer.serve
+    line.send_request("warm", "put", value=b"v")
     for number in range(12):
-        line.ask(f"warm{number}", key=f"warm{number}")
+        line.send_request(f"warm{number}", key=f"warm{number}")
         await bed.wait(REUSE_DELAY_S * 3)
     for peer in served:
-        assert peer.lines
-        peer.came = lambda line, name: None
-        peer.seen.clear()
+        assert peer.connections
+        peer.on_request = lambda line, name: None
+        peer.requests.clear()
 
 
-async def paused(bed: Bed, line: ClientLine, request: bytes) -> None:
+async def paused(bed: RouterHarness, line: VirtualClient, request: bytes) -> None:
     """Send a request, and so much behind it that the connection is read no longer."""
     line.transport.write(request + bulk(b"PING") * (MAX_PIPELINE - 1))
     await bed.settle()
@@ -101,11 +109,11 @@
 class Kind:
     """What a way to begin needs: the request under test is `r`, its client has just connected."""
 
-    def __init__(self, bed: Bed, line: ClientLine, hold: HoldUp, is_paused: bool) -> None:
+    def __init__(self, bed: RouterHarness, line: VirtualClient, hold: HoldUp, is_paused: bool) -> None:
         self.bed, self.line, self.hold, self.is_paused = bed, line, hold, is_paused
 
     async def ask(self, cls: str = "get", value: bytes | None = None) -> None:
-        request = asked("r", cls, value=value)
+        request = encode_request("r", cls, value=value)
         if self.is_paused:
             await paused(self.bed, self.line, request)
             assert self.hold.at or any(held.paused for held in self.bed.daemon.clients._connections)
@@ -121,14 +129,14 @@
 
 async def first_in_one_read(kind: Kind) -> None:
     """The command itself comes in the hold-up, and its client's end behind it."""
-    kind.line.transport.write(asked("r"))
+    kind.line.transport.write(encode_request("r"))
     kind.hold()
 
 
 async def further(kind: Kind) -> None:
     """The fetch after a miss."""
     for cache in kind.bed.caches.values():
-        cache.came = cache.miss
+        cache.on_request = cache.miss
     before_send(kind.bed.host, "r", 2, kind.hold)
     await kind.ask()
 
@@ -137,25 +145,25 @@
     """Another server is asked after one has turned it away."""
     caches = kind.bed.caches.values()
 
-    def busy(line: PeerLine, name: str) -> None:
+    def busy(line: PeerConnection, name: str) -> None:
         line.transport.write(b"-BUSY latency_ms=1.5,queue=2\r\n")
 
     for cache in caches:
-        cache.came = busy
+        cache.on_request = busy
     before_send(kind.bed.host, "r", 2, kind.hold)
     await kind.ask()
 
 
 async def dial(kind: Kind) -> None:
     bed = kind.bed
-    for line in [line for cache in bed.caches.values() for line in cache.lines]:
+    for line in [line for cache in bed.caches.values() for line in cache.connections]:
         line.transport.close()
     await bed.settle()
     gate = asyncio.Event()
     bed.loop.gates.update((cache.address, gate) for cache in bed.caches.values())
     before_call(bed.pool, "opened", kind.hold)
     await kind.ask()
-    assert bed.seen == []
+    assert bed.requests == []
     gate.set()
 
 
@@ -163,38 +171,38 @@
     """It waits for a connection that has brought an answer just now."""
     bed = kind.bed
     for cache in bed.caches.values():
-        cache.came = cache.serve
+        cache.on_request = cache.serve
     other = await bed.client()
-    other.ask("other")
+    other.send_request("other")
     await bed.settle()
     before_call(bed.pool, "_wake", kind.hold)
     await kind.ask()
-    assert "r" not in [name for _, _, name in bed.seen]
+    assert "r" not in [name for _, _, name in bed.requests]
 
 
 async def store(kind: Kind) -> None:
     """It waits in line for the store, behind another fetch."""
     bed = kind.bed
     for cache in bed.caches.values():
-        cache.came = cache.miss
+        cache.on_request = cache.miss
     bed.host._router.origin_limits.fetch_window = 1.0
     other = await bed.client()
-    other.ask("other", key="other")
+    other.send_request("other", key="other")
     await bed.settle()
     before_send(bed.host, "r", 2, kind.hold)
     await kind.ask()
     await bed.wait(REUSE_DELAY_S * 2)
-    assert bed.origin.names == ["other"]
-    bed.origin.serve(bed.origin.line("other"), "other")
+    assert bed.origin.request_ids == ["other"]
+    bed.origin.serve(bed.origin.connection_of("other"), "other")
 
 
 async def timer(kind: Kind) -> None:
     """A write that the store turned away is tried again after a pause."""
 
-    def busy(line: PeerLine, name: str) -> None:
+    def busy(line: PeerConnection, name: str) -> None:
         line.transport.write(http_answer(503, b"", "Not-Started: 1"))
 
-    kind.bed.origin.came = busy
+    kind.bed.origin.on_request = busy
     before_send(kind.bed.host, "r", 2, kind.hold)
     await kind.ask("put", b"v")
 
@@ -225,7 +233,7 @@
 def test_no_attempt_begins_for_a_client_that_went_in_a_hold_up(
     name: str, is_paused: bool, leaves: bool
 ) -> None:
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         await warm(bed)
         line = await bed.client()
         await bed.wait(0.3)
@@ -233,53 +241,53 @@
         await KINDS[name](Kind(bed, line, hold, is_paused))
         await bed.wait(1.0)
         assert hold.at
-        late = [seen for seen in bed.seen if seen[2] == "r" and seen[0] > hold.at + GONE_S]
-        assert bool(late) != leaves, bed.seen
+        late = [seen for seen in bed.requests if seen[2] == "r" and seen[0] > hold.at + GONE_S]
+        assert bool(late) != leaves, bed.requests
         await bed.wait(2.0)
-        bed.nothing_held()
+        bed.assert_nothing_left()
 
-    crossing(test, TWO, LONG_DIALS)
+    run_with_router(test, TWO, LONG_DIALS)
 
 
 @pytest.mark.parametrize("leaves", [True, False])
 def test_what_came_while_reading_was_paused_is_not_sent_for_who_went_in_a_hold_up(leaves: bool) -> None:
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         await warm(bed)
         line = await bed.client()
         hold = HoldUp(bed.loop, raw(line), leaves)
-        await paused(bed, line, asked("p"))
+        await paused(bed, line, encode_request("p"))
         await bed.settle()
-        line.transport.write(asked("r", key="other"))
-        (where,) = {server for _, server, _ in bed.seen}
+        line.transport.write(encode_request("r", key="other"))
+        (where,) = {server for _, server, _ in bed.requests}
         cache = bed.caches[where]
-        cache.serve(cache.line("p"), "p")
+        cache.serve(cache.connection_of("p"), "p")
         hold()
         await bed.wait(1.0)
-        assert ("r" in [name for _, _, name in bed.seen]) != leaves
+        assert ("r" in [name for _, _, name in bed.requests]) != leaves
         await bed.wait(2.0)
-        bed.nothing_held()
+        bed.assert_nothing_left()
 
-    crossing(test, TWO)
+    run_with_router(test, TWO)
 
 
 @pytest.mark.parametrize("leaves", [True, False])
 def test_a_command_that_waited_to_be_accepted_is_not_sent_for_who_has_gone(leaves: bool) -> None:
     """Connect, command and end all come while the loop is held up."""
 
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         await warm(bed)
         made = bed.loop.network.adopt()
         made.connect((ADDRESS, bed.port))
-        made.send(asked("r"))
+        made.send(encode_request("r"))
         hold = HoldUp(bed.loop, made, leaves)
         hold()
         await bed.wait(1.0)
-        assert ("r" in [name for _, _, name in bed.seen]) != leaves
+        assert ("r" in [name for _, _, name in bed.requests]) != leaves
         await bed.wait(2.0)
-        bed.nothing_held()
+        bed.assert_nothing_left()
         made.close()
 
-    crossing(test, TWO)
+    run_with_router(test, TWO)
 
 
 # Reads of many keys
@@ -366,21 +374,21 @@
 
 @pytest.mark.parametrize("stays", [True, False])
 def test_a_fetch_that_has_not_begun_goes_on_in_the_name_of_who_still_waits(stays: bool) -> None:
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         await warm(bed)
         cache = bed.caches["a"]
-        cache.came = cache.miss
-        for line in list(bed.origin.lines):
+        cache.on_request = cache.miss
+        for line in list(bed.origin.connections):
             line.transport.close()
         await bed.settle()
         gate = bed.loop.gates[bed.origin.address] = asyncio.Event()
-        bed.origin.came = bed.origin.serve
+        bed.origin.on_request = bed.origin.serve
         leader, follower = await bed.client(), await bed.client()
-        leader.ask("r1")
+        leader.send_request("r1")
         await bed.wait(REUSE_DELAY_S * 3)
-        follower.ask("r2")
+        follower.send_request("r2")
         await bed.wait(REUSE_DELAY_S * 3)
-        assert [name for _, _, name in bed.seen] == ["r1", "r2"]
+        assert [name for _, _, name in bed.requests] == ["r1", "r2"]
         hold = HoldUp(bed.loop, raw(leader), leaves=True)
         before_call(bed.pool, "opened", hold)
         if not stays:
@@ -389,60 +397,60 @@
         gate.set()
         await bed.wait(1.0)
         assert hold.at
-        assert bed.origin.names == (["r2"] if stays else [])
-        assert follower.answers() == ([b"value of r2"] if stays else [])
+        assert bed.origin.request_ids == (["r2"] if stays else [])
+        assert follower.replies() == ([b"value of r2"] if stays else [])
         await bed.wait(2.0)
-        bed.nothing_held()
+        bed.assert_nothing_left()
 
-    crossing(test, facts=LONG_DIALS)
+    run_with_router(test, settings=LONG_DIALS)
 
 
 def test_who_takes_over_a_fetch_from_the_same_client_has_gone_with_it() -> None:
     """The end of a connection lets its requests go one by one: nothing is sent for the next meanwhile."""
 
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         await warm(bed)
         cache = bed.caches["a"]
-        cache.came = cache.miss
+        cache.on_request = cache.miss
         other = await bed.client()
-        other.ask("w1", "put", value=b"v", key="w")
+        other.send_request("w1", "put", value=b"v", key="w")
         await bed.wait(REUSE_DELAY_S * 3)
         line = await bed.client()
         for name in ("r1", "r2", "r3"):
-            line.ask(name)
+            line.send_request(name)
             await bed.wait(REUSE_DELAY_S * 3)
-        assert bed.origin.names == ["w1", "r1"]
-        bed.origin.serve(bed.origin.line("w1"), "w1")
+        assert bed.origin.request_ids == ["w1", "r1"]
+        bed.origin.serve(bed.origin.connection_of("w1"), "w1")
         await bed.wait(REUSE_DELAY_S * 3)
         hold = HoldUp(bed.loop, raw(line), leaves=True)
         hold()
         await bed.wait(1.0)
-        assert bed.origin.names == ["w1", "r1"]
+        assert bed.origin.request_ids == ["w1", "r1"]
         await bed.wait(2.0)
-        bed.nothing_held()
+        bed.assert_nothing_left()
 
-    crossing(test)
+    run_with_router(test)
 
 
 def test_an_id_that_is_used_again_in_the_turn_of_its_client_s_end_is_answered() -> None:
     """The end of the connection, a turn later, does not let the new request go."""
 
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         await warm(bed)
         cache = bed.caches["a"]
         line, again = await bed.client(), await bed.client()
         await bed.wait(0.3)
         hold = HoldUp(bed.loop, raw(line), leaves=True)
-        line.ask("r")
-        again.ask("r")
+        line.send_request("r")
+        again.send_request("r")
         hold()
-        cache.came = cache.serve
+        cache.on_request = cache.serve
         await bed.wait(1.0)
-        assert again.answers() == [b"value of r"]
-        assert cache.names == ["r"]
-        bed.nothing_held()
+        assert again.replies() == [b"value of r"]
+        assert cache.request_ids == ["r"]
+        bed.assert_nothing_left()
 
-    crossing(test)
+    run_with_router(test)
 
 
 # What it costs
@@ -451,10 +459,10 @@
 def test_a_client_that_was_heard_just_now_is_not_looked_at() -> None:
     """Looks are for old news: none on the way of a request where the loop is on time."""
 
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         await warm(bed)
         cache = bed.caches["a"]
-        cache.came = cache.serve
+        cache.on_request = cache.serve
         line = await bed.client()
         looked = []
         whole = ClientConnection.client_has_disconnected
@@ -465,21 +473,21 @@
 
         with patch.object(ClientConnection, "client_has_disconnected", look):
             for number in range(200):
-                line.ask(f"r{number}", key=f"k{number}")
+                line.send_request(f"r{number}", key=f"k{number}")
                 await bed.wait(0.015)
-        assert len(line.answers()) == 200
+        assert len(line.replies()) == 200
         assert len(looked) == 1, "the first command of a connection"
 
-    crossing(test)
+    run_with_router(test)
 
 
 def test_a_busy_connection_is_looked_at_once_in_a_while() -> None:
     """Behind bytes that come in every turn an end can't be told: the kernel is asked each 50 ms."""
 
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         await warm(bed)
         cache = bed.caches["a"]
-        cache.came = cache.serve
+        cache.on_request = cache.serve
         line = await bed.client()
         looked = []
         whole = ClientConnection.client_has_disconnected
@@ -490,10 +498,10 @@
 
         with patch.object(ClientConnection, "client_has_disconnected", look):
             for number in range(1000):
-                line.ask(f"r{number}", key=f"k{number}")
+                line.send_request(f"r{number}", key=f"k{number}")
                 await bed.wait(0.001)
         await bed.wait(REUSE_DELAY_S * 2)
-        assert len(line.answers()) == 1000
+        assert len(line.replies()) == 1000
         assert len(looked) <= 1.0 / 0.05 + 2
 
-    crossing(test)
+    run_with_router(test)
--- a/tests/daemon/test_greetings.py
+++ b/tests/daemon/test_greetings.py
@@ -11,9 +11,9 @@
 import redis
 import redis.asyncio
 
-from pebblepass.daemon.greetings import ClientSession, answer_session_command
+from pebblepass.daemon.session_commands import ClientSession, answer_session_command
 from pebblepass.wire.resp import UnknownCommandError
-from tests.sockets import MISS, Client, Peer, Routed, bulk, hit, http_answer, routed
+from tests.sockets import MISS, Client, Peer, RunningRouter, bulk, hit, http_answer, running_router
 
 INFO = "c=get,t=acme,d=5000"
 
@@ -88,7 +88,7 @@
 
 
 @pytest.fixture
-def running(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Routed]:
+def running(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[RunningRouter]:
     """A router with reads of many keys, over one node that holds all but `none`, which nobody has."""
     operator = tmp_path / "operator.toml"
     operator.write_text("[many_keys]\n")
@@ -100,7 +100,7 @@
     def store(_: object, message: list[bytes]) -> bytes:
         return http_answer(404)
 
-    with routed(tmp_path, {"s0": Peer(node)}, Peer(store, is_http=True)) as router:
+    with running_router(tmp_path, {"s0": Peer(node)}, Peer(store, is_http=True)) as router:
         yield router
 
 
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("protocol", [None, 2, 3])
-def test_redis_py_as_it_comes(running: Routed, protocol: int | None) -> None:
+def test_redis_py_as_it_comes(running: RunningRouter, protocol: int | None) -> None:
     more: dict[str, Any] = {} if protocol is None else {"protocol": protocol}
     with redis.Redis(port=running.port, client_name="me", **more) as client:
         assert client.ping()
@@ -125,7 +125,7 @@
             client.execute_command("KV.MGET", 2, "a", "q", INFO)
 
 
-def test_redis_py_with_a_pool_and_pipelines(running: Routed) -> None:
+def test_redis_py_with_a_pool_and_pipelines(running: RunningRouter) -> None:
     pool = redis.ConnectionPool(port=running.port, max_connections=4)
     with redis.Redis(connection_pool=pool) as client:
         pipe = client.pipeline(transaction=False)
@@ -137,7 +137,7 @@
     pool.disconnect()
 
 
-def test_redis_py_in_asyncio(running: Routed) -> None:
+def test_redis_py_in_asyncio(running: RunningRouter) -> None:
     async def run() -> None:
         async with redis.asyncio.Redis(port=running.port) as client:
             assert await client.ping()
@@ -147,19 +147,19 @@
     asyncio.run(run())
 
 
-def test_none_of_it_is_a_request_and_quit_ends_the_connection(running: Routed) -> None:
+def test_none_of_it_is_a_request_and_quit_ends_the_connection(running: RunningRouter) -> None:
     client = Client(running.port)
     client.send(bulk(b"HELLO", b"2") + bulk(b"QUIT"))
-    assert client.answer() == b"*14"
+    assert client.read_reply() == b"*14"
     rest = client.stream.read()
     assert rest.endswith(b"+OK\r\n")
     assert client.at_end()
 
 
 def test_without_the_section_the_command_is_unknown_and_long_lists_close(tmp_path: Path) -> None:
-    with routed(tmp_path, {"s0": Peer(lambda _, words: hit(b"v"))}) as running:
+    with running_router(tmp_path, {"s0": Peer(lambda _, words: hit(b"v"))}) as running:
         client = running.client()
-        assert client.ask(bulk(b"KV.MGET", b"1", b"a", b"q", INFO.encode())) == b"-ERR unknown command"
-        assert client.ask(bulk(b"KV.MGET", b"20", *[b"a"] * 20, b"q", INFO.encode())).startswith(
+        assert client.request(bulk(b"KV.MGET", b"1", b"a", b"q", INFO.encode())) == b"-ERR unknown command"
+        assert client.request(bulk(b"KV.MGET", b"20", *[b"a"] * 20, b"q", INFO.encode())).startswith(
             b"-ERR Protocol error"
         )
--- a/tests/daemon/test_lag.py
+++ b/tests/daemon/test_lag.py
@@ -6,7 +6,7 @@
 
 from pebblepass.daemon.lag import HEARTBEAT_NS, PEAK_WINDOW_NS, LoopLag, after_poll
 from pebblepass.simulation.clock import VirtualLoop
-from tests.virtual import played
+from tests.virtual import run_virtual
 
 HOST = "127.0.0.1"
 
@@ -30,7 +30,7 @@
         assert told[-1] == 0
         lag.close()
 
-    played(work)
+    run_virtual(work)
 
 
 def test_what_comes_in_a_hold_up_is_read_before_a_timer_s_verdict() -> None:
@@ -53,4 +53,4 @@
         writer.close()
         server.close()
 
-    played(work)
+    run_virtual(work)
--- a/tests/daemon/test_large_fleet.py
+++ b/tests/daemon/test_large_fleet.py
@@ -17,12 +17,12 @@
 from tests.daemon.test_upgrade import Site, site
 from tests.processes import end_by_sigterm
 from tests.sockets import (
-    FACTS,
-    PATIENCE_S,
+    SETTINGS,
+    WAIT_TIMEOUT_S,
     Client,
     DiscoveryPeer,
     Peer,
-    Routed,
+    RunningRouter,
     bulk,
     entry,
     eventually,
@@ -59,12 +59,12 @@
         "peers": addresses(PEERS),
         "peers_all": "10.3.255.1:7946",
         "known": {"generation": 0, "reset": True, "instances": known},
-        "settings": {**FACTS, "balancers": PEERS},
+        "settings": {**SETTINGS, "balancers": PEERS},
     }
 
 
 @contextmanager
-def running(folder: Path, discovery: DiscoveryPeer, known: list[dict[str, Any]]) -> Iterator[Routed]:
+def running(folder: Path, discovery: DiscoveryPeer, known: list[dict[str, Any]]) -> Iterator[RunningRouter]:
     """A router that is ready in time, and that ends well."""
     port = take_port()
     began = time.monotonic()
@@ -74,14 +74,14 @@
         took = time.monotonic() - began
         print(f"ready after {took:.2f} s")
         assert took < READY_S
-        yield Routed(process, port, discovery, folder / "config.json")
+        yield RunningRouter(process, port, discovery, folder / "config.json")
     finally:
-        log = end_by_sigterm(process, PATIENCE_S)
+        log = end_by_sigterm(process, WAIT_TIMEOUT_S)
     assert process.returncode == 0, log
     assert "Traceback" not in log, log
 
 
-def peak_kb(router: Routed, when: str) -> int:
+def peak_kb(router: RunningRouter, when: str) -> int:
     """The most memory that it has held so far; printed, with its CPU so far."""
     status = Path(f"/proc/{router.process.pid}/status").read_text()
     peak = int(status.split("VmHWM:")[1].split()[0])
@@ -93,14 +93,14 @@
 
 def asks_for(discovery: DiscoveryPeer, generation: int) -> bool:
     """Whether the router has taken this list: its next call names the version."""
-    return any(f"index={generation}&".encode() in message[1] for message in list(discovery.peer.seen))
+    return any(f"index={generation}&".encode() in message[1] for message in list(discovery.peer.requests))
 
 
-def answers(router: Routed, expected: bytes, run: str) -> None:
+def answers(router: RunningRouter, expected: bytes, run: str) -> None:
     client = router.client()
-    assert client.ask(bulk(b"PING")) == b"+PONG"
+    assert client.request(bulk(b"PING")) == b"+PONG"
     for number in range(KEYS):
-        assert client.ask(get(f"{run}{number}", f"key-{number}")) == expected
+        assert client.request(get(f"{run}{number}", f"key-{number}")) == expected
     client.close()
 
 
@@ -115,16 +115,16 @@
         peaks = [peak_kb(router, "with the whole list")]
         answers(router, b"first", "a")
         peaks.append(peak_kb(router, f"after {KEYS} keys"))
-        assert len({message[1] for message in first.seen}) == KEYS
+        assert len({message[1] for message in first.requests}) == KEYS
 
         began = time.monotonic()
         discovery.change(*servers(second, started_ms=int(time.time() * 1000) - 60_000))
         eventually(lambda: asks_for(discovery, 2), "the change of all is taken")
         print(f"a change of all {SERVERS} taken after {time.monotonic() - began:.3f} s")
-        seen = len(first.seen)
+        seen = len(first.requests)
         answers(router, b"second", "b")
         peaks.append(peak_kb(router, f"after the change and {KEYS} keys"))
-        assert len(first.seen) == seen  # nothing goes to an address that is no longer listed
+        assert len(first.requests) == seen  # nothing goes to an address that is no longer listed
         assert max(peaks) < PRICED_KB
     for peer in (first, second, discovery.peer):
         peer.close()
@@ -136,7 +136,7 @@
         started = executor.submit(made.start)
         for turn in itertools.count():
             for number, client in enumerate(clients):
-                assert client.ask(get(f"during{turn}-{number}", f"key-{number}")) == b"v"
+                assert client.request(get(f"during{turn}-{number}", f"key-{number}")) == b"v"
             if wait([started], timeout=ACTIVE_CLIENT_INTERVAL_S).done:
                 break
         return started.result()
@@ -149,11 +149,11 @@
         old, _ = made.start()
         clients = [made.client() for _ in range(20)]
         for number, client in enumerate(clients):
-            assert client.ask(get(f"a{number}", f"key-{number}")) == b"v"
-        made.discovery.junk = b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"
+            assert client.request(get(f"a{number}", f"key-{number}")) == b"v"
+        made.discovery.invalid_reply = b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"
         new, ops = start_beside_active_clients(made, clients)
         made.end(old)
         for number, client in enumerate(clients):
-            assert client.ask(get(f"b{number}", f"key-{number}")) == b"v"
+            assert client.request(get(f"b{number}", f"key-{number}")) == b"v"
         assert figures(ops)["cluster_size"] == SERVERS
         assert new.poll() is None
--- a/tests/daemon/test_late_connections.py
+++ b/tests/daemon/test_late_connections.py
@@ -6,25 +6,25 @@
 
 import pytest
 
-from tests.crossings import Bed, ClientLine, crossing
-from tests.sockets import FACTS
+from tests.sockets import SETTINGS
+from tests.virtual_router import RouterHarness, VirtualClient, run_with_router
 
 S = 10**9
 DIALS_NS = (S // 2, S + S // 5)  # below the aim, and above it: an attempt that waited for it is late
 
 
 def dials(timeout_ns: int) -> dict[str, object]:
-    return {"ceilings": {**FACTS["ceilings"], "dialTimeoutNs": timeout_ns}}
+    return {"ceilings": {**SETTINGS["ceilings"], "dialTimeoutNs": timeout_ns}}
 
 
-def held_dead(bed: Bed) -> list[str]:
+def held_dead(bed: RouterHarness) -> list[str]:
     """The caches that get next to nothing."""
     return list(bed.host._router.avoided(bed.host.now()))
 
 
-async def one_runs_out(bed: Bed, client: ClientLine, name: str, timeout_ns: int) -> None:
+async def one_runs_out(bed: RouterHarness, client: VirtualClient, name: str, timeout_ns: int) -> None:
     """Ask for what is at the one cache, to which no connection comes up."""
-    client.ask(name, d=5000)
+    client.send_request(name, d=5000)
     await bed.wait(timeout_ns / S + 0.1)
     client_left = bed.host._requests.get(name)
     assert client_left is None or client_left.attempts > 1, "the attempt has not ended"
@@ -32,9 +32,9 @@
 
 @pytest.mark.parametrize("timeout_ns", DIALS_NS)
 def test_one_connection_that_does_not_come_up_takes_no_server_out(timeout_ns: int) -> None:
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         cache = bed.caches["a"]
-        cache.came, bed.origin.came = cache.serve, bed.origin.serve
+        cache.on_request, bed.origin.on_request = cache.serve, bed.origin.serve
         client = await bed.client()
         for round_ in range(3):  # heard in between: each is the first one again
             gate = bed.loop.gates[cache.address] = asyncio.Event()
@@ -42,71 +42,71 @@
             assert held_dead(bed) == []
             del bed.loop.gates[cache.address]
             gate.set()
-            client.ask(f"well{round_}")
+            client.send_request(f"well{round_}")
             await bed.settle()
-            assert cache.names[-1] == f"well{round_}"
-            cache.lines[0].transport.close()  # so that the next one needs a connection again
+            assert cache.request_ids[-1] == f"well{round_}"
+            cache.connections[0].transport.close()  # so that the next one needs a connection again
             await bed.wait(0.1)
 
-    crossing(test, facts=dials(timeout_ns))
+    run_with_router(test, settings=dials(timeout_ns))
 
 
 @pytest.mark.parametrize("timeout_ns", DIALS_NS)
 def test_connections_that_run_out_side_by_side_count_as_one(timeout_ns: int) -> None:
-    async def test(bed: Bed) -> None:
-        bed.origin.came = bed.origin.serve
+    async def test(bed: RouterHarness) -> None:
+        bed.origin.on_request = bed.origin.serve
         client, other = await bed.client(), await bed.client()
         bed.loop.gates[bed.caches["a"].address] = asyncio.Event()
-        other.ask("beside", d=5000, key="k2")
+        other.send_request("beside", d=5000, key="k2")
         await bed.wait(0.01)
         await one_runs_out(bed, client, "late", timeout_ns)
         assert held_dead(bed) == []
 
-    crossing(test, facts=dials(timeout_ns))
+    run_with_router(test, settings=dials(timeout_ns))
 
 
 @pytest.mark.parametrize("timeout_ns", DIALS_NS)
 def test_a_server_to_which_two_in_a_row_do_not_come_up_is_held_dead(timeout_ns: int) -> None:
-    async def test(bed: Bed) -> None:
-        bed.origin.came = bed.origin.serve
+    async def test(bed: RouterHarness) -> None:
+        bed.origin.on_request = bed.origin.serve
         client = await bed.client()
         bed.loop.gates[bed.caches["a"].address] = asyncio.Event()
         await one_runs_out(bed, client, "first", timeout_ns)
         await one_runs_out(bed, client, "second", timeout_ns)
         assert held_dead(bed) == ["a"]
 
-    crossing(test, facts=dials(timeout_ns))
+    run_with_router(test, settings=dials(timeout_ns))
 
 
 def test_a_server_that_refuses_a_connection_is_held_dead_at_once() -> None:
-    async def test(bed: Bed) -> None:
-        bed.origin.came = bed.origin.serve
+    async def test(bed: RouterHarness) -> None:
+        bed.origin.on_request = bed.origin.serve
         client = await bed.client()
 
         async def refused(*_: object, **__: object) -> None:
             raise ConnectionRefusedError
 
         connect, bed.loop.create_connection = bed.loop.create_connection, refused  # type: ignore[assignment]
-        client.ask("r", d=5000)
+        client.send_request("r", d=5000)
         await bed.settle()
         bed.loop.create_connection = connect  # type: ignore[method-assign]
         assert held_dead(bed) == ["a"]
 
-    crossing(test)
+    run_with_router(test)
 
 
 def test_a_fetch_whose_connection_does_not_come_up_is_made_again_and_cuts_nobody() -> None:
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         cache = bed.caches["a"]
-        cache.came, bed.origin.came = cache.miss, bed.origin.serve
+        cache.on_request, bed.origin.on_request = cache.miss, bed.origin.serve
         client = await bed.client()
         gate = bed.loop.gates[bed.origin.address] = asyncio.Event()
-        client.ask("r", d=5000)
+        client.send_request("r", d=5000)
         await bed.wait(1.25)  # the dial ran out after 1.2 s, later than the aim
         gate.set()
         await bed.wait(0.1)
-        assert client.answers() == [b"value of r"]
+        assert client.replies() == [b"value of r"]
         assert bed.host._router.origin_limits.bad_fetch_fraction == 0
         assert bed.host._router.origin_limits.fetch_window == float("inf")
 
-    crossing(test, facts=dials(S + S // 5))
+    run_with_router(test, settings=dials(S + S // 5))
--- a/tests/daemon/test_limits.py
+++ b/tests/daemon/test_limits.py
@@ -17,14 +17,14 @@
 import pytest
 
 from tests.sockets import (
-    FACTS,
     MISS,
-    PATIENCE_S,
     ROOT,
+    SETTINGS,
+    WAIT_TIMEOUT_S,
     Client,
     DiscoveryPeer,
     Peer,
-    Routed,
+    RunningRouter,
     bulk,
     entry,
     eventually,
@@ -33,7 +33,7 @@
     http_answer,
     put,
     reset,
-    routed,
+    running_router,
 )
 
 LONG = bytes(range(256)) * 4096 * 2  # 2 MiB
@@ -41,22 +41,22 @@
 
 def test_long_value_passes_through_whole_and_the_connection_goes_on(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(LONG if words[1] == b"long" else b"short"))
-    with routed(tmp_path, {"s1": cache}) as router:
+    with running_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         for i in range(3):
-            assert client.ask(get(f"l{i}", "long")) == LONG
-            assert client.ask(get(f"s{i}")) == b"short"
-        assert cache.accepted == 1
+            assert client.request(get(f"l{i}", "long")) == LONG
+            assert client.request(get(f"s{i}")) == b"short"
+        assert cache.connection_count == 1
 
 
 def test_long_value_of_the_origin_passes_through_whole(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n")
     origin = Peer(lambda _, words: http_answer(200, LONG), True)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
+    with running_router(tmp_path, {"s1": cache}, origin) as router:
         client = router.client()
-        assert client.ask(get("l1")) == LONG
-        assert client.ask(get("l2")) == LONG
-        assert origin.accepted == 1
+        assert client.request(get("l1")) == LONG
+        assert client.request(get("l2")) == LONG
+        assert origin.connection_count == 1
 
 
 def test_long_value_that_breaks_off_ends_visibly_incomplete(tmp_path: Path) -> None:
@@ -66,23 +66,23 @@
         return b""
 
     cache = Peer(answer)
-    with routed(tmp_path, {"s1": cache}) as router:
+    with running_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         with contextlib.suppress(ConnectionResetError):
-            assert client.ask(get("l1")).startswith(b"cut off")
-        assert router.client().ask(bulk(b"PING")) == b"+PONG"
+            assert client.request(get("l1")).startswith(b"cut off")
+        assert router.client().request(bulk(b"PING")) == b"+PONG"
 
 
 def test_long_value_of_another_length_than_told_ends_visibly_incomplete(tmp_path: Path) -> None:
     # What follows the length that was told can be read as the rest of the answer.
     told = b"*3\r\n$%d\r\n" % len(LONG) + LONG + b"xx+of\r\n$3\r\nhit\r\n$-1\r\n"
     cache = Peer(lambda _, words: told)
-    with routed(tmp_path, {"s1": cache}) as router:
+    with running_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         client.send(get("l1"))
         with contextlib.suppress(ConnectionResetError):
-            assert client.answer().startswith(b"cut off")
-        assert router.client().ask(bulk(b"PING")) == b"+PONG"
+            assert client.read_reply().startswith(b"cut off")
+        assert router.client().request(bulk(b"PING")) == b"+PONG"
 
 
 def test_long_value_waits_for_the_answers_before_it(tmp_path: Path) -> None:
@@ -96,22 +96,22 @@
         return hit(LONG)
 
     cache = Peer(answer)
-    with routed(tmp_path, {"s1": cache}) as router:
+    with running_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         client.send(get("slow") + get("l1", "long"))
-        assert client.answer() == b"slow"
-        assert client.answer() == LONG
+        assert client.read_reply() == b"slow"
+        assert client.read_reply() == LONG
 
 
 def test_many_long_values_for_clients_that_never_read_stay_within_memory(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(LONG * 2))
-    with routed(tmp_path, {"s1": cache}) as router:
+    with running_router(tmp_path, {"s1": cache}) as router:
         before = router.memory_kb()
         clients = [router.client() for _ in range(15)]  # as many as may have an attempt at one server
         for i, client in enumerate(clients):
             client.send(get(f"l{i}", f"k{i}"))
-        eventually(lambda: len(cache.seen) == len(clients), "all attempts")
-        assert router.client().ask(bulk(b"PING")) == b"+PONG"
+        eventually(lambda: len(cache.requests) == len(clients), "all attempts")
+        assert router.client().request(bulk(b"PING")) == b"+PONG"
         assert router.memory_kb() - before < 15 * 1024  # of 60 MiB that are on their way
         for client in clients:
             client.close()
@@ -121,7 +121,7 @@
     origin = Peer(lambda _, message: http_answer(200, b"%d" % len(message[3])), True)
     limits = {"cores": 1.0, "memory_mb": 32, "sockets": 512}
     value = bytes(64 << 10)
-    with routed(tmp_path, {}, origin, limits=limits) as router:
+    with running_router(tmp_path, {}, origin, limits=limits) as router:
         stuck = [router.client() for _ in range(120)]  # more than what is set aside is enough for
         for i, client in enumerate(stuck):
             client.send(put(f"stuck{i}", value)[:1000])
@@ -129,26 +129,26 @@
 
         def write(i: int) -> None:
             client = router.client()
-            answers.append(client.ask(put(f"w{i}", value, d=15_000)))
+            answers.append(client.request(put(f"w{i}", value, d=15_000)))
             client.close()
 
         writers = [threading.Thread(target=write, args=(i,)) for i in range(12)]
         for writer in writers:
             writer.start()
         for writer in writers:
-            writer.join(PATIENCE_S)
+            writer.join(WAIT_TIMEOUT_S)
         assert answers == [b"%d" % len(value)] * 12
         for client in stuck:
-            assert client.answer().startswith(b"-ERR")
+            assert client.read_reply().startswith(b"-ERR")
         assert router.memory_kb() < 64 * 1024
 
 
 def test_deep_pipeline_is_answered_in_order(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[2]))
-    with routed(tmp_path, {"s1": cache}) as router:
+    with running_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         client.send(b"".join(get(f"r{i}", f"k{i}", 15_000) for i in range(600)))
-        assert [client.answer() for _ in range(600)] == [b"r%d" % i for i in range(600)]
+        assert [client.read_reply() for _ in range(600)] == [b"r%d" % i for i in range(600)]
 
 
 def test_connection_that_the_server_closed_meanwhile_costs_a_safe_read_nothing(tmp_path: Path) -> None:
@@ -158,10 +158,10 @@
         return None
 
     first, second = Peer(answer), Peer(answer)
-    with routed(tmp_path, {"s1": first, "s2": second}) as router:
+    with running_router(tmp_path, {"s1": first, "s2": second}) as router:
         client = router.client()
         for i in range(20):
-            assert client.ask(get(f"r{i}", f"k{i}")) in (b"r%d" % i, b"-BUSY")
+            assert client.request(get(f"r{i}", f"k{i}")) in (b"r%d" % i, b"-BUSY")
 
 
 def _asking(router_port: int, stop: threading.Event, lost: list[str], served: list[str], name: str) -> None:
@@ -170,7 +170,7 @@
     while not stop.is_set():
         i += 1
         try:
-            answer = client.ask(get(f"{name}.{i}"))
+            answer = client.request(get(f"{name}.{i}"))
         except OSError:
             answer = b""
         if not answer:
@@ -188,7 +188,7 @@
         return hit(words[2])
 
     cache = Peer(answer)
-    with routed(tmp_path, {"s1": cache}) as router:
+    with running_router(tmp_path, {"s1": cache}) as router:
         stop, lost, served = threading.Event(), list[str](), list[str]()
         threads = [
             threading.Thread(target=_asking, args=(router.port, stop, lost, served, f"c{i}"))
@@ -201,18 +201,18 @@
         slow.send(get("taken"))
         router.terminate()
         late = router.client()  # it still accepts for a while
-        assert late.ask(get("late")) == b"late"
-        assert slow.answer() == b"taken"
-        assert router.process.wait(PATIENCE_S) == 0
+        assert late.request(get("late")) == b"late"
+        assert slow.read_reply() == b"taken"
+        assert router.process.wait(WAIT_TIMEOUT_S) == 0
         stop.set()
         for thread in threads:
-            thread.join(PATIENCE_S)
+            thread.join(WAIT_TIMEOUT_S)
         assert not lost
         assert slow.at_end()
 
 
 def _bad_configs() -> Iterator[tuple[str | None, str]]:
-    good: dict[str, Any] = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": FACTS}
+    good: dict[str, Any] = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": SETTINGS}
     yield None, "LB_CONFIG"
     yield "{nonsense", "config"
     yield "[]", "expected object"
@@ -235,7 +235,7 @@
         env=environ,
         capture_output=True,
         text=True,
-        timeout=PATIENCE_S,
+        timeout=WAIT_TIMEOUT_S,
         check=False,
     )
     assert result.returncode != 0
@@ -247,26 +247,26 @@
     release = threading.Event()
 
     def answer(_: socket.socket, words: list[bytes]) -> bytes:
-        release.wait(PATIENCE_S)
+        release.wait(WAIT_TIMEOUT_S)
         return hit(words[2])
 
     caches = {f"s{i}": Peer(answer) for i in range(8)}
     limit = 160
-    with routed(tmp_path, caches, limits={"cores": 1.0, "memory_mb": 64, "sockets": limit}) as router:
+    with running_router(tmp_path, caches, limits={"cores": 1.0, "memory_mb": 64, "sockets": limit}) as router:
         clients = []
         for i in range(limit):
             clients.append(router.client())
             with contextlib.suppress(OSError):  # one over the limit is closed
                 clients[-1].send(get(f"r{i}", f"k{i}", 15_000))
         assert clients[-1].at_end()  # by then all that are taken in are taken in
-        eventually(lambda: sum(len(cache.seen) for cache in caches.values()) > 40, "load on both sides")
+        eventually(lambda: sum(len(cache.requests) for cache in caches.values()) > 40, "load on both sides")
         assert router.descriptors() <= limit
         release.set()
         for client in clients:
             client.close()
 
 
-def _reload(router: Routed, discovery_port: int) -> None:
+def _reload(router: RunningRouter, discovery_port: int) -> None:
     config = json.loads(router.config.read_text())
     config["discovery"] = f"127.0.0.1:{discovery_port}"
     router.config.write_text(json.dumps(config))
@@ -275,60 +275,61 @@
 
 def test_reload_moves_to_another_discovery_and_keeps_the_list_until_that_speaks(tmp_path: Path) -> None:
     old, new = Peer(lambda _, words: hit(b"old")), Peer(lambda _, words: hit(b"new"))
-    with routed(tmp_path, {"s1": old}) as router:
+    with running_router(tmp_path, {"s1": old}) as router:
         client = router.client()
-        assert client.ask(get("r0")) == b"old"
+        assert client.request(get("r0")) == b"old"
         speaks = threading.Event()
         second = DiscoveryPeer([entry(new, "s2")])
         answer = second.peer.handler
-        second.peer.handler = lambda connection, words: (speaks.wait(PATIENCE_S), answer(connection, words))[
-            1
-        ]
+        second.peer.handler = lambda connection, words: (
+            speaks.wait(WAIT_TIMEOUT_S),
+            answer(connection, words),
+        )[1]
         _reload(router, second.peer.port)
-        eventually(lambda: second.peer.seen, "a call of the new discovery")
-        assert router.client().ask(get("r1")) == b"old"
+        eventually(lambda: second.peer.requests, "a call of the new discovery")
+        assert router.client().request(get("r1")) == b"old"
         third = entry(new, "s3")
         router.discovery.change(third)  # the old one still counts
         names = (f"w{i}" for i in range(100_000))
-        eventually(lambda: router.client().ask(get(next(names))) == b"new", "what the old discovery told")
+        eventually(lambda: router.client().request(get(next(names))) == b"new", "what the old discovery told")
         router.discovery.peer.close()
         second.instances = [entry(old, "s1")]
         speaks.set()
-        eventually(lambda: router.client().ask(get(next(names))) == b"old", "what the new discovery told")
+        eventually(lambda: router.client().request(get(next(names))) == b"old", "what the new discovery told")
         second.change(entry(old, "s1", lifecycle="removed"), third)
-        eventually(lambda: router.client().ask(get(next(names))) == b"new", "the new discovery's changes")
+        eventually(lambda: router.client().request(get(next(names))) == b"new", "the new discovery's changes")
         second.peer.close()
 
 
 @pytest.mark.parametrize("text", ["", '{"listen": "127.0', "[]", '{"discovery": 5}'])
 def test_reload_of_a_bad_file_changes_nothing_and_a_good_one_counts_later(tmp_path: Path, text: str) -> None:
     old, new = Peer(lambda _, words: hit(b"old")), Peer(lambda _, words: hit(b"new"))
-    with routed(tmp_path, {"s1": old}) as router:
+    with running_router(tmp_path, {"s1": old}) as router:
         good = router.config.read_text()
         router.config.write_text(text)
         router.process.send_signal(signal.SIGHUP)
-        assert router.client().ask(get("r0")) == b"old"
+        assert router.client().request(get("r0")) == b"old"
         router.config.write_text(good)
         second = DiscoveryPeer([entry(new, "s2")])
         _reload(router, second.peer.port)
         names = (f"w{i}" for i in range(100_000))
-        eventually(lambda: router.client().ask(get(next(names))) == b"new", "the new discovery's list")
+        eventually(lambda: router.client().request(get(next(names))) == b"new", "the new discovery's list")
         second.peer.close()
 
 
 def test_reload_of_a_half_written_file_takes_it_once_it_is_whole(tmp_path: Path) -> None:
     old, new = Peer(lambda _, words: hit(b"old")), Peer(lambda _, words: hit(b"new"))
     second = DiscoveryPeer([entry(new, "s2")])
-    with routed(tmp_path, {"s1": old}) as router:
+    with running_router(tmp_path, {"s1": old}) as router:
         told = json.loads(router.config.read_text())
         told["discovery"] = f"127.0.0.1:{second.peer.port}"
         whole = json.dumps(told)
         router.config.write_text(whole[:100])
         router.process.send_signal(signal.SIGHUP)
-        assert router.client().ask(get("r0")) == b"old"
+        assert router.client().request(get("r0")) == b"old"
         router.config.write_text(whole)
         names = (f"w{i}" for i in range(100_000))
-        eventually(lambda: router.client().ask(get(next(names))) == b"new", "the new discovery's list")
+        eventually(lambda: router.client().request(get(next(names))) == b"new", "the new discovery's list")
     second.peer.close()
 
 
@@ -340,20 +341,20 @@
     def store(connection: socket.socket, words: list[bytes]) -> bytes | None:
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n" % len(value)
         connection.sendall(head + value[:-1])
-        go_on.wait(PATIENCE_S)
+        go_on.wait(WAIT_TIMEOUT_S)
         return value[-1:] + b"\r\n0\r\n\r\n"
 
     cache = Peer(lambda _, words: MISS)
     origin = Peer(store, True)
     limits = {"cores": 1.0, "memory_mb": limit, "sockets": 512}
-    with routed(tmp_path, {"s1": cache}, origin, limits=limits) as router:
-        assert router.client().ask(get("first", "first", d=60_000)) == value
+    with running_router(tmp_path, {"s1": cache}, origin, limits=limits) as router:
+        assert router.client().request(get("first", "first", d=60_000)) == value
         before = router.memory_kb()
         clients = [router.client() for _ in range(count)]
         go_on.clear()
         for number, client in enumerate(clients):
             client.send(get(f"q{number}", f"k{number}", d=60_000))
-        eventually(lambda: len(origin.seen) > count, "all of them at the store")
+        eventually(lambda: len(origin.requests) > count, "all of them at the store")
         samples = [before]
 
         def at_rest() -> bool:
@@ -363,7 +364,7 @@
         eventually(at_rest, "an end of the growth")
         go_on.set()
         for client in clients:
-            assert client.answer() == value
+            assert client.read_reply() == value
             samples.append(router.memory_kb())
         most = max(samples)
         assert (most - before) / 1024 < limit / 2 < count * len(value) / (1 << 20)
--- a/tests/daemon/test_npm_clients.py
+++ b/tests/daemon/test_npm_clients.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.daemon.test_greetings import INFO, running
-from tests.sockets import Routed
+from tests.sockets import RunningRouter
 
 __all__ = ["running"]
 
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.long
-def test_ioredis_and_node_redis_as_they_come(running: Routed, tmp_path: Path) -> None:
+def test_ioredis_and_node_redis_as_they_come(running: RunningRouter, tmp_path: Path) -> None:
     folder = tmp_path / "npm"
     folder.mkdir()
     subprocess.run(["npm", "install", "--prefix", str(folder), *PACKAGES], check=True, capture_output=True)
--- a/tests/daemon/test_operations.py
+++ b/tests/daemon/test_operations.py
@@ -10,9 +10,9 @@
 from pebblepass.emulators.ports import take_port
 from tests.processes import end_by_sigterm, ending
 from tests.sockets import (
-    FACTS,
     MISS,
-    PATIENCE_S,
+    SETTINGS,
+    WAIT_TIMEOUT_S,
     Client,
     DiscoveryPeer,
     Peer,
@@ -24,13 +24,13 @@
     http_answer,
     is_ready,
     put,
-    routed,
+    running_router,
     start_router,
 )
 
 
 def control(port: int, path: str) -> tuple[int, str]:
-    with socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_S) as connection:
+    with socket.create_connection(("127.0.0.1", port), timeout=WAIT_TIMEOUT_S) as connection:
         connection.sendall(f"GET /control/{path} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
         answer = b"".join(iter(lambda: connection.recv(65536), b""))
     head, _, body = answer.decode().partition("\r\n\r\n")
@@ -61,22 +61,22 @@
     says = {b"/nobody": 404, b"/bad": 500}
     store = Peer(lambda _, words: http_answer(says.get(words[1], 200), b"v"), True)
     caches = {f"s{i}": Peer(cache) for i in range(3)}
-    with routed(tmp_path, caches, store, ops=ops) as router:
+    with running_router(tmp_path, caches, store, ops=ops) as router:
         client = router.client()
         assert control(ops, "ready")[0] == 200
         before = figures(ops)
         assert (before["cluster_size"], before["cluster_unhealthy"], before["current"]) == (3, 0, 0)
-        assert client.ask(get("q1", "long")) == slow  # one send
-        assert client.ask(get("q2", "k")) == b"v"  # a miss, and a fetch
-        assert client.ask(put("q3")) == b"v"  # one send, to the store
+        assert client.request(get("q1", "long")) == slow  # one send
+        assert client.request(get("q2", "k")) == b"v"  # a miss, and a fetch
+        assert client.request(put("q3")) == b"v"  # one send, to the store
         client.send(get("q4", "nobody"))
         assert client.stream.readline() == b"$-1\r\n"
-        assert client.ask(get("q5", "bad")).startswith(b"-BUSY")
-        assert client.ask(get("q6", "k", d=0)).startswith(b"-BUSY")
+        assert client.request(get("q5", "bad")).startswith(b"-BUSY")
+        assert client.request(get("q6", "k", d=0)).startswith(b"-BUSY")
         told = figures(ops)
         assert (told["answered.get"], told["answered.put"]) == (2, 1)
         assert (told["deferred.get"], told["errored.get"]) == (2, 1)
-        sent = sum(len(peer.seen) for peer in (*caches.values(), store))
+        sent = sum(len(peer.requests) for peer in (*caches.values(), store))
         assert told["sends"] == sent
         client.send(get("q7", "open"))
         eventually(lambda: figures(ops)["current"] == 1, "the open request")
@@ -89,13 +89,13 @@
 def test_a_router_that_ends_is_not_ready(tmp_path: Path) -> None:
     held = Peer(lambda _, words: None)
     ops = take_port()
-    with routed(tmp_path, {"s1": held}, ops=ops) as router:
+    with running_router(tmp_path, {"s1": held}, ops=ops) as router:
         client = router.client()
         client.send(get("q1", d=1500))
-        eventually(lambda: held.seen, "the request at its server")
+        eventually(lambda: held.requests, "the request at its server")
         router.terminate()
         eventually(lambda: control(ops, "ready")[0] == 503, "the word that it is not ready")
-        assert client.answer().startswith((b"-BUSY", b"-ERR"))
+        assert client.read_reply().startswith((b"-BUSY", b"-ERR"))
 
 
 def test_it_listens_on_the_socket_that_it_inherits(tmp_path: Path) -> None:
@@ -106,7 +106,7 @@
         told = {
             "listen": f"127.0.0.1:{port}",
             "discovery": f"127.0.0.1:{discovery.peer.port}",
-            "settings": FACTS,
+            "settings": SETTINGS,
         }
         # One that comes before the router does is served by it.
         early = Client(port)
@@ -114,10 +114,10 @@
         process = start_router(tmp_path, told, (held.fileno(),), LB_INHERITED_FD=str(held.fileno()))
         try:
             eventually(lambda: is_ready(port), "the router is ready")
-            assert early.answer() in (b"+PONG", b"-LOADING no list of servers yet")
-            assert Client(port).ask(get("q1")) == b"v"
+            assert early.read_reply() in (b"+PONG", b"-LOADING no list of servers yet")
+            assert Client(port).request(get("q1")) == b"v"
         finally:
-            end_by_sigterm(process, PATIENCE_S)
+            end_by_sigterm(process, WAIT_TIMEOUT_S)
         assert process.returncode == 0
         # It lets go of the socket, and the platform has it still.
         assert held.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
@@ -138,11 +138,11 @@
 ) -> None:
     with socket.socket() as silent, socket.create_server(("127.0.0.1", 0)) as other:
         held = {"silent": silent.fileno(), "other": other.fileno()}
-        told = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": FACTS}
+        told = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETTINGS}
         number = str(held.get(given, given))
         process = start_router(tmp_path, told, tuple(held.values()), LB_INHERITED_FD=number)
         with ending(process):
-            _, said = process.communicate(timeout=PATIENCE_S)
+            _, said = process.communicate(timeout=WAIT_TIMEOUT_S)
     assert process.returncode == 2
     assert complaint in said
     assert said.count("\n") == 1
--- a/tests/daemon/test_orders.py
+++ b/tests/daemon/test_orders.py
@@ -31,7 +31,7 @@
 )
 from pebblepass.daemon.daemon import ACCEPT_S, Daemon
 from pebblepass.decisions import Outcome, ServerState
-from tests.crossings import Bed, ClientLine, PeerLine, crossing
+from tests.virtual_router import PeerConnection, RouterHarness, VirtualClient, run_with_router
 
 LEFT_S, SLACK_S = 0.1, 0.05
 D_MS = 600  # the clients' time
@@ -68,13 +68,13 @@
 class Run:
     """One order, played."""
 
-    def __init__(self, bed: Bed, order: Order) -> None:
+    def __init__(self, bed: RouterHarness, order: Order) -> None:
         self.bed, self.order = bed, order
         self.cache, self.other = bed.caches["a"], bed.caches["b"]
         self.gate = asyncio.Event()
         self.asked_at: dict[str, float] = {}
         self.left_at: dict[str, float] = {}
-        self.of: dict[str, ClientLine] = {}
+        self.of: dict[str, VirtualClient] = {}
         self.told: dict[str, float] = {}
         self.answered: list[str] = []
         """Requests whose whole answer a server has written."""
@@ -85,14 +85,14 @@
     async def play(self) -> None:
         """Play it, and let everything come to its end."""
         bed, order = self.bed, self.order
-        bed.origin.came = self.serve
+        bed.origin.on_request = self.serve
         self.clients = [await bed.client(), await bed.client()]
         if order.warm:
-            self.cache.came = self.other.came = self.serve
+            self.cache.on_request = self.other.on_request = self.serve
             self.of["r0"] = self.clients[0]
             self.ask("r0", self.clients[0])
             await bed.wait(0.05)
-            self.cache.came = self.other.came = lambda line, name: None
+            self.cache.on_request = self.other.on_request = lambda line, name: None
             self.gate.set()
         for peer in (self.cache, self.other):
             bed.loop.gates[peer.address] = self.gate
@@ -103,18 +103,18 @@
             elif gap:
                 await bed.wait(gap)
         self.gate.set()
-        self.cache.came = self.other.came = self.serve
+        self.cache.on_request = self.other.on_request = self.serve
         await bed.wait(3.0)
 
-    def serve(self, line: PeerLine, name: str) -> None:
+    def serve(self, line: PeerConnection, name: str) -> None:
         self.answered.append(name)
         line.peer.serve(line, name)
 
-    def ask(self, name: str, line: ClientLine) -> None:
+    def ask(self, name: str, line: VirtualClient) -> None:
         if line.transport.is_closing():
             return
         self.asked_at[name] = self.bed.loop.time()
-        line.ask(name, "x", d=D_MS)
+        line.send_request(name, "x", d=D_MS)
         self.of[name] = line
 
     def meet(self) -> None:
@@ -133,10 +133,10 @@
             transport.get_extra_info("socket")._sock.shutdown(socket.SHUT_WR)
             transport.abort()
 
-    def newest(self) -> PeerLine | None:
+    def newest(self) -> PeerConnection | None:
         """The connection of a cache's on which something was asked last."""
-        used = [line for peer in (self.cache, self.other) for line in peer.lines if line.asked]
-        return max(used, key=lambda line: line.peer.seen[-1][0], default=None)
+        used = [line for peer in (self.cache, self.other) for line in peer.connections if line.request_ids]
+        return max(used, key=lambda line: line.peer.requests[-1][0], default=None)
 
     def happen(self, event: str) -> None:
         bed, line = self.bed, self.newest()
@@ -145,20 +145,22 @@
                 self.ask("r1", self.clients[0])
             case "next":
                 self.ask("r2", self.clients[1])
-            case "answer" if line is not None and line.asked[-1] not in self.answered:
-                self.serve(line, line.asked[-1])
-            case "again" if line is not None and line.asked[-1] in self.answered:
-                line.transport.write(line.peer.answer(line.asked[-1]))
-            case "miss" if line is not None and line.asked[-1] not in self.answered:
-                self.answered.append(line.asked[-1])
-                self.never.add(line.asked[-1])
-                line.peer.miss(line, line.asked[-1])
+            case "answer" if line is not None and line.request_ids[-1] not in self.answered:
+                self.serve(line, line.request_ids[-1])
+            case "again" if line is not None and line.request_ids[-1] in self.answered:
+                line.transport.write(line.peer.answer(line.request_ids[-1]))
+            case "miss" if line is not None and line.request_ids[-1] not in self.answered:
+                self.answered.append(line.request_ids[-1])
+                self.never.add(line.request_ids[-1])
+                line.peer.miss(line, line.request_ids[-1])
             case "fin" if line is not None:
                 line.transport.close()
             case "reset" if line is not None:
                 line.reset()
             case "drain" | "gone":
-                bed.tell("a", state=ServerState.DRAINING if event == "drain" else ServerState.REMOVED)
+                bed.update_servers(
+                    "a", state=ServerState.DRAINING if event == "drain" else ServerState.REMOVED
+                )
                 self.told.setdefault("a", bed.loop.time())
             case "leave":
                 for name, client in self.of.items():
@@ -180,12 +182,12 @@
     def judge(self) -> list[str]:
         """What broke a rule."""
         found: list[str] = []
-        seen = self.bed.seen
+        seen = self.bed.requests
         for name, asked_at in self.asked_at.items():
             mine = [(at, where) for at, where, whose in seen if whose == name]
             line = self.of[name]
             names = [each for each, client in self.of.items() if client is line]
-            got = line.answers()[names.index(name) :][:1]
+            got = line.replies()[names.index(name) :][:1]
             due = asked_at + D_MS / 1000 + SLACK_S
             if name in self.left_at:
                 sent = [at for at, _ in mine if at > self.left_at[name] + LEFT_S]
@@ -205,15 +207,15 @@
             if name in self.left_at and self.left_at[name] >= asked_at:
                 continue
             if len(got) != 1 or not (got[0] == f"value of {name}".encode() or got[0].startswith(b"-")):
-                found.append(f"{name}: answered {got}, of {line.answers()}")
+                found.append(f"{name}: answered {got}, of {line.replies()}")
         for server, at in self.told.items():
             for sent_at, where, whose in seen:
                 if where == server and sent_at > at + SLACK_S:
                     found.append(f"{whose}: sent to {server} {sent_at - at:.3f} s after it was told")
         for client in self.clients:
             own = sorted(name for name, line in self.of.items() if line is client)
-            if len(client.answers()) > len(own):
-                found.append(f"answers to nobody: {client.answers()} for {own}")
+            if len(client.replies()) > len(own):
+                found.append(f"answers to nobody: {client.replies()} for {own}")
         return found
 
 
@@ -221,19 +223,19 @@
     """Play an order; returns what broke a rule, or was left behind."""
     found: list[str] = []
 
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         run = Run(bed, order)
         await run.play()
         found.extend(run.judge())
         try:
-            bed.nothing_held()
+            bed.assert_nothing_left()
         except AssertionError as error:
             found.append(f"left behind: {error}")
 
     cls = {"name": "x", "aimNs": 10**9, "giveUpNs": 10**9, "semantics": order.effect, "group": "all"}
     ceilings = {"mostTries": 4, "dialTimeoutNs": 2 * 10**9, "idleCloseNs": 10**10, "retryAfter": True}
     facts = {"classes": [{**cls, "dedupWindowNs": int(WINDOW_S * 1e9)}], "ceilings": ceilings}
-    crossing(test, ("a", "b"), facts, daemon_class)
+    run_with_router(test, ("a", "b"), facts, daemon_class)
     return found
 
 
@@ -352,7 +354,7 @@
     with (
         patch.object(client_connection.ClientConnection, "has_unread", lambda self: False),
         patch.object(client_server.ClientServer, "accept_pending", lambda self: None),
-        patch.object(daemon, "news", no_news),
+        patch.object(daemon, "sockets_polled", no_news),
     ):
         yield
 
--- a/tests/daemon/test_pipelined_forms.py
+++ b/tests/daemon/test_pipelined_forms.py
@@ -26,9 +26,9 @@
 from pebblepass.decisions.attempts import Attempts
 from pebblepass.decisions.health import Node
 from pebblepass.decisions.requests import Request
-from pebblepass.wire.resp import MAX_VALUE, Command, CommandReader, UnknownCommandError, parse_request
-from tests.crossings import Bed, ClientLine, Peer, PeerLine, crossing
+from pebblepass.wire.resp import MAX_VALUE_BYTES, Command, CommandReader, UnknownCommandError, parse_request
 from tests.sockets import MISS, bulk, hit, http_answer
+from tests.virtual_router import Peer, PeerConnection, RouterHarness, VirtualClient, run_with_router
 
 COMMANDS = 300
 CACHES = ("a", "b", "c", "d")
@@ -127,7 +127,7 @@
     if long_values:
         for place in range(0, COMMANDS, COMMANDS // 3):
             kind = draw.choice((Kind.KEYED_WRITE, Kind.UNSAFE_WRITE))
-            plan[place] = command(draw, f"r{place:04}", kind, b"\r\n" * (MAX_VALUE // 2))
+            plan[place] = command(draw, f"r{place:04}", kind, b"\r\n" * (MAX_VALUE_BYTES // 2))
     return plan
 
 
@@ -151,7 +151,7 @@
 class Servers:
     """Caches and the store, which answer in every form, and reset connections under requests."""
 
-    bed: Bed
+    bed: RouterHarness
     draw: random.Random
     good: bool = False
     """Whether every attempt is served."""
@@ -162,25 +162,25 @@
 
     def __post_init__(self) -> None:
         for peer in self.bed.caches.values():
-            peer.came = self.cache_came
-        self.bed.origin.came = self.store_came
+            peer.on_request = self.cache_came
+        self.bed.origin.on_request = self.store_came
         for peer in (*self.bed.caches.values(), self.bed.origin):
-            peer.accepted = lambda line: send_at_once(line.transport)
+            peer.on_accept = lambda line: send_at_once(line.transport)
             self._note_requests(peer)
 
     def _note_requests(self, peer: Peer) -> None:
-        whole_cut = peer.cut
+        whole_cut = peer.split_request
 
-        def cut(held: bytes) -> tuple[str, bytes] | None:
-            found = whole_cut(held)
+        def cut(data: bytes) -> tuple[str, bytes] | None:
+            found = whole_cut(data)
             if found is not None:
                 name, rest = found
-                self.got.append(Got(name, peer.is_http, held[: len(held) - len(rest)]))
+                self.got.append(Got(name, peer.is_http, data[: len(data) - len(rest)]))
             return found
 
-        peer.cut = cut  # type: ignore[method-assign]
+        peer.split_request = cut  # type: ignore[method-assign]
 
-    def cache_came(self, line: PeerLine, name: str) -> None:
+    def cache_came(self, line: PeerConnection, name: str) -> None:
         fate = self._fate(line, name, CACHE_FATES)
         value = b"value of " + name.encode()
         answer = self.draw.choice((hit(value), b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(value), value)))
@@ -191,11 +191,11 @@
         elif fate is Fate.ERROR:
             answer = self.draw.choice((b"-ERR failed\r\n", b"-ERR failed " + REPORT + b"\r\n"))
         self._answer(line, answer, fate)
-        if len(line.peer.seen) % ALL_RESET_EVERY == 0:
-            for other in list(line.peer.lines):
+        if len(line.peer.requests) % ALL_RESET_EVERY == 0:
+            for other in list(line.peer.connections):
                 self._break(other)
 
-    def store_came(self, line: PeerLine, name: str) -> None:
+    def store_came(self, line: PeerConnection, name: str) -> None:
         fate = self._fate(line, name, STORE_FATES)
         value = b"value of " + name.encode()
         chunk = b"%x\r\n%b\r\n0\r\n\r\n" % (len(value), value)
@@ -213,7 +213,7 @@
             answer = http_answer(500)
         self._answer(line, answer, fate)
 
-    def _fate(self, line: PeerLine, name: str, fates: tuple[Fate, ...]) -> Fate:
+    def _fate(self, line: PeerConnection, name: str, fates: tuple[Fate, ...]) -> Fate:
         at_store = line.peer.is_http
         if self.good or (name, at_store) in self.met:
             return Fate.SERVED
@@ -222,7 +222,7 @@
         self.fates.setdefault(name, fate)
         return fate
 
-    def _answer(self, line: PeerLine, answer: bytes, fate: Fate) -> None:
+    def _answer(self, line: PeerConnection, answer: bytes, fate: Fate) -> None:
         """Write it in pieces, after a while; or break the connection."""
         loop, delay = self.bed.loop, self.draw.uniform(*SERVICE_S)
         if fate is Fate.RESET:
@@ -236,12 +236,12 @@
             loop.call_later(delay + place * 0.0005, self._write, line, piece)
 
     @staticmethod
-    def _write(line: PeerLine, data: bytes) -> None:
+    def _write(line: PeerConnection, data: bytes) -> None:
         if not line.transport.is_closing():
             line.transport.write(data)
 
     @staticmethod
-    def _break(line: PeerLine) -> None:
+    def _break(line: PeerConnection) -> None:
         if not line.transport.is_closing():
             line.reset()
 
@@ -251,7 +251,7 @@
     transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-async def connected(bed: Bed) -> ClientLine:
+async def connected(bed: RouterHarness) -> VirtualClient:
     client = await bed.client()
     await bed.settle()
     send_at_once(client.transport)
@@ -269,7 +269,9 @@
         position += size
 
 
-async def send(bed: Bed, client: ClientLine, draw: random.Random, data: bytes, longest: int) -> None:
+async def send(
+    bed: RouterHarness, client: VirtualClient, draw: random.Random, data: bytes, longest: int
+) -> None:
     """Send all of it, each piece read by itself or together with others."""
     for piece in in_pieces(draw, data, longest):
         client.transport.write(piece)
@@ -312,7 +314,7 @@
 def breaks(plan: list[Sent], answers: list[bytes], servers: Servers) -> list[str]:
     """Everything that the protocol forbids, in words."""
     found = [] if len(answers) == len(plan) else [f"{len(answers)} answers to {len(plan)} commands"]
-    attempts = Counter(name for _, _, name in servers.bed.seen)
+    attempts = Counter(name for _, _, name in servers.bed.requests)
     for sent, answer in zip(plan, answers, strict=False):
         fate = servers.fates.get(sent.name, Fate.SERVED)
         if not fits(sent, answer, fate):
@@ -334,18 +336,18 @@
     """Send all commands on one connection, without waiting for an answer; returns the breaks."""
     played: list[tuple[list[str], Servers]] = []
 
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         servers = Servers(bed, random.Random(seed + 1))
         draw = random.Random(seed)
         plan = commands(draw, long_values=longest >= LONG_PIECES)
         client = await connected(bed)
         await send(bed, client, draw, b"".join(sent.data for sent in plan), longest)
         await bed.wait(5.0)
-        played.append((breaks(plan, client.answers(), servers), servers))
+        played.append((breaks(plan, client.replies(), servers), servers))
         if check_held:
-            bed.nothing_held()
+            bed.assert_nothing_left()
 
-    crossing(test, CACHES, **ROOM)
+    run_with_router(test, CACHES, **ROOM)
     return played[0]
 
 
@@ -367,26 +369,26 @@
 def test_commands_cut_at_every_byte_are_each_answered_once_in_their_order() -> None:
     """One command of each kind, sent in two pieces on one connection, and again cut a byte later."""
 
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         servers = Servers(bed, random.Random(1), good=True)
         client = await connected(bed)
         size, cut = 1, 0
         while cut < size:
             plan = [command(random.Random(7), f"c{cut:04}.{kind.value}", kind) for kind in Kind]
             data = b"".join(sent.data for sent in plan)
-            size, client.came = len(data), b""
+            size, client.received = len(data), b""
             client.transport.write(data[:cut])
             await bed.settle()
             client.transport.write(data[cut:])
             await bed.wait(0.3)
-            assert breaks(plan, client.answers(), servers) == [], cut
+            assert breaks(plan, client.replies(), servers) == [], cut
             servers.got.clear()
             for peer in (*bed.caches.values(), bed.origin):
-                peer.seen.clear()
+                peer.requests.clear()
             cut += 1
-        bed.nothing_held()
+        bed.assert_nothing_left()
 
-    crossing(test, CACHES, **ROOM)
+    run_with_router(test, CACHES, **ROOM)
 
 
 # Broken routers, which have to be caught
@@ -415,9 +417,9 @@
 
 def forgetful(reader: CommandReader, data: bytes) -> list[list[bytes]]:
     """Broken: a command that is cut in its midst begins anew."""
-    if reader.need:
+    if reader.needed_bytes:
         reader._buffer.clear()
-        reader.need = 0
+        reader.needed_bytes = 0
     return FEED(reader, data)
 
 
--- a/tests/daemon/test_ready.py
+++ b/tests/daemon/test_ready.py
@@ -12,11 +12,11 @@
 import pytest
 
 from pebblepass.daemon.config import read_config
-from pebblepass.daemon.daemon import MOST_SETTLING_S, READY_S, Daemon
+from pebblepass.daemon.daemon import MAX_SETTLING_S, READY_S, Daemon
 from pebblepass.emulators.ports import take_port
 from pebblepass.simulation.clock import VirtualLoop
-from tests.sockets import FACTS, ROOT
-from tests.virtual import played
+from tests.sockets import ROOT, SETTINGS
+from tests.virtual import run_virtual
 
 IN_TIME_S = 10.0  # for nine in ten restarted routers
 INSTANCES = [
@@ -58,11 +58,11 @@
         told = {
             "listen": f"127.0.0.1:{take_port()}",
             "discovery": f"127.0.0.1:{port}",
-            "settings": {**FACTS, "membershipMode": mode},
+            "settings": {**SETTINGS, "membershipMode": mode},
             "known": known,
             "limits": {"cores": 0.1, "sockets": 160},
         }
-        daemon = Daemon(loop, read_config(told, {}), loop.unix_ns, spent=spent)
+        daemon = Daemon(loop, read_config(told, {}), loop.unix_ns, startup_cpu_s=spent)
         await daemon.start()
         while not daemon.is_ready() and loop.time() < began + 60:
             await asyncio.sleep(0.01)
@@ -72,7 +72,7 @@
         await asyncio.sleep(0.1)
         return took
 
-    return cast(float, played(work))
+    return cast(float, run_virtual(work))
 
 
 LAST_LIST = {"generation": 2, "reset": True, "instances": INSTANCES}
@@ -80,13 +80,13 @@
 
 @pytest.mark.parametrize("mode", ["automatic", "subscribe"])
 def test_it_is_ready_soon_where_discovery_speaks(mode: str) -> None:
-    assert ready_after(mode, None, 0.0, spent=0.4) < MOST_SETTLING_S + 0.1
-    assert ready_after(mode, LAST_LIST, 0.0, spent=0.4) < READY_S + MOST_SETTLING_S  # asked after a draw
+    assert ready_after(mode, None, 0.0, spent=0.4) < MAX_SETTLING_S + 0.1
+    assert ready_after(mode, LAST_LIST, 0.0, spent=0.4) < READY_S + MAX_SETTLING_S  # asked after a draw
 
 
 @pytest.mark.parametrize("mode", ["automatic", "subscribe"])
 def test_a_silent_discovery_holds_up_nobody_who_knows_a_list(mode: str) -> None:
-    assert READY_S - 0.02 <= ready_after(mode, LAST_LIST, 60.0, spent=0.4) < READY_S + MOST_SETTLING_S + 0.1
+    assert READY_S - 0.02 <= ready_after(mode, LAST_LIST, 60.0, spent=0.4) < READY_S + MAX_SETTLING_S + 0.1
 
 
 @pytest.mark.parametrize("silent_s", [0.5, 1.5, 3.0, 8.0])
