--- a/tests/daemon/test_requests.py
+++ b/tests/daemon/test_requests.py
@@ -11,10 +11,10 @@
 import pytest
 
 from tests.sockets import (
+    LONG_DEADLINE_CLASSES,
+    LONG_DEADLINE_MS,
     MISS,
-    PATIENCE_S,
-    PATIENT_CLASSES,
-    PATIENT_DEADLINE_MS,
+    WAIT_TIMEOUT_S,
     Peer,
     bulk,
     entry,
@@ -24,7 +24,7 @@
     http_answer,
     put,
     reset,
-    routed,
+    running_router,
 )
 
 
@@ -34,24 +34,24 @@
 
 def test_read_that_hits_passes_all_on_but_the_time_left(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(b"value of " + words[1]))
-    with routed(tmp_path, {"s1": cache}) as router:
+    with running_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
-        assert client.ask(get("id1", "a/key", 5000, ",r=1,size=9,h=77")) == b"value of a/key"
-        (words,) = cache.seen
+        assert client.request(get("id1", "a/key", 5000, ",r=1,size=9,h=77")) == b"value of a/key"
+        (words,) = cache.requests
         assert words[:3] == [b"KV.GET", b"a/key", b"id1"]
         told = fields(words[3])
         assert 0 < int(told.pop("d")) <= 5000
         assert told == {"c": "get", "t": "acme", "r": "1", "size": "9", "h": "77"}
-        assert client.ask(get("id2")) == b"value of k"
-        assert cache.accepted == 1  # the connection is used again
+        assert client.request(get("id2")) == b"value of k"
+        assert cache.connection_count == 1  # the connection is used again
 
 
 def test_read_that_misses_goes_to_the_origin(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: MISS)
     origin = Peer(lambda _, words: http_answer(200, b"fetched", "Server-Load: latency_ms=2,queue=1"), True)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
-        assert router.client().ask(get("id1", "p kg".replace(" ", "/"), 4321)) == b"fetched"
-        (message,) = origin.seen
+    with running_router(tmp_path, {"s1": cache}, origin) as router:
+        assert router.client().request(get("id1", "p kg".replace(" ", "/"), 4321)) == b"fetched"
+        (message,) = origin.requests
         assert message[:2] == [b"GET", b"/p/kg"]
         assert b"Request-Id: id1\r\n" in message[2]
         (told,) = re.findall(rb"Request-Info: c=get,t=acme,d=(\d+)\r\n", message[2])
@@ -61,11 +61,11 @@
 def test_write_goes_to_the_origin_with_its_value(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(b"wrong"))
     origin = Peer(lambda _, message: http_answer(200, b"receipt " + message[3]), True)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
-        assert router.client().ask(put("w1", b"\r\n$bytes\x00")) == b"receipt \r\n$bytes\x00"
-        assert origin.seen[0][0] == b"PUT"
-        assert b"k=5c" in origin.seen[0][2]
-        assert not cache.seen
+    with running_router(tmp_path, {"s1": cache}, origin) as router:
+        assert router.client().request(put("w1", b"\r\n$bytes\x00")) == b"receipt \r\n$bytes\x00"
+        assert origin.requests[0][0] == b"PUT"
+        assert b"k=5c" in origin.requests[0][2]
+        assert not cache.requests
 
 
 def test_pipelined_commands_are_answered_in_their_order(tmp_path: Path) -> None:
@@ -79,10 +79,10 @@
         return hit(words[2])
 
     cache = Peer(answer)
-    with routed(tmp_path, {"s1": cache}) as router:
+    with running_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         client.send(get("slow") + get("fast") + bulk(b"PING"))
-        assert [client.answer() for _ in range(3)] == [b"slow", b"fast", b"+PONG"]
+        assert [client.read_reply() for _ in range(3)] == [b"slow", b"fast", b"+PONG"]
 
 
 @pytest.mark.parametrize(
@@ -98,18 +98,18 @@
     tmp_path: Path, status: int, header: str, tries_again: bool
 ) -> None:
     answers = [http_answer(status, b"", header), http_answer(200, b"done")]
-    origin = Peer(lambda _, message: answers[min(len(origin.seen), 2) - 1], True)
-    with routed(tmp_path, {}, origin) as router:
-        answer = router.client().ask(put("w1", cls="once"))
+    origin = Peer(lambda _, message: answers[min(len(origin.requests), 2) - 1], True)
+    with running_router(tmp_path, {}, origin) as router:
+        answer = router.client().request(put("w1", cls="once"))
         assert answer == (b"done" if tries_again else b"-ERR failed")
-        assert len(origin.seen) == (2 if tries_again else 1)
+        assert len(origin.requests) == (2 if tries_again else 1)
 
 
 def test_unsafe_write_whose_connection_breaks_may_have_run(tmp_path: Path) -> None:
     origin = Peer(lambda connection, _: reset(connection), True)
-    with routed(tmp_path, {}, origin) as router:
-        assert router.client().ask(put("w1", cls="once")) == b"-ERR failed"
-        assert len(origin.seen) == 1
+    with running_router(tmp_path, {}, origin) as router:
+        assert router.client().request(put("w1", cls="once")) == b"-ERR failed"
+        assert len(origin.requests) == 1
 
 
 def test_every_failure_of_a_cache_sends_a_read_to_another(tmp_path: Path) -> None:
@@ -121,23 +121,23 @@
         )
 
     bad, good = Peer(break_off), Peer(lambda _, words: hit(words[2]))
-    with routed(tmp_path, {"s1": bad, "s2": good}) as router:
+    with running_router(tmp_path, {"s1": bad, "s2": good}) as router:
         client = router.client()
         for name in ("error", "junk", "reset"):
             for i in range(30):  # keys enough that each cache is asked first for some
                 sent = name if i % 2 else "fine"
-                answer = client.ask(get(f"{name}" if sent == name else f"fine{name}{i}", f"k{i}"))
+                answer = client.request(get(f"{name}" if sent == name else f"fine{name}{i}", f"k{i}"))
                 assert answer in (name.encode(), f"fine{name}{i}".encode())
-        assert bad.seen
+        assert bad.requests
 
 
 def test_server_that_breaks_every_connection_is_left_alone(tmp_path: Path) -> None:
     bad, good = Peer(lambda connection, _: reset(connection)), Peer(lambda _, words: hit(words[2]))
-    with routed(tmp_path, {"s1": bad, "s2": good}) as router:
+    with running_router(tmp_path, {"s1": bad, "s2": good}) as router:
         client = router.client()
         for i in range(80):  # keys enough that each cache is asked first for about half of them
-            assert client.ask(get(f"r{i}", f"k{i}")) == b"r%d" % i
-        assert 2 <= len(bad.seen) < 20
+            assert client.request(get(f"r{i}", f"k{i}")) == b"r%d" % i
+        assert 2 <= len(bad.requests) < 20
 
 
 def test_server_whose_kept_connections_break_goes_on_being_asked(tmp_path: Path) -> None:
@@ -147,27 +147,27 @@
     def answer(connection: socket.socket, words: list[bytes]) -> bytes | None:
         served[connection] = served.get(connection, 0) + 1
         if words[2] in (b"first", b"second"):
-            both.wait(PATIENCE_S)  # so that there are two connections, each with an answer
+            both.wait(WAIT_TIMEOUT_S)  # so that there are two connections, each with an answer
         return hit(words[2]) if served[connection] == 1 else reset(connection)
 
     shaky = Peer(answer)
-    with routed(tmp_path, {"s1": shaky}) as router:
+    with running_router(tmp_path, {"s1": shaky}) as router:
         one, two = router.client(), router.client()
         one.send(get("first"))
         two.send(get("second"))
-        assert (one.answer(), two.answer()) == (b"first", b"second")
-        assert one.ask(get("third")) == b"third"  # after two breaks, on a new connection
-        assert len(shaky.seen) == 5
+        assert (one.read_reply(), two.read_reply()) == (b"first", b"second")
+        assert one.request(get("third")) == b"third"  # after two breaks, on a new connection
+        assert len(shaky.requests) == 5
 
 
 def test_silent_server_costs_an_attempt_its_time_and_nothing_more(tmp_path: Path) -> None:
     silent = Peer(lambda _, words: None)
-    with routed(tmp_path, {"s1": silent}) as router:
+    with running_router(tmp_path, {"s1": silent}) as router:
         client = router.client()
         begun = time.monotonic()
-        assert client.ask(get("r1", d=300)).startswith(b"-BUSY ")
+        assert client.request(get("r1", d=300)).startswith(b"-BUSY ")
         assert time.monotonic() - begun >= 0.25
-        assert client.ask(bulk(b"PING")) == b"+PONG"
+        assert client.request(bulk(b"PING")) == b"+PONG"
 
 
 def test_late_answer_reaches_no_other_request(tmp_path: Path) -> None:
@@ -179,23 +179,23 @@
         return hit(words[2])
 
     cache = Peer(answer)
-    with routed(tmp_path, {"s1": cache}) as router:
+    with running_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
-        assert client.ask(get("first", d=200)).startswith(b"-BUSY")
+        assert client.request(get("first", d=200)).startswith(b"-BUSY")
         release.set()
         for i in range(10):
             # refusals are the module's caution after a time-out; an answer must be the request's own
-            answer_came = client.ask(get(f"r{i}"))
+            answer_came = client.request(get(f"r{i}"))
             assert answer_came == b"r%d" % i or answer_came.startswith(b"-BUSY")
 
 
 def test_answer_that_nobody_asked_for_is_dropped_with_its_connection(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[2]) + (hit(b"stray") if words[2] == b"r0" else b""))
-    with routed(tmp_path, {"s1": cache}, facts={"classes": PATIENT_CLASSES}) as router:
+    with running_router(tmp_path, {"s1": cache}, settings={"classes": LONG_DEADLINE_CLASSES}) as router:
         client = router.client()
-        answers = [client.ask(get(f"r{i}", d=PATIENT_DEADLINE_MS)) for i in range(3)]
+        answers = [client.request(get(f"r{i}", d=LONG_DEADLINE_MS)) for i in range(3)]
         assert answers == [b"r0", b"r1", b"r2"]
-        assert cache.accepted >= 2
+        assert cache.connection_count >= 2
 
 
 def test_gone_client_leaves_nothing_behind(tmp_path: Path) -> None:
@@ -206,37 +206,37 @@
         return hit(words[2])
 
     cache = Peer(answer)
-    with routed(tmp_path, {"s1": cache}) as router:
+    with running_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         client.send(get("left"))
-        eventually(lambda: cache.seen, "the attempt")
+        eventually(lambda: cache.requests, "the attempt")
         client.close()
         release.set()
-        assert eventually(lambda: router.client().ask(get("left")) == b"left", "the id is free again")
+        assert eventually(lambda: router.client().request(get("left")) == b"left", "the id is free again")
 
 
 def test_drained_server_gets_nothing_new(tmp_path: Path) -> None:
     old, new = Peer(lambda _, words: hit(b"old")), Peer(lambda _, words: hit(b"new"))
-    with routed(tmp_path, {"s1": old}) as router:
+    with running_router(tmp_path, {"s1": old}) as router:
         client = router.client()
-        assert client.ask(get("r0")) == b"old"
+        assert client.request(get("r0")) == b"old"
         router.discovery.change(entry(old, "s1", lifecycle="draining"), entry(new, "s2"))
         names = (f"w{i}" for i in range(10_000))
-        eventually(lambda: client.ask(get(next(names))) == b"new", "the new list is used")
-        count = len(old.seen)
+        eventually(lambda: client.request(get(next(names))) == b"new", "the new list is used")
+        count = len(old.requests)
         for i in range(20):
-            assert client.ask(get(f"r{i + 1}", f"k{i}")) == b"new"
-        assert len(old.seen) == count
+            assert client.request(get(f"r{i + 1}", f"k{i}")) == b"new"
+        assert len(old.requests) == count
 
 
 def test_server_is_found_at_its_new_address(tmp_path: Path) -> None:
     first, second = Peer(lambda _, words: hit(b"first")), Peer(lambda _, words: hit(b"second"))
-    with routed(tmp_path, {"s1": first}) as router:
+    with running_router(tmp_path, {"s1": first}) as router:
         client = router.client()
-        assert client.ask(get("r0")) == b"first"
+        assert client.request(get("r0")) == b"first"
         router.discovery.change(entry(second, "s1"))
         names = (f"w{i}" for i in range(10_000))
-        eventually(lambda: client.ask(get(next(names))) == b"second", "the new address")
+        eventually(lambda: client.request(get(next(names))) == b"second", "the new address")
 
 
 @pytest.mark.parametrize(
@@ -250,18 +250,18 @@
 )
 def test_bad_answers_of_discovery_change_nothing(tmp_path: Path, junk: bytes) -> None:
     cache = Peer(lambda _, words: hit(words[2]))
-    with routed(tmp_path, {"s1": cache}) as router:
-        router.discovery.junk = junk
-        asked = len(router.discovery.peer.seen)
+    with running_router(tmp_path, {"s1": cache}) as router:
+        router.discovery.invalid_reply = junk
+        asked = len(router.discovery.peer.requests)
         router.discovery.change(entry(cache, "s1"))
-        eventually(lambda: len(router.discovery.peer.seen) > asked + 2, "more calls of discovery")
-        assert router.client().ask(get("r1")) == b"r1"
+        eventually(lambda: len(router.discovery.peer.requests) > asked + 2, "more calls of discovery")
+        assert router.client().request(get("r1")) == b"r1"
 
 
 def test_known_list_serves_while_discovery_is_silent(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[2]))
-    with routed(tmp_path, {}, known=[entry(cache, "s1")], discovery_says=b"") as router:
-        assert router.client().ask(get("r1")) == b"r1"
+    with running_router(tmp_path, {}, known=[entry(cache, "s1")], discovery_reply=b"") as router:
+        assert router.client().request(get("r1")) == b"r1"
 
 
 @pytest.mark.parametrize(
@@ -287,22 +287,22 @@
     tmp_path: Path, data: bytes, words: bytes, closes: bool
 ) -> None:
     cache = Peer(lambda _, message: hit(b"reached"))
-    with routed(tmp_path, {"s1": cache}) as router:
+    with running_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
-        answer = client.ask(data)
+        answer = client.request(data)
         assert answer.startswith(b"-ERR")
         assert words in answer
         if closes:
             assert client.at_end()
         else:
-            assert client.ask(bulk(b"PING")) == b"+PONG"
-        assert not cache.seen
+            assert client.request(bulk(b"PING")) == b"+PONG"
+        assert not cache.requests
 
 
 def test_unknown_tenant_is_served_as_of_none(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(b"served"))
-    with routed(tmp_path, {"s1": cache}) as router:
-        assert router.client().ask(bulk(b"KV.GET", b"k", b"id", b"c=get,t=nobody,d=5000")) == b"served"
+    with running_router(tmp_path, {"s1": cache}) as router:
+        assert router.client().request(bulk(b"KV.GET", b"k", b"id", b"c=get,t=nobody,d=5000")) == b"served"
 
 
 def test_duplicate_id_is_refused_while_the_first_is_open(tmp_path: Path) -> None:
@@ -313,31 +313,31 @@
         return hit(b"served")
 
     cache = Peer(answer)
-    with routed(tmp_path, {"s1": cache}) as router:
+    with running_router(tmp_path, {"s1": cache}) as router:
         first, second = router.client(), router.client()
         first.send(get("same"))
-        eventually(lambda: cache.seen, "the attempt")
-        assert second.ask(get("same")) == b"-ERR duplicate id"
+        eventually(lambda: cache.requests, "the attempt")
+        assert second.request(get("same")) == b"-ERR duplicate id"
         release.set()
-        assert first.answer() == b"served"
-        assert len(cache.seen) == 1
+        assert first.read_reply() == b"served"
+        assert len(cache.requests) == 1
 
 
 def test_command_cut_off_midway_reaches_no_server(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(b"served"))
-    with routed(tmp_path, {"s1": cache}) as router:
+    with running_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         client.send(get("r1")[:-5])
         client.close()
-        assert router.client().ask(get("r2")) == b"served"
-        assert len(cache.seen) == 1
+        assert router.client().request(get("r2")) == b"served"
+        assert len(cache.requests) == 1
 
 
 def test_command_in_single_bytes_is_read_whole(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[1]))
-    with routed(tmp_path, {"s1": cache}) as router:
+    with running_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         client.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         for byte in get("r1", "slowly"):
             client.send(bytes([byte]))
-        assert client.answer() == b"slowly"
+        assert client.read_reply() == b"slowly"
--- a/tests/daemon/test_rolling_restart.py
+++ b/tests/daemon/test_rolling_restart.py
@@ -23,8 +23,16 @@
 from pebblepass.daemon.config import read_config
 from pebblepass.daemon.daemon import Daemon
 from pebblepass.simulation.clock import CountedSocket
-from tests.crossings import ADDRESS, Bed, ClientLine, GatedLoop, Peer, PeerLine, asked
-from tests.sockets import FACTS
+from tests.sockets import SETTINGS
+from tests.virtual_router import (
+    ADDRESS,
+    GatedLoop,
+    Peer,
+    PeerConnection,
+    RouterHarness,
+    VirtualClient,
+    encode_request,
+)
 
 ROUTERS, CACHES = 3, 8
 TERM_APART_S = 0.9  # between two routers' SIGTERM
@@ -68,10 +76,10 @@
         return not self.served and not self.answer.startswith((b"-BUSY", b"-ERR"))
 
 
-class Client(ClientLine):
+class Client(VirtualClient):
     """A client that notes what it asked and got, and may come again at once."""
 
-    def __init__(self, site: Site, bed: Bed, name: str, comes_again: bool) -> None:
+    def __init__(self, site: Site, bed: RouterHarness, name: str, comes_again: bool) -> None:
         super().__init__()
         self.site, self.bed, self.name, self.comes_again = site, bed, name, comes_again
         self.waiting: deque[Asked] = deque()
@@ -89,7 +97,7 @@
         value = None if cls == "get" else b"v"
         self.site.classes[name] = cls
         self.waiting.append(Asked(name, self.bed.loop.time(), within_ms / 1000))
-        self.transport.write(asked(name, cls, within_ms, f"k{draw.randrange(1000)}", value))
+        self.transport.write(encode_request(name, cls, within_ms, f"k{draw.randrange(1000)}", value))
 
     def _is_taken(self) -> bool:
         """Not where the router has closed it in this very turn: that crossing is the client's."""
@@ -105,9 +113,9 @@
         )
 
     def data_received(self, data: bytes) -> None:
-        known = len(self.answers())
+        known = len(self.replies())
         super().data_received(data)
-        for answer in self.answers()[known:]:
+        for answer in self.replies()[known:]:
             if not self.waiting:
                 self.too_many.append(answer)
                 continue
@@ -126,7 +134,7 @@
     rng: random.Random
     caches: dict[str, Peer]
     origin: Peer
-    beds: list[Bed] = field(default_factory=list)
+    beds: list[RouterHarness] = field(default_factory=list)
     clients: list[Client] = field(default_factory=list)
     answered: list[Answered] = field(default_factory=list)
     classes: dict[str, str] = field(default_factory=dict)
@@ -140,36 +148,36 @@
             "listen": f"{ADDRESS}:1",
             "discovery": f"{ADDRESS}:2",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
-            "settings": {**FACTS, "balancers": ROUTERS},
+            "settings": {**SETTINGS, "balancers": ROUTERS},
         }
         daemon = Daemon(self.loop, read_config(told, {}), self.loop.unix_ns)
-        bed = Bed(self.loop, daemon, self.caches, self.origin)
+        bed = RouterHarness(self.loop, daemon, self.caches, self.origin)
         await daemon.clients.listen((ADDRESS, 0))
         listener = daemon.clients._listener
         assert listener is not None
         bed.port = listener.sockets[0].getsockname()[1]
-        bed.tell(*self.caches, "origin", whole=True)
+        bed.update_servers(*self.caches, "origin", full=True)
         daemon.host.ready = True
         self.beds.append(bed)
 
-    async def add_client(self, bed: Bed, name: str, comes_again: bool) -> Client:
+    async def add_client(self, bed: RouterHarness, name: str, comes_again: bool) -> Client:
         _, line = await self.loop.create_connection(
             lambda: Client(self, bed, name, comes_again), ADDRESS, bed.port
         )
         self.clients.append(cast(Client, line))
         return cast(Client, line)
 
-    async def newcomer(self, bed: Bed, name: str, after_s: float) -> None:
+    async def newcomer(self, bed: RouterHarness, name: str, after_s: float) -> None:
         await asyncio.sleep(after_s)
         try:
             (await self.add_client(bed, name, True)).request()
         except ConnectionRefusedError:
             self.refused.append(name)
 
-    def serve(self, line: PeerLine, name: str) -> None:
+    def serve(self, line: PeerConnection, name: str) -> None:
         self.loop.call_later(self.rng.uniform(*SERVICE_S), self._answer, line, name)
 
-    def _answer(self, line: PeerLine, name: str) -> None:
+    def _answer(self, line: PeerConnection, name: str) -> None:
         if not line.transport.is_closing():
             line.peer.serve(line, name)
 
@@ -177,7 +185,7 @@
         """Others than before say nothing from here on; what came to these stays unanswered."""
         hanging = self.rng.sample(sorted(self.caches), int(CACHES * share))
         for name, peer in self.caches.items():
-            peer.came = (lambda line, name: None) if name in hanging else self.serve
+            peer.on_request = (lambda line, name: None) if name in hanging else self.serve
 
     async def end(self, number: int) -> None:
         """What SIGTERM does to a router, up to SIGKILL."""
@@ -203,7 +211,7 @@
 async def play(site: Site, hanging_share: float) -> None:
     for peer in (*site.caches.values(), site.origin):
         await peer.open()
-        peer.came = site.serve
+        peer.on_request = site.serve
     for number in range(ROUTERS):
         await site.add_router()
         for place in range(RESTING + RESTLESS):
@@ -235,7 +243,7 @@
 
 def breaks(site: Site) -> dict[str, list[Any]]:
     """Everything that the pages forbid, by what it is."""
-    runs = Counter(name for _, name in site.origin.seen if site.classes[name] == "once")
+    runs = Counter(name for _, name in site.origin.requests if site.classes[name] == "once")
     found: dict[str, list[Any]] = {
         "never answered": [each.name for client in site.clients for each in client.waiting],
         "answered twice": [answer for client in site.clients for answer in client.too_many],
@@ -262,7 +270,7 @@
 async def closes_at_once(daemon: Daemon) -> None:
     """Broken: accepts nobody from SIGTERM on."""
     daemon.clients.stop_accepting()
-    daemon.clients.finish(even_midway=False)
+    daemon.clients.finish(with_partial_commands=False)
     while daemon.clients.connected:
         await asyncio.sleep(0.01)
 
@@ -276,7 +284,7 @@
     """Broken: an attempt waits for its server for ever."""
 
 
-def no_last_answer(connection: ClientConnection, even_midway: bool) -> None:
+def no_last_answer(connection: ClientConnection, with_partial_commands: bool) -> None:
     """Broken: a connection is closed with requests open."""
     assert connection.transport is not None
     connection.transport.close()
--- a/tests/daemon/test_settling.py
+++ b/tests/daemon/test_settling.py
@@ -8,15 +8,15 @@
 import pytest
 
 from pebblepass.daemon.config import read_config
-from pebblepass.daemon.daemon import MOST_SETTLING_S, Daemon, settling
+from pebblepass.daemon.daemon import MAX_SETTLING_S, Daemon, settling_delay
 from pebblepass.simulation.clock import VirtualLoop
-from tests.sockets import FACTS
-from tests.virtual import played
+from tests.sockets import SETTINGS
+from tests.virtual import run_virtual
 
 TOLD: dict[str, Any] = {
     "listen": "127.0.0.1:1",
     "discovery": "127.0.0.1:2",
-    "settings": FACTS,
+    "settings": SETTINGS,
     "limits": {"cores": 0.8},
 }
 
@@ -36,20 +36,20 @@
 
 
 def test_the_wait_grows_with_what_the_start_took_and_is_bounded() -> None:
-    assert settling(0.0, 0.8) == 0
-    assert settling(0.1, 0.8) == pytest.approx(0.1 / 0.32 - 0.1)
-    assert settling(0.1, 4.0) == 0
-    assert settling(5.0, 0.1) == MOST_SETTLING_S
+    assert settling_delay(0.0, 0.8) == 0
+    assert settling_delay(0.1, 0.8) == pytest.approx(0.1 / 0.32 - 0.1)
+    assert settling_delay(0.1, 4.0) == 0
+    assert settling_delay(5.0, 0.1) == MAX_SETTLING_S
 
 
 @pytest.mark.parametrize("spent", [0.0, 0.1])
 def test_it_is_ready_once_its_start_is_paid_and_tells_so_once(spent: float) -> None:
     async def work(loop: VirtualLoop) -> None:
-        daemon = Daemon(loop, read_config(TOLD, {}), loop.unix_ns, spent=spent)
-        began, noted, wait = loop.time(), Beside(loop), settling(spent, 0.8)
-        daemon._succession = cast(Any, noted)
-        daemon._make_do()
-        daemon._make_do()  # the next list may come first
+        daemon = Daemon(loop, read_config(TOLD, {}), loop.unix_ns, startup_cpu_s=spent)
+        began, noted, wait = loop.time(), Beside(loop), settling_delay(spent, 0.8)
+        daemon._upgrade = cast(Any, noted)
+        daemon._become_ready()
+        daemon._become_ready()  # the next list may come first
         assert daemon.host.ready == (not spent)
         await asyncio.sleep(wait + 0.01)
         assert daemon.host.ready
@@ -57,4 +57,4 @@
         daemon.stop()
         await asyncio.sleep(0)
 
-    played(work)
+    run_virtual(work)
--- a/tests/daemon/test_signals.py
+++ b/tests/daemon/test_signals.py
@@ -16,9 +16,9 @@
 from pebblepass.emulators.ports import take_port
 from tests.processes import end_by_sigterm, ending, spawn
 from tests.sockets import (
-    FACTS,
-    PATIENCE_S,
     ROOT,
+    SETTINGS,
+    WAIT_TIMEOUT_S,
     Client,
     DiscoveryPeer,
     Peer,
@@ -27,7 +27,7 @@
     get,
     hit,
     is_ready,
-    routed,
+    running_router,
 )
 
 # Loaded by the interpreter before the program: the process sends itself a signal at one moment of its life.
@@ -100,7 +100,7 @@
     port, nobody = take_port(), take_port()
     config = folder / "config.json"
     config.write_text(
-        json.dumps({"listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{nobody}", "settings": FACTS})
+        json.dumps({"listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{nobody}", "settings": SETTINGS})
     )
     return started(config, folder, **environ), port
 
@@ -130,7 +130,7 @@
         {
             "listen": f"127.0.0.1:{port}",
             "discovery": f"127.0.0.1:{discovery.peer.port}",
-            "settings": FACTS,
+            "settings": SETTINGS,
         }
     )
 
@@ -154,10 +154,10 @@
 
         eventually(ready, "the router is ready")
         client = Client(port)
-        assert client.ask(get("r1")) == b"k"
+        assert client.request(get("r1")) == b"k"
         client.close()
     finally:
-        log = end_by_sigterm(process, PATIENCE_S)
+        log = end_by_sigterm(process, WAIT_TIMEOUT_S)
         discovery.peer.close()
         cache.close()
     assert process.returncode == 0, log
@@ -177,9 +177,9 @@
             renamed.rename(config)
             process.send_signal(signal.SIGHUP)
             pipe.write(told(port, before))
-        eventually(lambda: after.peer.seen, "the new address is asked")
+        eventually(lambda: after.peer.requests, "the new address is asked")
     finally:
-        log = end_by_sigterm(process, PATIENCE_S)
+        log = end_by_sigterm(process, WAIT_TIMEOUT_S)
         for peer in (before.peer, after.peer, cache):
             peer.close()
     assert process.returncode == 0, log
@@ -191,7 +191,7 @@
     with ending(process):
         eventually(lambda: listens(port), "it listens")
         process.send_signal(signal.SIGTERM)
-        _, log = process.communicate(timeout=PATIENCE_S)
+        _, log = process.communicate(timeout=WAIT_TIMEOUT_S)
     assert process.returncode == 0, log
     assert "Traceback" not in log
 
@@ -200,19 +200,19 @@
     let = threading.Event()
 
     def held(_: object, words: list[bytes]) -> bytes:
-        let.wait(PATIENCE_S)
+        let.wait(WAIT_TIMEOUT_S)
         return hit(words[1])
 
     cache = Peer(held)
-    with routed(tmp_path, {"c1": cache}) as router:
+    with running_router(tmp_path, {"c1": cache}) as router:
         client = router.client()
         client.send(get("r1"))
-        eventually(lambda: cache.seen, "the request is at the cache")
+        eventually(lambda: cache.requests, "the request is at the cache")
         router.terminate()
         router.process.send_signal(signal.SIGHUP)
         router.terminate()
         let.set()
-        assert client.answer() == b"k"
+        assert client.read_reply() == b"k"
         assert client.at_end()
         client.close()
 
@@ -221,7 +221,7 @@
 def test_a_sigterm_before_the_router_takes_it_ends_the_process(tmp_path: Path, moment: str) -> None:
     process, _, sent = started_to_signal_itself(tmp_path, moment, signal.SIGTERM)
     with ending(process):
-        _, log = process.communicate(timeout=PATIENCE_S)
+        _, log = process.communicate(timeout=WAIT_TIMEOUT_S)
     assert sent.exists()
     assert process.returncode == -signal.SIGTERM, log
 
@@ -235,7 +235,7 @@
     with ending(process):
         eventually(lambda: listens(port), "it listens")
         process.send_signal(signal.SIGTERM)
-        _, log = process.communicate(timeout=PATIENCE_S)
+        _, log = process.communicate(timeout=WAIT_TIMEOUT_S)
     assert sent.exists()
     assert process.returncode == 0, log
     assert "Traceback" not in log
@@ -253,6 +253,6 @@
         eventually(lambda: listens(port), "it listens")
         while not over():
             pass
-        _, log = process.communicate(timeout=PATIENCE_S)
+        _, log = process.communicate(timeout=WAIT_TIMEOUT_S)
     # One that is being delivered in the very moment in which it becomes ignored leaves a line in the log.
     assert process.returncode == 0, log
--- a/tests/daemon/test_standing_terms.py
+++ b/tests/daemon/test_standing_terms.py
@@ -26,7 +26,7 @@
 from pebblepass.simulation.scenario import Fault, Fleet, Range, RequestClass, Scenario, Traffic, Trouble
 from pebblepass.wire.resp import Command
 from tests.processes import end_by_sigterm
-from tests.sockets import FACTS, PATIENCE_S, DiscoveryPeer, eventually, is_ready, start_router
+from tests.sockets import SETTINGS, WAIT_TIMEOUT_S, DiscoveryPeer, eventually, is_ready, start_router
 
 WINDOW_S, MOST_IN_WINDOW = 4.0, 14  # a router that turns away more without an attempt breaks the term
 ROUTERS_FOR_ONE = 10  # of so many routers one may break it
@@ -329,7 +329,7 @@
             "listen": f"127.0.0.1:{port}",
             "discovery": f"127.0.0.1:{discovery.peer.port}",
             "known": {"generation": 1, "reset": True, "instances": discovery.instances},
-            "settings": FACTS,
+            "settings": SETTINGS,
         }
         self.port, self.begun = port, time.monotonic()
         self.process: subprocess.Popen[str] = start_router(folder, told)
@@ -342,7 +342,7 @@
         return self.took is not None or self.process.poll() is not None
 
     def end(self) -> int:
-        end_by_sigterm(self.process, PATIENCE_S)
+        end_by_sigterm(self.process, WAIT_TIMEOUT_S)
         return self.process.returncode
 
 
--- a/tests/daemon/test_unread_age.py
+++ b/tests/daemon/test_unread_age.py
@@ -18,10 +18,10 @@
 from pebblepass.daemon.unread_age import RECENT_S, SHORT_READ, BacklogAge, UnreadAge
 from pebblepass.handover.messages import ConnectionState
 from pebblepass.wire.resp import Command
-from tests.crossings import ADDRESS, Advertised, Bed, asked, crossing
 from tests.daemon.test_deadline_propagation import advertised_to, advertised_too_much
 from tests.multi_get.site import Site, on_site
 from tests.sockets import bulk
+from tests.virtual_router import ADDRESS, Advertised, RouterHarness, encode_request, run_with_router
 
 HOLD_UP_S = 0.3
 CLIENT_TIMEOUT_MS = 2000
@@ -121,7 +121,7 @@
         address = server._listener.sockets[0].getsockname()
         await asyncio.sleep(0.1)  # heartbeats have looked at the sockets
         lines = [socket.create_connection(address) for _ in range(crowd + 1)]
-        lines[-1].sendall(asked("r"))
+        lines[-1].sendall(encode_request("r"))
         while not host.unread_s:
             await asyncio.sleep(0.001)
         for line in lines:
@@ -136,29 +136,29 @@
         assert runner.run(main(loop)) >= crowd * work_s
 
 
-async def open_connection(bed: Bed) -> None:
+async def open_connection(bed: RouterHarness) -> None:
     client = await bed.client()
     await bed.wait(0.5)
-    client.transport.write(asked("r", d=CLIENT_TIMEOUT_MS))
+    client.transport.write(encode_request("r", d=CLIENT_TIMEOUT_MS))
     bed.loop.stall(HOLD_UP_S)
 
 
-async def new_connection(bed: Bed) -> None:
+async def new_connection(bed: RouterHarness) -> None:
     """The connection itself comes in the hold-up."""
     await bed.wait(0.5)
     made = bed.loop.network.adopt()
     made.connect((ADDRESS, bed.port))
-    made.send(asked("r", d=CLIENT_TIMEOUT_MS))
+    made.send(encode_request("r", d=CLIENT_TIMEOUT_MS))
     bed.loop.stall(HOLD_UP_S)
 
 
-async def handed_over(bed: Bed) -> None:
+async def handed_over(bed: RouterHarness) -> None:
     """Another process has read the first half of the command."""
     await bed.wait(0.5)
     listener = await bed.loop.create_server(asyncio.Protocol, ADDRESS, 0)
     client = bed.loop.network.adopt()
     client.connect(listener.sockets[0].getsockname())
-    command = asked("r", d=CLIENT_TIMEOUT_MS)
+    command = encode_request("r", d=CLIENT_TIMEOUT_MS)
     client.send(command[20:])
     accepted, _ = bed.loop.network.by_fd[listener.sockets[0].fileno()].accept()
     bed.loop.stall(HOLD_UP_S)
@@ -169,11 +169,11 @@
 
 @pytest.mark.parametrize("way", [open_connection, new_connection, handed_over], ids=lambda way: way.__name__)
 def test_a_request_read_after_a_hold_up_advertises_what_is_left(
-    way: Callable[[Bed], Awaitable[None]],
+    way: Callable[[RouterHarness], Awaitable[None]],
 ) -> None:
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         for cache in bed.caches.values():
-            cache.came = cache.miss
+            cache.on_request = cache.miss
         await way(bed)
         sent_at = bed.loop.time() - HOLD_UP_S
         await bed.wait(0.2)
@@ -182,20 +182,20 @@
         assert advertised_too_much(seen, sent_at, CLIENT_TIMEOUT_MS) == []
         assert not_far_below(seen, sent_at, RECENT_S)
 
-    crossing(test)
+    run_with_router(test)
 
 
 def test_what_stood_unread_on_a_paused_connection_advertises_what_is_left() -> None:
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         client = await bed.client()
         await bed.wait(0.3)
-        client.transport.write(asked("p") + bulk(b"PING") * (MAX_PIPELINE - 1))
+        client.transport.write(encode_request("p") + bulk(b"PING") * (MAX_PIPELINE - 1))
         await bed.wait(0.2)
         sent_at = bed.loop.time()
-        client.transport.write(asked("r", key="other", d=CLIENT_TIMEOUT_MS))
+        client.transport.write(encode_request("r", key="other", d=CLIENT_TIMEOUT_MS))
         await bed.wait(0.5)
         cache = bed.caches["a"]
-        cache.serve(cache.line("p"), "p")
+        cache.serve(cache.connection_of("p"), "p")
         await bed.wait(0.1)
         seen = advertised_to(bed, "r")
         assert len(seen) == 1
@@ -203,41 +203,41 @@
         assert advertised_too_much(seen, sent_at, CLIENT_TIMEOUT_MS) == []
         assert not_far_below(seen, sent_at, LOOK_S + RECENT_S)
 
-    crossing(test)
+    run_with_router(test)
 
 
 def test_what_came_after_a_pause_has_all_of_its_time() -> None:
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         client = await bed.client()
         await bed.wait(0.3)
-        client.transport.write(asked("p") + bulk(b"PING") * (MAX_PIPELINE - 1))
+        client.transport.write(encode_request("p") + bulk(b"PING") * (MAX_PIPELINE - 1))
         await bed.wait(1.0)
         cache = bed.caches["a"]
-        cache.serve(cache.line("p"), "p")
+        cache.serve(cache.connection_of("p"), "p")
         sent_at = bed.loop.time()
-        client.transport.write(asked("r", key="other", d=CLIENT_TIMEOUT_MS))
+        client.transport.write(encode_request("r", key="other", d=CLIENT_TIMEOUT_MS))
         await bed.wait(0.1)
         seen = advertised_to(bed, "r")
         assert len(seen) == 1
         assert not_far_below(seen, sent_at, 0.0)
 
-    crossing(test)
+    run_with_router(test)
 
 
 @pytest.mark.parametrize("between_s", [0.001, 0.005, 0.3])
 def test_requests_on_a_busy_connection_have_all_of_their_time(between_s: float) -> None:
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         for cache in bed.caches.values():
-            cache.came = cache.serve
+            cache.on_request = cache.serve
         client = await bed.client()
         for number in range(200):
             sent_at = bed.loop.time()
-            client.ask(f"r{number}", key=f"k{number}", d=CLIENT_TIMEOUT_MS)
+            client.send_request(f"r{number}", key=f"k{number}", d=CLIENT_TIMEOUT_MS)
             await bed.wait(between_s)
             seen = advertised_to(bed, f"r{number}")
             assert not_far_below(seen, sent_at, 0.0), number
 
-    crossing(test)
+    run_with_router(test)
 
 
 def test_a_list_of_keys_read_after_a_hold_up_advertises_what_is_left() -> None:
--- a/tests/daemon/test_upgrade.py
+++ b/tests/daemon/test_upgrade.py
@@ -15,11 +15,11 @@
 from tests.daemon.test_operations import control, figures
 from tests.processes import kill_process
 from tests.sockets import (
-    FACTS,
-    PATIENCE_S,
-    PATIENT_CLASSES,
-    PATIENT_DEADLINE_MS,
+    LONG_DEADLINE_CLASSES,
+    LONG_DEADLINE_MS,
     ROOT,
+    SETTINGS,
+    WAIT_TIMEOUT_S,
     Client,
     DiscoveryPeer,
     Peer,
@@ -53,7 +53,7 @@
         told = {
             "listen": f"127.0.0.1:{self.port}",
             "discovery": f"127.0.0.1:{self.discovery.peer.port}",
-            "settings": {**FACTS, "classes": PATIENT_CLASSES},
+            "settings": {**SETTINGS, "classes": LONG_DEADLINE_CLASSES},
             "limits": self.limits,
             "ops": f"127.0.0.1:{ops}",
         }
@@ -71,7 +71,7 @@
     def end(self, process: subprocess.Popen[str]) -> None:
         """End it by SIGTERM."""
         process.send_signal(signal.SIGTERM)
-        _, log = process.communicate(timeout=PATIENCE_S)
+        _, log = process.communicate(timeout=WAIT_TIMEOUT_S)
         self.logs.append(log)
         assert process.returncode == 0, log
 
@@ -114,12 +114,12 @@
         old, _ = made.start()
         clients = [made.client() for _ in range(40)]
         for number, client in enumerate(clients):
-            assert client.ask(get(f"a{number}")) == b"v"
+            assert client.request(get(f"a{number}")) == b"v"
         for turn in ("b", "c"):
             new, ops = made.start()
             made.end(old)
             for number, client in enumerate(clients):
-                assert client.ask(get(f"{turn}{number}")) == b"v"
+                assert client.request(get(f"{turn}{number}")) == b"v"
             assert served(ops) == len(clients)
             old = new
 
@@ -128,12 +128,12 @@
     with site(tmp_path, {"s1": Peer(lambda _, words: hit(b"v"))}) as made:
         old, _ = made.start()
         client, whole = made.client(), get("q1")
-        assert client.ask(bulk(b"HELLO", b"2")).startswith(b"*")
-        assert [client.answer() for _ in range(14)][-1] == b"*0"
+        assert client.request(bulk(b"HELLO", b"2")).startswith(b"*")
+        assert [client.read_reply() for _ in range(14)][-1] == b"*0"
         client.send(whole[:30])
         _, ops = made.start()
         made.end(old)
-        assert client.ask(whole[30:]) == b"v"
+        assert client.request(whole[30:]) == b"v"
         assert served(ops) == 1
 
 
@@ -149,18 +149,18 @@
     with site(tmp_path, {"s1": Peer(cache)}) as made:
         old, before = made.start()
         client = made.client()
-        client.send(get("q1", "slow", PATIENT_DEADLINE_MS))
+        client.send(get("q1", "slow", LONG_DEADLINE_MS))
         eventually(lambda: waiting, "the request at its server")
         _, ops = made.start()
         old.send_signal(signal.SIGTERM)
         # The rest is the new one's from here on.
-        assert made.client().ask(get("q2")) == b"quick"
+        assert made.client().request(get("q2")) == b"quick"
         assert figures(before)["current"] == 1
         waiting[0].sendall(hit(b"late"))
-        assert client.answer() == b"late"
-        assert client.ask(get("q3")) == b"quick"
+        assert client.read_reply() == b"late"
+        assert client.request(get("q3")) == b"quick"
         assert served(ops) == 2
-        old.communicate(timeout=PATIENCE_S)
+        old.communicate(timeout=WAIT_TIMEOUT_S)
         assert old.returncode == 0
 
 
@@ -170,13 +170,13 @@
         new, _ = made.start()
         eventually(lambda: not is_yes(ops), "the old one's word that it takes nothing new")
         new.kill()
-        new.communicate(timeout=PATIENCE_S)
+        new.communicate(timeout=WAIT_TIMEOUT_S)
         eventually(lambda: is_yes(ops), "the old one's word that it serves again")
-        assert made.client().ask(get("q1")) == b"v"
+        assert made.client().request(get("q1")) == b"v"
         # And it hands on as ever, to the next.
         _, next_ops = made.start()
         made.end(old)
-        assert made.client().ask(get("q2")) == b"v"
+        assert made.client().request(get("q2")) == b"v"
         assert served(next_ops) == 1
 
 
@@ -196,27 +196,27 @@
         new, ops = made.start()
         eventually(lambda: not is_yes(before), "the old one's word that it takes nothing new")
         client = made.client()
-        client.send(get("q1", "slow", PATIENT_DEADLINE_MS))
+        client.send(get("q1", "slow", LONG_DEADLINE_MS))
         eventually(lambda: waiting, "the request at its server")
         new.send_signal(signal.SIGTERM)
         eventually(lambda: not is_yes(ops), "the new one's word that it takes nothing new")
         assert new.poll() is None, "it has an answer to give still"
         waiting[0].sendall(hit(b"late"))
-        assert client.answer() == b"late"
+        assert client.read_reply() == b"late"
         assert client.at_end()
-        new.communicate(timeout=PATIENCE_S)
+        new.communicate(timeout=WAIT_TIMEOUT_S)
         assert new.returncode == 0
         eventually(lambda: is_yes(before), "the old one's word that it serves again")
-        assert made.client().ask(get("q2")) == b"quick"
+        assert made.client().request(get("q2")) == b"quick"
 
 
 def test_a_process_killed_outright_leaves_a_door_that_keeps_nobody(tmp_path: Path) -> None:
     with site(tmp_path, {"s1": Peer(lambda _, words: hit(b"v"))}) as made:
         old, _ = made.start()
         old.kill()
-        old.communicate(timeout=PATIENCE_S)
+        old.communicate(timeout=WAIT_TIMEOUT_S)
         _, ops = made.start()
-        assert made.client().ask(get("q1")) == b"v"
+        assert made.client().request(get("q1")) == b"v"
         assert served(ops) == 1
 
 
@@ -226,7 +226,7 @@
         old.send_signal(signal.SIGSTOP)
         try:
             _, ops = made.start()
-            assert made.client().ask(get("q1")) == b"v"
+            assert made.client().request(get("q1")) == b"v"
             assert served(ops) == 1
         finally:
             old.send_signal(signal.SIGCONT)
@@ -235,11 +235,11 @@
 def test_the_list_comes_from_the_old_process_while_discovery_is_silent(tmp_path: Path) -> None:
     with site(tmp_path, {"s1": Peer(lambda _, words: hit(b"v"))}) as made:
         old, _ = made.start()
-        assert made.client().ask(get("q1")) == b"v"
-        made.discovery.junk = http_answer(503)
+        assert made.client().request(get("q1")) == b"v"
+        made.discovery.invalid_reply = http_answer(503)
         _, ops = made.start()
         made.end(old)
-        assert made.client().ask(get("q2")) == b"v"
+        assert made.client().request(get("q2")) == b"v"
         assert (served(ops), figures(ops)["cluster_size"]) == (1, 1)
 
 
@@ -252,7 +252,7 @@
 
         def found() -> bool:
             for number in range(8):
-                client.ask(get(f"q{served(ops)}.{number}", f"k{number}"))
+                client.request(get(f"q{served(ops)}.{number}", f"k{number}"))
             return figures(ops)["cluster_unhealthy"] == 1
 
         eventually(found, "a server found dead")
@@ -264,7 +264,7 @@
 def asked_anew(made: Site) -> bool:
     """Whether a new client has its answer; one that is closed unheard comes again, as clients do."""
     with contextlib.suppress(ConnectionError):
-        return made.client().ask(get(f"q{next(made.numbers)}")) == b"v"
+        return made.client().request(get(f"q{next(made.numbers)}")) == b"v"
     return False
 
 
--- a/tests/daemon/test_upstream.py
+++ b/tests/daemon/test_upstream.py
@@ -18,8 +18,8 @@
 from pebblepass.simulation.clock import VirtualLoop
 from pebblepass.wire import http, resp
 from pebblepass.wire.address import Address
-from tests.sockets import MISS, PATIENCE_S, hit, http_answer
-from tests.virtual import played
+from tests.sockets import MISS, WAIT_TIMEOUT_S, hit, http_answer
+from tests.virtual import run_virtual
 
 Answers = Callable[[bytes], bytes]
 
@@ -41,7 +41,7 @@
         self.end_came.set_result((outcome, answer.value))
 
     async def came(self) -> tuple[Outcome, bytes | None]:
-        return await asyncio.wait_for(asyncio.shield(self.end_came), PATIENCE_S)
+        return await asyncio.wait_for(asyncio.shield(self.end_came), WAIT_TIMEOUT_S)
 
 
 class AskLong(Ask):
@@ -116,7 +116,7 @@
 
 async def until(check: Callable[[], bool], what: str) -> None:
     """Wait until `check` holds."""
-    end = asyncio.get_running_loop().time() + PATIENCE_S
+    end = asyncio.get_running_loop().time() + WAIT_TIMEOUT_S
     while not check():
         assert asyncio.get_running_loop().time() < end, f"never came: {what}"
         await asyncio.sleep(0.005)
@@ -295,7 +295,7 @@
         server.close()
         await server.wait_closed()
 
-    played(work)
+    run_virtual(work)
 
 
 def test_where_no_server_gives_reports_a_refusal_tells_of_the_load() -> None:
--- a/tests/daemon/test_whole_answers.py
+++ b/tests/daemon/test_whole_answers.py
@@ -8,14 +8,14 @@
 import pytest
 from hypothesis import given, strategies
 
+from pebblepass.daemon.buffer_budget import BufferBudget
 from pebblepass.daemon.caches import CacheConnection
 from pebblepass.daemon.exchange import Answer, Exchange, ValueSource
-from pebblepass.daemon.gathered import GatherBudget
 from pebblepass.daemon.origin import OriginConnection
 from pebblepass.daemon.server_connection import Server
 from pebblepass.decisions import CacheNote, Outcome
 from pebblepass.wire.address import Address
-from pebblepass.wire.resp import MAX_ANSWER
+from pebblepass.wire.resp import MAX_ANSWER_VALUE_BYTES
 from tests.sockets import MISS, hit
 
 
@@ -45,7 +45,7 @@
 
 class OriginsPool(NoPool):
     def __init__(self) -> None:
-        self.gathered = GatherBudget(8 << 20, MAX_ANSWER)
+        self.buffer_budget = BufferBudget(8 << 20, MAX_ANSWER_VALUE_BYTES)
 
     def lost(self, connection: OriginConnection) -> None:
         pass
@@ -171,7 +171,7 @@
     connection.exchange, exchange.connection = exchange, connection
     connection.data_received(LONG_HEAD + LONG[:100_000])
     connection.data_received(LONG[100_000:])
-    assert place.pool.gathered.held == len(LONG)
+    assert place.pool.buffer_budget.used == len(LONG)
     connection.eof_received()
     connection.connection_lost(None)
     assert (exchange.length, exchange.value, exchange.seen) == (len(LONG), LONG[: 64 << 10], [])
@@ -180,7 +180,7 @@
         exchange.source.resume()
     assert exchange.value == LONG
     assert exchange.seen == [(Outcome.OK, None, None, None)]
-    assert place.pool.gathered.held == 0
+    assert place.pool.buffer_budget.used == 0
 
 
 def test_what_has_been_gathered_goes_with_a_client_that_leaves() -> None:
@@ -191,4 +191,4 @@
     connection.eof_received()
     exchange.give_up(Outcome.CANCELLED)
     assert exchange.seen == [(Outcome.CANCELLED, None, None, None)]
-    assert place.pool.gathered.held == 0
+    assert place.pool.buffer_budget.used == 0
--- a/tests/discovery/test_discovery_faults.py
+++ b/tests/discovery/test_discovery_faults.py
@@ -25,7 +25,7 @@
 from pebblepass.discovery.endpoint_list import ClockOffset, EndpointList
 from pebblepass.simulation.clock import VirtualLoop
 from tests.decisions.cases import S, settings
-from tests.virtual import played
+from tests.virtual import run_virtual
 
 ROUTERS, SERVERS = 40, 20
 FAULT_S = 10
@@ -167,7 +167,7 @@
         for follower in followers:
             follower.discovery.close()
 
-    played(test)
+    run_virtual(test)
 
 
 def test_a_version_that_goes_back_and_an_empty_list_are_taken_whole() -> None:
@@ -185,4 +185,4 @@
         assert follower.held == ["s9"]
         follower.discovery.close()
 
-    played(test)
+    run_virtual(test)
--- a/tests/discovery/test_late_silence.py
+++ b/tests/discovery/test_late_silence.py
@@ -35,10 +35,10 @@
 from pebblepass.discovery.client import DiscoveryClient
 from pebblepass.discovery.endpoint_list import ClockOffset, EndpointList
 from pebblepass.simulation.clock import VirtualLoop
-from tests.crossings import GatedLoop
 from tests.decisions.cases import S, request, result_of, settings
 from tests.discovery.test_discovery_faults import entry
 from tests.discovery.test_watches import AFTER_WAIT_S, GRACE_S, SILENCE_S, Agent
+from tests.virtual_router import GatedLoop
 
 ROUTERS, SERVERS = 6, 16
 SILENT_AT_S = 13.0
--- a/tests/discovery/test_told.py
+++ b/tests/discovery/test_told.py
@@ -19,7 +19,6 @@
 from pebblepass.discovery.call_schedule import CallSchedule
 from pebblepass.discovery.endpoint_list import EndpointList
 from pebblepass.wire.address import Address
-from tests.crossings import GatedLoop
 from tests.discovery.test_discovery_faults import Follower
 from tests.discovery.test_watches import (
     AFTER_WAIT_S,
@@ -30,6 +29,7 @@
     AgentLine,
     Watcher,
 )
+from tests.virtual_router import GatedLoop
 
 TOLD_S = 6.0  # after discovery had it and could be reached
 KINDS = ("pushed", "asked")
--- a/tests/discovery/test_watches.py
+++ b/tests/discovery/test_watches.py
@@ -15,8 +15,8 @@
 from pebblepass.discovery.client import DiscoveryClient
 from pebblepass.discovery.endpoint_list import ClockOffset, EndpointList
 from pebblepass.simulation.clock import VirtualLoop
-from tests.crossings import Bed, GatedLoop, crossing
 from tests.discovery.test_discovery_faults import Follower, entry
+from tests.virtual_router import GatedLoop, RouterHarness, run_with_router
 
 SILENCE_S = 6.0  # after which what a silent watch misses counts as told
 AFTER_WAIT_S = 2.0  # or so long after its call's wait is over, if that is later
@@ -316,7 +316,7 @@
 def test_a_module_that_fails_over_a_list_is_told_all_of_it_again() -> None:
     """As the daemon has it: the host hides the fault from nobody who has to ask again."""
 
-    async def test(bed: Bed) -> None:
+    async def test(bed: RouterHarness) -> None:
         router = bed.host._router
         whole = router.handle
         failing = True
@@ -327,9 +327,9 @@
             return whole(event, now)
 
         router.handle = handle
-        assert bed.tell("a", state=ServerState.DRAINING) is False
+        assert bed.update_servers("a", state=ServerState.DRAINING) is False
         failing = False
-        assert bed.tell("origin", whole=True) is True
+        assert bed.update_servers("origin", full=True) is True
         assert [server.id for server in router.ready_servers()] == ["origin"]
 
-    crossing(test)
+    run_with_router(test)
--- a/tests/emulators/test_advertised.py
+++ b/tests/emulators/test_advertised.py
@@ -19,7 +19,7 @@
 from pebblepass.wire import http
 from pebblepass.wire.address import Address
 from pebblepass.wire.resp import command
-from tests.virtual import played
+from tests.virtual import run_virtual
 
 CORE = CoreFacts(speed=1.0, slots=8, queue=8)
 DELAYS = {"here": 0.01}
@@ -69,7 +69,7 @@
             await asyncio.sleep(PIECE_GAP_S)
         writer.close()
 
-    played(work)
+    run_virtual(work)
     return listener.advertised
 
 
--- a/tests/fault_injection/site.py
+++ b/tests/fault_injection/site.py
@@ -23,10 +23,10 @@
 from pebblepass.fault_injection.relay import Relays
 from tests.processes import spawn
 from tests.sockets import (
-    FACTS,
     MISS,
-    PATIENCE_S,
     ROOT,
+    SETTINGS,
+    WAIT_TIMEOUT_S,
     Client,
     DiscoveryPeer,
     Peer,
@@ -83,7 +83,7 @@
             "listen": f"127.0.0.1:{listen}",
             "discovery": f"127.0.0.1:{self.discovery.peer.port}",
             "ops": f"127.0.0.1:{ops}",
-            "settings": {**FACTS, "balancers": len(self.names), "tenants": tenants},
+            "settings": {**SETTINGS, "balancers": len(self.names), "tenants": tenants},
         }
         (home / "config.json").write_bytes(msgspec.json.encode(told))
         section: dict[str, Any] = {
@@ -128,7 +128,7 @@
         """Send a signal; SIGKILL is waited out."""
         self.processes[name].send_signal(how)
         if how in (signal.SIGKILL, signal.SIGTERM):
-            self.processes[name].wait(PATIENCE_S)
+            self.processes[name].wait(WAIT_TIMEOUT_S)
 
     def ask(self, name: str, method: str, call: str, body: bytes = b"") -> Any:
         """One call of a router's control address; None: it did not answer."""
@@ -154,14 +154,14 @@
     def wait(self, version: int, *names: str) -> None:
         """Wait until these routers, or all, hold a version."""
         for name in names or self.names:
-            end = time.monotonic() + PATIENCE_S
+            end = time.monotonic() + WAIT_TIMEOUT_S
             while not self.holds(name, version):
                 assert time.monotonic() < end, f"{name} never held {version}: {self.logs[name].read_text()}"
                 time.sleep(0.005)
 
     def sees(self, name: str, other: str, state: str) -> None:
         """Wait until a router takes another one to be in this state."""
-        end = time.monotonic() + PATIENCE_S
+        end = time.monotonic() + WAIT_TIMEOUT_S
         while (told := self.ask(name, "GET", "status")) is None or told["routers"][other]["state"] != state:
             assert time.monotonic() < end, f"{name} never saw {other} {state}: {told}"
             time.sleep(0.005)
@@ -181,7 +181,7 @@
                 try:
                     while not self._stop.is_set():
                         number += 1
-                        client.ask(get(f"{name}.{number}", f"{name}.{number}"))
+                        client.request(get(f"{name}.{number}", f"{name}.{number}"))
                         self._stop.wait(self.pause_s)
                 finally:
                     client.close()
@@ -199,9 +199,9 @@
             with contextlib.suppress(ProcessLookupError):
                 process.send_signal(signal.SIGCONT)
                 process.kill()
-            process.wait(PATIENCE_S)
+            process.wait(WAIT_TIMEOUT_S)
         for thread in self._clients:
-            thread.join(PATIENCE_S)
+            thread.join(WAIT_TIMEOUT_S)
         self.relays.close()
         for peer in (self.cache, self.store, self.discovery.peer):
             peer.close()
--- a/tests/multi_get/site.py
+++ b/tests/multi_get/site.py
@@ -22,9 +22,9 @@
 from pebblepass.operator_config import MultiGetSection
 from pebblepass.simulation.clock import VirtualLoop
 from pebblepass.wire.resp import bulk, command
-from tests.crossings import Advertised, advertised_ms
-from tests.sockets import FACTS, http_answer
-from tests.virtual import played
+from tests.sockets import SETTINGS, http_answer
+from tests.virtual import run_virtual
+from tests.virtual_router import Advertised, advertised_ms
 
 WAY_S = 0.001
 WORK_S = 0.004
@@ -175,7 +175,12 @@
         self.fetching = self.most_fetching = self.as_one = 0
         self.nodes = [Served(self, f"s{number}") for number in range(nodes)]
         self.store = Served(self, "store", is_store=True)
-        self.ceilings = {**FACTS["ceilings"], "streamsPerConn": 8, "secondCopies": True, **(ceilings or {})}
+        self.ceilings = {
+            **SETTINGS["ceilings"],
+            "streamsPerConn": 8,
+            "secondCopies": True,
+            **(ceilings or {}),
+        }
         self.memory_mb = memory_mb
         self.breaches: list[Breach] = []
         self.answered: dict[str, float] = {}
@@ -206,11 +211,11 @@
             "discovery": f"{LOOPBACK}:{self.agent.address[1]}",
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": self.memory_mb, "sockets": 1024},
-            "settings": {**FACTS, "ceilings": self.ceilings},
+            "settings": {**SETTINGS, "ceilings": self.ceilings},
         }
         config = read_config(told, {})
         self.daemon = Daemon(self.loop, config, self.loop.unix_ns)
-        self.daemon.read_many(self.section)
+        self.daemon.enable_multi_get(self.section)
         self.host = self.daemon.host
         self.ledger = Ledger(
             {c.name: c.latency_target for c in config.settings.classes}, ["acme"], self.breaches.append
@@ -248,7 +253,7 @@
         self.ledger.audit(self.host.now(), 0, self.host.open_requests())
         assert self.breaches == []
         assert self.host.free_capacity == self.ceilings["maxOpen"]
-        many = self.host.many
+        many = self.host.multi_gets
         assert isinstance(many, MultiGetRegistry)
         assert (len(many.allocator), many.allocator.memory) == (0, 0)
         tries = Counter(request for _, _, _, request in self.attempts)
@@ -327,4 +332,4 @@
             await asyncio.sleep(0)
         assert faults == [], faults
 
-    played(run)
+    run_virtual(run)
--- a/tests/multi_get/test_limits.py
+++ b/tests/multi_get/test_limits.py
@@ -8,7 +8,7 @@
 from pebblepass.daemon.multi_get.limits import allocation_bounds, batch_bounds
 from pebblepass.multi_get import AllocationBounds, BatchBounds
 from pebblepass.operator_config import MultiGetSection
-from tests.sockets import FACTS
+from tests.sockets import SETTINGS
 
 MIB = 1 << 20
 
@@ -39,7 +39,7 @@
         "discovery": "127.0.0.1:2",
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "settings": {**FACTS, "ceilings": {**FACTS["ceilings"], "streamsPerConn": 8}},
+        "settings": {**SETTINGS, "ceilings": {**SETTINGS["ceilings"], "streamsPerConn": 8}},
     }
     section = MultiGetSection(part_keys=part_keys, part_kib=4, parts_of_server=2)
     assert batch_bounds(section, read_config(told, {}).settings) == BatchBounds(
--- a/tests/multi_get/test_registry.py
+++ b/tests/multi_get/test_registry.py
@@ -241,7 +241,7 @@
         client = await site.client()
         client.ask_many(keys, d=5000)
         answer = site.loop.create_task(client.answer())
-        many = site.host.many
+        many = site.host.multi_gets
         assert isinstance(many, MultiGetRegistry)
         while not answer.done():
             most.append(many.allocator.memory)
@@ -412,7 +412,7 @@
         assert marks(await client.many(KEYS, "q", d=3000)) == values(KEYS)
         assert site.loop.time() - begun < 0.4
         assert Counter(key for _, _, key, _ in site.attempts)["pkg/59"] == 2
-        many = site.host.many
+        many = site.host.multi_gets
         assert isinstance(many, MultiGetRegistry)
         assert many.hedges.spent == 1
 
@@ -424,7 +424,7 @@
         client = await site.client()
         for number in range(4):
             await client.many([f"warm/{number}/{key}" for key in range(60)], f"w{number}")
-        many = site.host.many
+        many = site.host.multi_gets
         assert isinstance(many, MultiGetRegistry)
         assert many.hedges.spent == 0
 
--- a/tests/peers/test_links.py
+++ b/tests/peers/test_links.py
@@ -12,7 +12,7 @@
 
 from pebblepass.peers.links import MAX_MESSAGE_BYTES, VERSION, Hello, Links, framed
 from pebblepass.simulation.clock import VirtualLoop
-from tests.virtual import played
+from tests.virtual import run_virtual
 
 
 class End:
@@ -60,7 +60,7 @@
         for end in (one, two):
             end.links.close()
 
-    played(main)
+    run_virtual(main)
 
 
 @pytest.mark.parametrize(
@@ -98,7 +98,7 @@
         writer.close()
         end.links.close()
 
-    played(main)
+    run_virtual(main)
 
 
 def test_two_links_between_two_voters_carry_one_order() -> None:
@@ -120,4 +120,4 @@
             assert [int(data) for _, data in end.came] == list(range(100))
             end.links.close()
 
-    played(main)
+    run_virtual(main)
--- a/tests/scale/test_run.py
+++ b/tests/scale/test_run.py
@@ -18,7 +18,7 @@
 from pebblepass.scale.plan import Plan, PlanError
 from pebblepass.scale.run import play
 from tests.processes import ending, kill_processes_with, processes_with, spawn
-from tests.sockets import PATIENCE_S, eventually
+from tests.sockets import WAIT_TIMEOUT_S, eventually
 
 COMMAND = [sys.executable, "-m", "pebblepass.cli", "scale", "run"]
 BRIEF = ["--lease-ms", "2000", "--window", "2", "--patience", "60"]
@@ -88,7 +88,7 @@
             assert line, "it never came to be idle"
         assert len(processes(tmp_path)) == 8  # three voters, hollow, empty, full, lone, and the run itself
         run.send_signal(signal.SIGINT)
-        _, said = run.communicate(timeout=PATIENCE_S)
+        _, said = run.communicate(timeout=WAIT_TIMEOUT_S)
         assert run.returncode == 130
         assert said == "pebblepass: interrupted\n"
         assert processes(tmp_path) == []
@@ -101,7 +101,7 @@
         while "idle" not in (line := run.stderr.readline()):
             assert line, "it never came to be idle"
         run.kill()
-        run.wait(PATIENCE_S)
+        run.wait(WAIT_TIMEOUT_S)
         eventually(lambda: processes(tmp_path) == [], "the end of all")
 
 
--- a/tests/simulation/test_clock.py
+++ b/tests/simulation/test_clock.py
@@ -10,7 +10,7 @@
 import pytest
 
 from pebblepass.simulation.clock import START_S, WINDOW, StalledError, VirtualLoop
-from tests.virtual import played
+from tests.virtual import run_virtual
 
 HOST = "127.0.0.1"
 LINGER_0 = b"\x01\x00\x00\x00\x00\x00\x00\x00"
@@ -67,7 +67,7 @@
         return loop.time() - START_S
 
     begun = time.monotonic()
-    assert played(work) == pytest.approx(3600)
+    assert run_virtual(work) == pytest.approx(3600)
     assert time.monotonic() - begun < 60
 
 
@@ -81,7 +81,7 @@
         await asyncio.sleep(1)
         assert server.size == 1000
 
-    played(work)
+    run_virtual(work)
     assert log[:2] == [(0.0, "server: 1000 bytes"), (1e-6, "client: timer")]
 
 
@@ -95,7 +95,7 @@
             await asyncio.sleep(1)
             assert server.size == 5 * WINDOW + 7
 
-        played(work)
+        run_virtual(work)
         return log
 
     first = once()
@@ -114,7 +114,7 @@
         await asyncio.sleep(1)
         return server.size
 
-    assert played(work) == 5000
+    assert run_virtual(work) == 5000
 
 
 def test_a_close_is_seen_after_the_bytes_before_it() -> None:
@@ -126,7 +126,7 @@
         client.transport.close()
         await server.ended
 
-    played(work)
+    run_virtual(work)
     assert [what for _, what in log if what.startswith("server")] == ["server: 10 bytes", "server: lost"]
 
 
@@ -139,7 +139,7 @@
         server.transport.abort()
         return await client.ended
 
-    assert isinstance(played(work), ConnectionResetError)
+    assert isinstance(run_virtual(work), ConnectionResetError)
 
 
 def test_a_close_without_linger_is_a_reset() -> None:
@@ -150,7 +150,7 @@
         server.transport.abort()
         return await client.ended
 
-    assert isinstance(played(work), ConnectionResetError)
+    assert isinstance(run_virtual(work), ConnectionResetError)
 
 
 def test_what_is_written_to_a_closed_end_comes_back_as_a_reset() -> None:
@@ -163,7 +163,7 @@
         client.transport.resume_reading()
         return await client.ended
 
-    assert isinstance(played(work), ConnectionResetError)
+    assert isinstance(run_virtual(work), ConnectionResetError)
 
 
 def test_nobody_listens() -> None:
@@ -176,7 +176,7 @@
             with pytest.raises(OSError, match="no loopback address"):
                 await loop.create_connection(asyncio.Protocol, host, port)
 
-    played(work)
+    run_virtual(work)
 
 
 def test_connections_that_were_never_accepted_are_reset_when_the_listener_closes() -> None:
@@ -190,7 +190,7 @@
         assert isinstance(client, Recorder)
         return await client.ended
 
-    assert isinstance(played(work), ConnectionResetError)
+    assert isinstance(run_virtual(work), ConnectionResetError)
 
 
 def test_a_silent_machine_never_answers() -> None:
@@ -204,7 +204,7 @@
         await loop.create_connection(asyncio.Protocol, HOST, port)
         return loop.time() - START_S
 
-    assert played(work) == pytest.approx(3)
+    assert run_virtual(work) == pytest.approx(3)
 
 
 def test_an_address_in_use_says_so() -> None:
@@ -213,7 +213,7 @@
         with pytest.raises(OSError, match="in use"):
             await loop.create_server(asyncio.Protocol, HOST, port)
 
-    played(work)
+    run_virtual(work)
 
 
 def test_a_run_that_would_stand_still_for_ever_ends() -> None:
@@ -221,7 +221,7 @@
         await loop.create_future()
 
     with pytest.raises(StalledError):
-        played(work)
+        run_virtual(work)
 
 
 def test_sockets_that_are_ready_together_are_taken_in_the_order_in_which_they_were_made() -> None:
@@ -236,7 +236,7 @@
         await asyncio.sleep(0.1)
         return [what for _, what in log]
 
-    assert played(work) == [f"{number}: 1 bytes" for number in range(20)]
+    assert run_virtual(work) == [f"{number}: 1 bytes" for number in range(20)]
 
 
 def test_the_address_of_a_listener_that_closed_is_kept_for_it() -> None:
@@ -253,4 +253,4 @@
         await loop.create_connection(asyncio.Protocol, HOST, port)
         again.close()
 
-    played(work)
+    run_virtual(work)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""Scripted peers on loopback sockets, and the real router started as the deploy file says."""
+"""Scripted servers on loopback sockets, and the router as a process of its own."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 
-PATIENCE_S = 20.0  # a busy machine's; nothing is expected to take long
+WAIT_TIMEOUT_S = 20.0  # far longer than anything takes, so that a busy machine fails no test
 
-FACTS: dict[str, Any] = {
+SETTINGS: dict[str, Any] = {
     "balancers": 1,
     "ceilings": {
         "mostTries": 4,
@@ -44,19 +44,19 @@
     "tenants": [{"name": "acme", "portion": 1.0}],
 }
 
-PATIENT_CLASSES = [{**cls, "aimNs": 30 * 10**9, "giveUpNs": 60 * 10**9} for cls in FACTS["classes"]]
-"""The same classes with deadlines that no busy machine exceeds, for tests not about deadlines."""
-PATIENT_DEADLINE_MS = 60_000
+LONG_DEADLINE_CLASSES = [{**cls, "aimNs": 30 * 10**9, "giveUpNs": 60 * 10**9} for cls in SETTINGS["classes"]]
+"""The same classes with deadlines that even a busy machine meets, for tests that are not about deadlines."""
+LONG_DEADLINE_MS = 60_000
 
 
 def eventually(check: Callable[[], Any], what: str) -> Any:
-    """Wait until `check` gives something true."""
-    end = time.monotonic() + PATIENCE_S
+    """Wait until `check` returns something true, and return it; `what` describes it for the failure."""
+    end = time.monotonic() + WAIT_TIMEOUT_S
     while time.monotonic() < end:
         if found := check():
             return found
         time.sleep(0.01)
-    raise AssertionError(f"never came: {what}")
+    raise AssertionError(f"timed out waiting for: {what}")
 
 
 def bulk(*words: bytes) -> bytes:
@@ -87,16 +87,16 @@
 
 
 class Peer:
-    """A server on loopback: a thread for each connection, and a handler that answers each message.
+    """A server on loopback, with a thread for each connection and a handler that answers each message.
 
-    The handler gets the connection and the message's words (of a command, or of an HTTP request: method,
-    target, head, body) and returns the answer; None: it has dealt with it itself.
+    The handler receives the connection and the words of the message: those of a command, or the method,
+    target, headers and body of an HTTP request. It returns the answer, or None if it has sent one itself.
     """
 
     def __init__(self, handler: Handler, is_http: bool = False, port: int = 0) -> None:
         self.handler, self._http = handler, is_http
-        self.seen: list[list[bytes]] = []
-        self.accepted = 0
+        self.requests: list[list[bytes]] = []
+        self.connection_count = 0
         self._listener = socket.create_server(("127.0.0.1", port))
         self.port = int(self._listener.getsockname()[1])
         threading.Thread(target=self._accept, daemon=True).start()
@@ -107,14 +107,14 @@
                 connection, _ = self._listener.accept()
             except OSError:
                 return
-            self.accepted += 1
+            self.connection_count += 1
             threading.Thread(target=self._serve, args=(connection,), daemon=True).start()
 
     def _serve(self, connection: socket.socket) -> None:
         stream = connection.makefile("rb")
         try:
             while message := (self._http_message(stream) if self._http else self._command(stream)):
-                self.seen.append(message)
+                self.requests.append(message)
                 answer = self.handler(connection, message)
                 if answer is not None:
                     connection.sendall(answer)
@@ -146,19 +146,20 @@
         return [method, target.split(b" ")[0], head, body] if method else []
 
     def close(self) -> None:
-        with suppress(OSError):  # closed before
-            self._listener.shutdown(socket.SHUT_RDWR)  # else the thread in accept would take one more
+        with suppress(OSError):  # it was closed before
+            self._listener.shutdown(socket.SHUT_RDWR)  # else the accepting thread takes one more connection
         self._listener.close()
 
 
 def reset(connection: socket.socket) -> bytes:
-    """Break a connection as a process that dies does."""
+    """Reset a connection, as happens when its process dies; usable as the result of a handler."""
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\x00\x00\x00\x00\x00\x00\x00")
     connection.shutdown(socket.SHUT_RD)
     raise OSError("reset")
 
 
 def entry(peer: Peer, name: str, kind: str = "std", lifecycle: str = "up") -> dict[str, Any]:
+    """Return the entry of a server in discovery's endpoint list."""
     return {
         "instanceId": name,
         "hostPort": f"127.0.0.1:{peer.port}",
@@ -172,15 +173,17 @@
 
 
 class DiscoveryPeer:
-    """Discovery's agent: the list that it is given, and each later change to whoever watches."""
+    """The agent of discovery: it serves an endpoint list, and sends each later change to all watches."""
 
     def __init__(self, instances: list[dict[str, Any]]) -> None:
         self.generation, self.instances = 1, instances
         self.changed = threading.Condition()
-        self.junk: bytes | None = None
+        self.invalid_reply: bytes | None = None
+        """Sent instead of every reply, if set."""
         self.peer = Peer(self._answer, is_http=True)
 
     def change(self, *entries: dict[str, Any]) -> None:
+        """Make these the entries of the next change."""
         with self.changed:
             self.generation += 1
             self.instances = list(entries)
@@ -188,34 +191,34 @@
 
     def _answer(self, _: socket.socket, message: list[bytes]) -> bytes:
         target = message[1].decode()
-        if self.junk is not None:
-            return self.junk
+        if self.invalid_reply is not None:
+            return self.invalid_reply
         with self.changed:
-            whole = "index=" not in target
-            if not whole:
+            is_full = "index=" not in target
+            if not is_full:
                 index = int(target.split("index=")[1].split("&")[0])
                 self.changed.wait_for(lambda: self.generation != index, timeout=2)
                 entries = self.instances if self.generation != index else []
             body = {
                 "generation": self.generation,
-                "reset": whole,
-                "instances": self.instances if whole else entries,
+                "reset": is_full,
+                "instances": self.instances if is_full else entries,
             }
         return http_answer(200, json.dumps(body).encode())
 
 
 class Client:
-    """A client's connection, read with a time limit far over what anything takes."""
+    """A client's connection, with a read timeout far longer than anything takes."""
 
     def __init__(self, port: int) -> None:
-        self.socket = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_S)
+        self.socket = socket.create_connection(("127.0.0.1", port), timeout=WAIT_TIMEOUT_S)
         self.stream = self.socket.makefile("rb")
 
     def send(self, data: bytes) -> None:
         self.socket.sendall(data)
 
-    def answer(self) -> bytes:
-        """One answer: a bulk string's bytes, or the line as it stands; b"" at the end."""
+    def read_reply(self) -> bytes:
+        """Return the bytes of a bulk string, or the line of another reply; b"" at the end of the stream."""
         line: bytes = self.stream.readline()
         if line.startswith(b"$"):
             size = int(line[1:])
@@ -223,12 +226,13 @@
             return value[:-2] if len(value) == size + 2 else b"cut off after %d" % len(value)
         return line.strip()
 
-    def ask(self, data: bytes) -> bytes:
+    def request(self, data: bytes) -> bytes:
+        """Send a command and return its reply."""
         self.send(data)
-        return self.answer()
+        return self.read_reply()
 
     def at_end(self) -> bool:
-        """Whether the router closes the connection with nothing more."""
+        """Return whether the router closes the connection without sending anything else."""
         try:
             return self.stream.read(1) == b""
         except ConnectionResetError:
@@ -239,8 +243,8 @@
         self.socket.close()
 
 
-class Routed:
-    """A running router and its peers."""
+class RunningRouter:
+    """A router in its own process, with its discovery and its configuration file."""
 
     def __init__(
         self, process: subprocess.Popen[str], port: int, discovery: DiscoveryPeer, config: Path
@@ -262,31 +266,36 @@
 
 
 def start_router(
-    folder: Path, told: Mapping[str, Any], held: tuple[int, ...] = (), checkout: Path = ROOT, **environ: str
+    folder: Path,
+    config: Mapping[str, Any],
+    inherited: tuple[int, ...] = (),
+    checkout: Path = ROOT,
+    **environ: str,
 ) -> subprocess.Popen[str]:
-    """Start a router of a checkout.
+    """Start the router of a checkout.
 
-    `held`: the descriptors that it inherits, `environ`: variables beside its own.
+    `inherited`: the descriptors that it inherits; `environ`: additional environment variables.
     """
-    config = folder / "config.json"
-    config.write_text(json.dumps(told))
+    path = folder / "config.json"
+    path.write_text(json.dumps(config))
     return spawn(
         [sys.executable, "-m", "pebblepass.daemon"],
         cwd=checkout,
-        env={**os.environ, "LB_CONFIG": str(config), "TMPDIR": str(folder), **environ},
+        env={**os.environ, "LB_CONFIG": str(path), "TMPDIR": str(folder), **environ},
         stderr=subprocess.PIPE,
         text=True,
-        pass_fds=held,
+        pass_fds=inherited,
     )
 
 
 def is_ready(port: int) -> bool:
+    """Return whether a router listens at this port and is ready."""
     try:
         client = Client(port)
     except OSError:
         return False
     try:
-        return client.ask(bulk(b"PING")) == b"+PONG"
+        return client.request(bulk(b"PING")) == b"+PONG"
     except OSError:
         return False
     finally:
@@ -294,39 +303,43 @@
 
 
 @contextmanager
-def routed(
+def running_router(
     folder: Path,
     caches: dict[str, Peer],
     origin: Peer | None = None,
     limits: dict[str, float] | None = None,
-    facts: dict[str, Any] | None = None,
+    settings: dict[str, Any] | None = None,
     known: list[dict[str, Any]] | None = None,
-    discovery_says: bytes | None = None,
+    discovery_reply: bytes | None = None,
     ops: int | None = None,
-) -> Iterator[Routed]:
-    """Start a router over these peers, and check at the end that it lived and logged no exception."""
+) -> Iterator[RunningRouter]:
+    """Start a router with these servers; check at the end that it exited with 0 and logged no exception.
+
+    `known`: the cached endpoint list; `discovery_reply`: sent by discovery instead of a list; `ops`: the port
+    of the control address.
+    """
     entries = [entry(peer, name) for name, peer in caches.items()]
     if origin is not None:
         entries.append(entry(origin, "origin", "origin"))
     discovery = DiscoveryPeer(entries)
-    discovery.junk = discovery_says
+    discovery.invalid_reply = discovery_reply
     port = take_port()
-    told = {
+    config = {
         "name": "n1",
         "listen": f"127.0.0.1:{port}",
         "discovery": f"127.0.0.1:{discovery.peer.port}",
         "seed": "8c1f30d27a5be964",
         "limits": limits or {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": {"generation": 0, "reset": True, "instances": known or []},
-        "settings": {**FACTS, **(facts or {})},
+        "settings": {**SETTINGS, **(settings or {})},
         "ops": None if ops is None else f"127.0.0.1:{ops}",
     }
-    process = start_router(folder, told)
+    process = start_router(folder, config)
     try:
         eventually(lambda: is_ready(port) or process.poll() is not None, "the router is ready")
-        yield Routed(process, port, discovery, folder / "config.json")
+        yield RunningRouter(process, port, discovery, folder / "config.json")
     finally:
-        log = end_by_sigterm(process, PATIENCE_S)
+        log = end_by_sigterm(process, WAIT_TIMEOUT_S)
         for peer in [*caches.values(), discovery.peer, *([origin] if origin else [])]:
             peer.close()
     assert process.returncode == 0, log
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -12,7 +12,7 @@
 import pytest
 
 from pebblepass import __version__
-from tests.sockets import FACTS, PATIENCE_S, ROOT, Peer, eventually, hit, routed
+from tests.sockets import ROOT, SETTINGS, WAIT_TIMEOUT_S, Peer, eventually, hit, running_router
 
 TOOLS = (
     "click",
@@ -32,14 +32,14 @@
         env={**os.environ, **environ},
         capture_output=True,
         text=True,
-        timeout=PATIENCE_S,
+        timeout=WAIT_TIMEOUT_S,
         check=False,
     )
 
 
 def config(folder: Path) -> Path:
     file = folder / "config.json"
-    told = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": FACTS}
+    told = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": SETTINGS}
     file.write_text(json.dumps(told))
     return file
 
@@ -106,7 +106,7 @@
     file.write_text("[log]\nlevel = 'info'\n")
     monkeypatch.setenv("PEBBLEPASS_OPERATOR", str(file))
     cache = Peer(lambda _, words: hit(words[2]))
-    with routed(tmp_path, {"s0": cache}) as running:
+    with running_router(tmp_path, {"s0": cache}) as running:
         file.write_text("[log]\nlevel = 'error'\nlines_per_second = -1\n")
         running.process.send_signal(signal.SIGHUP)
         assert running.process.stderr is not None
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -20,7 +20,7 @@
     processes_with,
     spawn,
 )
-from tests.sockets import PATIENCE_S, eventually
+from tests.sockets import WAIT_TIMEOUT_S, eventually
 
 SLEEP = [sys.executable, "-c", "import time; time.sleep(600)"]
 IGNORE_SIGTERM = [
@@ -46,7 +46,7 @@
         process = spawn(["sleep", "600"])
     with ending(process):
         process.send_signal(number)
-        assert process.wait(PATIENCE_S) == -number
+        assert process.wait(WAIT_TIMEOUT_S) == -number
 
 
 def test_a_process_is_ended_when_its_block_fails() -> None:
@@ -61,7 +61,7 @@
 def test_a_process_that_has_ended_keeps_its_exit_code() -> None:
     process = spawn([sys.executable, "-c", "raise SystemExit(3)"])
     with ending(process):
-        process.wait(PATIENCE_S)
+        process.wait(WAIT_TIMEOUT_S)
     assert process.returncode == 3
 
 
@@ -83,7 +83,7 @@
         eventually(lambda: processes_with(VARIABLE, value) == [mine.pid], "its variable")
         eventually(lambda: processes_with(VARIABLE, value + "0") == [other.pid], "the other's variable")
         kill_processes_with(VARIABLE, value)
-        assert mine.wait(PATIENCE_S) == -signal.SIGKILL
+        assert mine.wait(WAIT_TIMEOUT_S) == -signal.SIGKILL
         assert other.poll() is None
     finally:
         for process in processes.values():
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -9,7 +9,7 @@
 from pebblepass.simulation.clock import VirtualLoop
 
 
-def played(work: Callable[[VirtualLoop], Awaitable[Any]]) -> Any:
+def run_virtual(work: Callable[[VirtualLoop], Awaitable[Any]]) -> Any:
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         loop = runner.get_loop()
         assert isinstance(loop, VirtualLoop)
--- a/tests/wire/test_resp.py
+++ b/tests/wire/test_resp.py
@@ -18,9 +18,9 @@
     reader, found = CommandReader(), []
     for at in range(0, len(data), size):
         found += reader.feed(data[at : at + size])
-        if reader.broken:
+        if reader.framing_error:
             break
-    return found, reader.broken
+    return found, reader.framing_error
 
 
 @given(READS)
@@ -102,15 +102,15 @@
 @pytest.mark.parametrize("size", [1, 7, 1000, 1 << 20])
 def test_a_read_of_many_keys_is_cut_alike_in_any_pieces(size: int) -> None:
     data, cuts = long_list(500), 0
-    reader = CommandReader(many=True)
+    reader = CommandReader(accepts_multi_get=True)
     found: list[list[bytes]] = []
     for at in range(0, len(data), size):
-        if reader.need and len(reader._buffer) + size >= reader.need:
+        if reader.needed_bytes and len(reader._buffer) + size >= reader.needed_bytes:
             cuts += 1
         found += reader.feed(data[at : at + size])
     assert [len(words) for words in found] == [504]
     assert found[0][2] == b"pkg/0/1.0"
-    assert not reader.broken
+    assert not reader.framing_error
     # Each look at what is buffered goes a good part further: it would be one for each byte otherwise.
     assert cuts < 40
 
@@ -118,20 +118,20 @@
 def test_long_lists_are_for_reads_of_many_keys_only_and_only_where_they_are_taken() -> None:
     other = command(*[b"KV.GET"] * 20)
     for reader, data in (
-        (CommandReader(many=True), other),
+        (CommandReader(accepts_multi_get=True), other),
         (CommandReader(), long_list(20)),
-        (CommandReader(many=True), b"*20000\r\n$7\r\nKV.MGET\r\n"),
+        (CommandReader(accepts_multi_get=True), b"*20000\r\n$7\r\nKV.MGET\r\n"),
     ):
         assert reader.feed(data) == []
-        assert reader.broken == "invalid multibulk length"
+        assert reader.framing_error == "invalid multibulk length"
 
 
 @pytest.mark.parametrize("at", range(0, 60))
 def test_a_byte_changed_in_a_long_list_is_judged_the_same_whole_as_byte_by_byte(at: int) -> None:
     data = bytearray(long_list(20))
     data[at] = ord("7")
-    whole, pieces = CommandReader(many=True), CommandReader(many=True)
+    whole, pieces = CommandReader(accepts_multi_get=True), CommandReader(accepts_multi_get=True)
     found = whole.feed(bytes(data))
-    parts = [words for byte in data for words in ([] if pieces.broken else pieces.feed(bytes([byte])))]
+    parts = [words for byte in data for words in ([] if pieces.framing_error else pieces.feed(bytes([byte])))]
     assert found == parts
-    assert whole.broken == pieces.broken
+    assert whole.framing_error == pieces.framing_error
