--- a/pebblepass/consensus/leases.py
+++ b/pebblepass/consensus/leases.py
@@ -85,7 +85,7 @@
         self._granted: dict[ProcessId, _Granted] = {}
         self._sequences: dict[ProcessId, int] = {}
         self._waiting: dict[ProcessId, _Request] = {}
-        self.quiet_until = now + terms.granter_duration if restarted else now
+        self.earlier_leases_expire_at = now + terms.granter_duration if restarted else now
         """From then on no lease that an earlier process granted is valid."""
 
     def request(self, process: ProcessId, sequence: int, version: int, now: int) -> bool:
@@ -112,7 +112,7 @@
 
     def is_released(self, version: int, now: int) -> bool:
         """Whether no lease on this version or an older one that was granted here can be valid any more."""
-        return now >= self.quiet_until and all(
+        return now >= self.earlier_leases_expire_at and all(
             granted.version > version or granted.expires_at <= now for granted in self._granted.values()
         )
 
@@ -123,8 +123,8 @@
             for granted in self._granted.values()
             if granted.version <= version and granted.expires_at > now
         ]
-        if now < self.quiet_until:
-            ends.append(self.quiet_until)
+        if now < self.earlier_leases_expire_at:
+            ends.append(self.earlier_leases_expire_at)
         return max(ends, default=None)
 
     def _forget_expired(self, now: int) -> None:
--- a/pebblepass/consensus/quota_allocator.py
+++ b/pebblepass/consensus/quota_allocator.py
@@ -68,7 +68,7 @@
     def __init__(self, terms: LeaseTerms, now: int, restarted: bool) -> None:
         """`restarted`: an earlier process on this disk may have granted leases that are not known here."""
         self._terms = terms
-        self.quiet_until = now + terms.granter_duration if restarted else now
+        self.earlier_leases_expire_at = now + terms.granter_duration if restarted else now
         """From then on no lease that an earlier process granted is valid."""
         self.version = 0
         self._parts: dict[str, float] = {}
@@ -123,7 +123,7 @@
     def grant(self, process: ProcessId, sequence: int, now: int) -> Rates:
         """Return a router's quota lease, to answer its request with."""
         client = self._clients.get(process)
-        if client is None or now < self.quiet_until or not self._parts:
+        if client is None or now < self.earlier_leases_expire_at or not self._parts:
             return ()
         if now - self._split_at >= self._terms.renewal_interval // SPLITS_PER_RENEWAL:
             self._split(now)
--- a/pebblepass/consensus/reports.py
+++ b/pebblepass/consensus/reports.py
@@ -61,7 +61,7 @@
     }
     if replica.can_vote:
         report["hands_out"] = server.allocator.report()
-        report["quiet_ms"] = max(round((server.allocator.quiet_until - now) / 1e6), 0)
+        report["quiet_ms"] = max(round((server.allocator.earlier_leases_expire_at - now) / 1e6), 0)
     return report
 
 
--- a/pebblepass/fault_injection/broken.py
+++ b/pebblepass/fault_injection/broken.py
@@ -299,7 +299,7 @@
     def replica(self, sound: type[Replica]) -> type[Replica]:
         class Blank(sound):  # type: ignore[valid-type, misc]
             def start(self, now: int) -> list[Any]:
-                self.lease_server.granter.quiet_until = now
+                self.lease_server.granter.earlier_leases_expire_at = now
                 return list(super().start(now))
 
         return Blank
