--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -42,7 +42,7 @@
     report = rehearse(plan)
     ended = time.perf_counter()
     return {
-        "asks": len(plan.asks),
+        "asks": len(plan.operations),
         "plan_s": round(planned - begun, 2),
         "wall_per_virtual_s": round((ended - planned) / scenario.length_s, 3),
         "peak_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss >> 10,
--- a/pebblepass/simulation/bound.py
+++ b/pebblepass/simulation/clairvoyant_bound.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from pebblepass.simulation.plan import Ask, Plan, Streams
+from pebblepass.simulation.plan import Operation, Plan, Streams
 
 NEVER = float("inf")
 
@@ -40,7 +40,7 @@
 class _Wanted:
     """One key over the whole plan."""
 
-    asks: deque[tuple[float, int, float]]
+    operations: deque[tuple[float, int, float]]
     """Reads still to come: when, which, what each is worth."""
     left: float
     """The worth still to come, waiting reads among it."""
@@ -48,42 +48,42 @@
     """Reads that wait: which, and what each is worth."""
 
 
-def facts_of(plan: Plan) -> BoundFacts:
+def bound_facts(plan: Plan) -> BoundFacts:
     """The facts of a plan."""
     return BoundFacts(
         memory=sum(node.memory for node in plan.nodes),
         slots=plan.store.slots,
         work=plan.store.work,
         kept=plan.popular,
-        voids=tuple((h.at, h.share) for h in plan.happenings if h.kind == "invalidation"),
-        downs=tuple((h.at, h.at + h.length) for h in plan.happenings if h.kind == "store-down"),
+        voids=tuple((h.at, h.share) for h in plan.fault_events if h.kind == "invalidation"),
+        downs=tuple((h.at, h.at + h.length) for h in plan.fault_events if h.kind == "store-down"),
     )
 
 
-class Clairvoyant:
+class ClairvoyantCache:
     """Plays the asks of a plan, in the order of their times, against one cache and the store."""
 
     def __init__(
         self,
         facts: BoundFacts,
-        asks: tuple[Ask, ...],
-        terms: Callable[[Ask], tuple[bool, float, float]],
+        operations: tuple[Operation, ...],
+        terms: Callable[[Operation], tuple[bool, float, float]],
         draw: Callable[[], float],
     ) -> None:
         """`terms`: whether an ask is a write, its worth, and the seconds that it may wait; `draw`: 0 to 1."""
-        self._facts, self._asks, self._draw = facts, asks, draw
-        self._terms = {ask.number: terms(ask) for ask in asks}
+        self._facts, self._operations, self._draw = facts, operations, draw
+        self._terms = {operation.number: terms(operation) for operation in operations}
         self.in_time: dict[int, bool] = {}
         """Whether each ask was served within its time, by its number."""
         self.fetches = self.writes = 0
         self._wanted: dict[str, _Wanted] = {}
-        for ask in asks:
-            write, worth, _ = self._terms[ask.number]
+        for operation in operations:
+            write, worth, _ = self._terms[operation.number]
             if not write:
-                held = self._wanted.setdefault(ask.key, _Wanted(deque(), 0.0, []))
-                held.asks.append((ask.at, ask.number, worth))
+                held = self._wanted.setdefault(operation.key, _Wanted(deque(), 0.0, []))
+                held.operations.append((operation.at, operation.number, worth))
                 held.left += worth
-        self._at = {ask.number: ask.at for ask in asks}
+        self._at = {operation.number: operation.at for operation in operations}
         self._cache = dict.fromkeys(facts.kept[: facts.memory])
         self._missed: dict[str, None] = {}
         self._busy: list[
@@ -94,27 +94,27 @@
     def play(self) -> None:
         """Play all of it."""
         voids = deque(self._facts.voids)
-        for ask in self._asks:
-            while voids and voids[0][0] <= ask.at:
+        for operation in self._operations:
+            while voids and voids[0][0] <= operation.at:
                 at, share = voids.popleft()
                 self._store_until(at)
                 for key in [key for key in self._cache if self._draw() < share]:
                     del self._cache[key]
-            self._store_until(ask.at)
-            write, worth, _ = self._terms[ask.number]
+            self._store_until(operation.at)
+            write, worth, _ = self._terms[operation.number]
             if write:
-                self._queue.append(ask.number)
-                self._cache.pop(ask.key, None)
+                self._queue.append(operation.number)
+                self._cache.pop(operation.key, None)
             else:
-                held = self._wanted[ask.key]
-                held.asks.popleft()
-                if ask.key in self._cache:
+                held = self._wanted[operation.key]
+                held.operations.popleft()
+                if operation.key in self._cache:
                     held.left -= worth
-                    self.in_time[ask.number] = True
+                    self.in_time[operation.number] = True
                 else:
-                    held.waiting.append((ask.number, worth))
-                    self._missed[ask.key] = None
-            self._begin(ask.at)
+                    held.waiting.append((operation.number, worth))
+                    self._missed[operation.key] = None
+            self._begin(operation.at)
         self._store_until(NEVER)
 
     def _store_until(self, now: float) -> None:
@@ -155,7 +155,7 @@
                 held.left -= sum(worth for _, worth in late)
                 held.waiting = [waiting for waiting in held.waiting if waiting not in late]
                 self.in_time.update((n, False) for n, _ in late)
-            if not held.waiting and not held.asks:
+            if not held.waiting and not held.operations:
                 del self._missed[key]
             elif held.left > most:
                 best, most = key, held.left
@@ -174,18 +174,20 @@
 
     def _next_use(self, key: str) -> float:
         held = self._wanted.get(key)
-        return held.asks[0][0] if held is not None and held.asks else NEVER
+        return held.operations[0][0] if held is not None and held.operations else NEVER
 
 
-def clairvoyant(plan: Plan) -> Clairvoyant:
+def clairvoyant_bound(plan: Plan) -> ClairvoyantCache:
     """The bound of a plan, played; what goes void is drawn anew, in the same shares."""
     classes = {cls.name: cls for cls in plan.scenario.classes}
     over = plan.scenario.traffic.over_share_worth
 
-    def terms(ask: Ask) -> tuple[bool, float, float]:
-        cls = classes[ask.request_class]
-        return cls.write, cls.worth * (over if ask.over else 1.0), cls.aim_ms / 1000
+    def terms(operation: Operation) -> tuple[bool, float, float]:
+        cls = classes[operation.request_class]
+        return cls.write, cls.worth * (over if operation.over else 1.0), cls.aim_ms / 1000
 
-    played = Clairvoyant(facts_of(plan), plan.asks, terms, Streams(plan.seed).of("bound").random)
+    played = ClairvoyantCache(
+        bound_facts(plan), plan.operations, terms, Streams(plan.seed).of("bound").random
+    )
     played.play()
     return played
--- a/pebblepass/simulation/world.py
+++ b/pebblepass/simulation/emulated_services.py
@@ -1,4 +1,4 @@
-"""The world of a rehearsal: stand-ins made from a plan, wired to the referee, and what breaks in it."""
+"""The world of a rehearsal: stand-ins made from a plan, wired to the rule_checker, and what breaks in it."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from pebblepass.emulators.node import DRAIN_S, MirrorNode, NodeSetup, Works
 from pebblepass.emulators.registry import RegistryAgent
 from pebblepass.emulators.store import PackageStore, StoreSetup
-from pebblepass.simulation.plan import STORE_ID, Happening, NodeFacts, Plan, RouterFacts, Streams
+from pebblepass.simulation.plan import STORE_ID, FaultEvent, NodeFacts, Plan, RouterFacts, Streams
 from pebblepass.simulation.recovery import Recorder
-from pebblepass.simulation.referee import Referee
+from pebblepass.simulation.rule_checker import RuleChecker
 
 KIND, STORE_KIND = "std-1c", "origin"
 FALL_MULTIPLE, FALL_S = 4.0, 2.0
@@ -31,7 +31,7 @@
 _SEMANTICS = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
 
 
-def settings_facts(plan: Plan, router: RouterFacts) -> dict[str, Any]:
+def platform_settings(plan: Plan, router: RouterFacts) -> dict[str, Any]:
     """The settings of a router, in the form in which the platform tells them."""
     scenario = plan.scenario
     rate = scenario.traffic.rate
@@ -82,24 +82,26 @@
     }
 
 
-class World:
-    """Nodes, store and registry agents, and the happenings that touch them."""
+class EmulatedServices:
+    """Nodes, store and registry agents, and the fault_events that touch them."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         plan: Plan,
-        referee: Referee,
+        rule_checker: RuleChecker,
         unix_ns: Callable[[], int],
         silence: Silence,
         recorder: Recorder,
     ) -> None:
-        self.loop, self.plan, self.referee, self._recorder = loop, plan, referee, recorder
+        self.loop, self.plan, self.rule_checker, self._recorder = loop, plan, rule_checker, recorder
         self._begun = 0.0
         self._unix_ns, self._silence = unix_ns, silence
         scenario = plan.scenario
         streams = Streams(plan.seed)
-        self.effects = Effects({cls.name: cls.window_s for cls in scenario.classes}, referee.effect_doubled)
+        self.effects = Effects(
+            {cls.name: cls.window_s for cls in scenario.classes}, rule_checker.effect_doubled
+        )
         self._missed_at: dict[str, list[MirrorNode]] = {}
         self.nodes = {facts.id: self._node(facts, streams) for facts in plan.nodes}
         self._spares = [self._node(facts, streams) for facts in plan.spares]
@@ -116,7 +118,7 @@
             ),
             streams.of("store answers"),
             self.effects,
-            referee,
+            rule_checker,
             self._fetched,
             self._written,
             silence,
@@ -158,10 +160,10 @@
             ),
             streams.of(f"node {facts.id} answers"),
             self.effects,
-            self.referee,
+            self.rule_checker,
             self._missed,
             self._silence,
-            self._recorder.read,
+            self._recorder.record_read,
         )
 
     def begin(self) -> None:
@@ -176,7 +178,7 @@
         for router in self.plan.routers:
             entries = [self._entry(name, router.zone, "up") for name in self.nodes]
             agent = RegistryAgent(
-                self.loop, router.id, [*entries, self._store_entry(router.zone)], self.referee
+                self.loop, router.id, [*entries, self._store_entry(router.zone)], self.rule_checker
             )
             await agent.start()
             self.agents[router.id] = agent
@@ -184,7 +186,7 @@
 
     def _fill(self) -> None:
         """Keep the popular keys where a router's slot table places them, the most popular used last."""
-        settings: Settings = read_settings(settings_facts(self.plan, self.plan.routers[0]))
+        settings: Settings = read_settings(platform_settings(self.plan, self.plan.routers[0]))
         table = SlotTable(settings)
         table.update([ListedServer(name, kind=KIND) for name in self.nodes], [])
         for key in reversed(self.plan.popular):
@@ -228,7 +230,7 @@
         for node in nodes:
             node.keep(key)
         at = self.loop.time() - self._begun
-        self._recorder.fetched(at, request, key, [node.setup.id for node in nodes], elsewhere)
+        self._recorder.record_fetch(at, request, key, [node.setup.id for node in nodes], elsewhere)
 
     def _written(self, key: str) -> None:
         for node in self.nodes.values():
@@ -247,18 +249,18 @@
     def _tell(self, router: str, entry: dict[str, Any]) -> None:
         self.agents[router].change(entry)
 
-    def happen(self, happening: Happening) -> str:
+    def happen(self, event: FaultEvent) -> str:
         """Let something happen to a node, the store, the registry or the copies; returns a line of it."""
         names = list(self.nodes)
-        name = self.plan.nodes[happening.place % len(self.plan.nodes)].id
+        name = self.plan.nodes[event.place % len(self.plan.nodes)].id
         if name not in self.nodes:
-            name = names[happening.place % len(names)]
-        node, later = self.nodes[name], happening.length
-        match happening.kind:
+            name = names[event.place % len(names)]
+        node, later = self.nodes[name], event.length
+        match event.kind:
             case "invalidation":
                 for each in self.nodes.values():
-                    each.drop_copies(happening.share)
-                return f"{happening.share:.0%} of the kept copies go void"
+                    each.drop_copies(event.share)
+                return f"{event.share:.0%} of the kept copies go void"
             case "store-down":
                 self.store.die()
                 self.loop.call_later(later, self.store.revive)
@@ -288,19 +290,19 @@
             case "node-replace":
                 return self._replace(name)
             case "node-slow":
-                node.serving.set_factor(happening.factor)
+                node.serving.set_factor(event.factor)
                 self.loop.call_later(later, node.serving.set_factor, 1.0)
-                return f"{name} has {happening.factor:.0%} of its speed for {later:g} s"
+                return f"{name} has {event.factor:.0%} of its speed for {later:g} s"
             case "node-refuse":
                 node.station.refuse()
                 self.loop.call_later(later, node.station.reopen)
                 return f"{name} refuses connections for {later:g} s"
             case "node-half" | "node-garble" | "node-reset":
-                trouble = happening.kind.removeprefix("node-")
-                setattr(node.trouble, trouble, happening.share)
+                trouble = event.kind.removeprefix("node-")
+                setattr(node.trouble, trouble, event.share)
                 self.loop.call_later(later, setattr, node.trouble, trouble, 0.0)
-                return f"{name}: {happening.share:.0%} of its answers are spoilt ({trouble}) for {later:g} s"
-        raise ValueError(f"nothing known happens as {happening.kind}")
+                return f"{name}: {event.share:.0%} of its answers are spoilt ({trouble}) for {later:g} s"
+        raise ValueError(f"nothing known happens as {event.kind}")
 
     def _registry_back(self) -> None:
         for agent in self.agents.values():
@@ -313,7 +315,7 @@
         self._announce(name, "removed")
 
     def _restarted(self, name: str) -> None:
-        self.referee.started(name)
+        self.rule_checker.server_started(name)
         self._started_ms[name] = self._unix_ns() // 1_000_000
         self.nodes[name].revive()
         self._announce(name, "up")
@@ -326,7 +328,7 @@
         new.station.ports = dict(old.station.ports)
         self.nodes[new.setup.id] = new
         self._started_ms[new.setup.id] = self._unix_ns() // 1_000_000
-        self.referee.started(new.setup.id)
+        self.rule_checker.server_started(new.setup.id)
         self.loop.create_task(new.start(cold=True))
         self._announce(new.setup.id, "up")
         return f"{name} dies, and {new.setup.id} starts at its address"
--- a/pebblepass/simulation/page.py
+++ b/pebblepass/simulation/page.py
@@ -6,8 +6,8 @@
 from html import escape
 from typing import Any
 
-from pebblepass.simulation.count import OUTCOMES
 from pebblepass.simulation.report import verdict
+from pebblepass.simulation.request_counts import OUTCOMES
 
 WIDTH, HEIGHT, LEFT, BOTTOM = 860, 180, 44, 22
 COLOURS = ("#1f5fa8", "#c2571a", "#2c8a4b", "#8a3fa0", "#a32638", "#5a6470")
--- a/pebblepass/simulation/plan.py
+++ b/pebblepass/simulation/plan.py
@@ -13,7 +13,7 @@
 from itertools import accumulate
 from math import exp, fsum, pi, sin
 
-from pebblepass.simulation.scenario import Fault, Range, RequestClass, Scenario, Trouble
+from pebblepass.simulation.scenario import Disturbance, Fault, Range, RequestClass, Scenario
 
 BURST_KEY = "pkg/released-today/1.0.0"
 STORE_ID = "store"
@@ -72,9 +72,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """What one client wants, over all its tries."""
+class Operation:
+    """What one client wants: a first request and its retries."""
 
+    # The plan's digest is a hash of reprs; this keeps it equal to that of earlier versions.
+    __qualname__ = "Ask"
     number: int
     at: float
     request_class: str
@@ -94,9 +96,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Happening:
-    """Something that breaks, or goes void, at a set time."""
+class FaultEvent:
+    """A fault or an invalidation of cached copies at a set time."""
 
+    # The plan's digest is a hash of reprs; this keeps it equal to that of earlier versions.
+    __qualname__ = "Happening"
     at: float
     kind: str
     length: float
@@ -118,9 +122,9 @@
     routers: tuple[RouterFacts, ...]
     delays: dict[tuple[str, str], float]
     """One way between two zones, in seconds."""
-    asks: tuple[Ask, ...]
-    happenings: tuple[Happening, ...]
-    troubles: tuple[tuple[float, str], ...]
+    operations: tuple[Operation, ...]
+    fault_events: tuple[FaultEvent, ...]
+    disturbances: tuple[tuple[float, str], ...]
     """What clients bring, as words: when it begins, and what it is."""
     popular: tuple[str, ...]
     """Keys, the most popular first, that a pooled cache of the fleet's size holds."""
@@ -128,7 +132,14 @@
     def digest(self) -> str:
         """A digest of who asks what when and of what breaks; the same whatever plays it."""
         text = hashlib.sha256()
-        for part in (*self.nodes, *self.spares, self.store, *self.routers, *self.asks, *self.happenings):
+        for part in (
+            *self.nodes,
+            *self.spares,
+            self.store,
+            *self.routers,
+            *self.operations,
+            *self.fault_events,
+        ):
             text.update(repr(part).encode())
         return text.hexdigest()[:16]
 
@@ -188,9 +199,9 @@
         store=_store(scenario, streams, keys),
         routers=routers,
         delays=delays,
-        asks=tuple(_with_syncs(scenario, streams, keys, routers)),
-        happenings=_happenings(scenario, streams),
-        troubles=_told_troubles(scenario, streams),
+        operations=tuple(_with_syncs(scenario, streams, keys, routers)),
+        fault_events=_happenings(scenario, streams),
+        disturbances=_told_troubles(scenario, streams),
         popular=keys.pooled,
     )
 
@@ -247,28 +258,32 @@
     return fsum(share * (1 - exp(-share * stay)) for share in popularity)
 
 
-def _asks(scenario: Scenario, streams: Streams, keys: _Keys, routers: tuple[RouterFacts, ...]) -> list[Ask]:
+def _operations(
+    scenario: Scenario, streams: Streams, keys: _Keys, routers: tuple[RouterFacts, ...]
+) -> list[Operation]:
     traffic = scenario.traffic
-    rng, troubles = streams.of("clients"), _shares(scenario, streams)
+    rng, disturbances = streams.of("clients"), _shares(scenario, streams)
     skewed = {
         place: streams.of(f"skew {place}").sample(range(len(routers)), min(trouble.routers, len(routers)))
-        for place, trouble in enumerate(scenario.troubles)
+        for place, trouble in enumerate(scenario.disturbances)
         if trouble.kind == "skew"
     }
     classes, namespaces = scenario.classes, scenario.namespaces
     class_sums = list(accumulate(cls.share for cls in classes))
     namespace_sums = list(accumulate(namespace.share for namespace in namespaces))
     phase = rng.random()
-    peak = traffic.rate * (1 + traffic.swing) * (1 + fsum(s for (t, s) in troubles if t.kind == "burst"))
+    peak = traffic.rate * (1 + traffic.swing) * (1 + fsum(s for (t, s) in disturbances if t.kind == "burst"))
     quota = _Quota(scenario)
-    asks: list[Ask] = []
+    operations: list[Operation] = []
     at = 0.0
     while True:
         at += rng.expovariate(1.0) / peak
         if at >= scenario.length_s:
-            return asks
+            return operations
         base = traffic.rate * (1 + traffic.swing * sin(2 * pi * (at / 17 + phase)))
-        now = [(place, trouble, share) for place, (trouble, share) in enumerate(troubles) if _on(trouble, at)]
+        now = [
+            (place, trouble, share) for place, (trouble, share) in enumerate(disturbances) if _on(trouble, at)
+        ]
         burst = fsum(share for _, trouble, share in now if trouble.kind == "burst")
         # Every draw is made for every candidate, so that one ask's fate does not shift the next one's draws.
         thinned, kind, popular, lean = (rng.random() for _ in range(4))
@@ -285,14 +300,14 @@
         if burst and kind * (1 + burst) < burst:
             cls, key = _first_read(classes), BURST_KEY
         elif not cls.write and popular < fsum(share for _, t, share in now if t.kind == "one-time"):
-            key = f"once/{len(asks)}/{at:.6f}"
+            key = f"once/{len(operations)}/{at:.6f}"
         leaning = [(place, share) for place, trouble, share in now if trouble.kind == "skew"]
         if leaning and lean < leaning[0][1]:
             picked = skewed[leaning[0][0]]
             router = picked[int(skew_pick * len(picked))]
-        asks.append(
-            Ask(
-                number=len(asks),
+        operations.append(
+            Operation(
+                number=len(operations),
                 at=at,
                 request_class=cls.name,
                 namespace=namespace,
@@ -309,11 +324,11 @@
 
 def _with_syncs(
     scenario: Scenario, streams: Streams, keys: _Keys, routers: tuple[RouterFacts, ...]
-) -> list[Ask]:
+) -> list[Operation]:
     """All asks by their time, with those of commands that read many keys: each of their keys is an ask."""
-    asks, sync = _asks(scenario, streams, keys, routers), scenario.sync
+    operations, sync = _operations(scenario, streams, keys, routers), scenario.sync
     if sync is None:
-        return asks
+        return operations
     rng, cls, at, number = streams.of("sync"), _first_read(scenario.classes), 0.0, 0
     shares = list(accumulate(namespace.share for namespace in scenario.namespaces))
     while (at := at + rng.expovariate(1.0) / sync.commands) < scenario.length_s:
@@ -323,25 +338,27 @@
             wanted[keys.draw(rng)] = None
         zone = routers[router].zone
         for key in wanted:
-            ask = Ask(0, at, cls.name, namespace, key, zone, router, False, (1.0,), (0.0,), 1.0, number)
-            asks.append(ask)
+            operation = Operation(
+                0, at, cls.name, namespace, key, zone, router, False, (1.0,), (0.0,), 1.0, number
+            )
+            operations.append(operation)
         number += 1
-    asks.sort(key=lambda ask: ask.at)
-    return [replace(ask, number=place) for place, ask in enumerate(asks)]
+    operations.sort(key=lambda operation: operation.at)
+    return [replace(operation, number=place) for place, operation in enumerate(operations)]
 
 
 def _first_read(classes: tuple[RequestClass, ...]) -> RequestClass:
     return next((cls for cls in classes if not cls.write), classes[0])
 
 
-def _on(trouble: Trouble, at: float) -> bool:
+def _on(trouble: Disturbance, at: float) -> bool:
     return trouble.at_s <= at < trouble.at_s + trouble.for_s
 
 
-def _shares(scenario: Scenario, streams: Streams) -> list[tuple[Trouble, float]]:
+def _shares(scenario: Scenario, streams: Streams) -> list[tuple[Disturbance, float]]:
     return [
         (trouble, _draw(streams.of(f"trouble {place} {trouble.kind}"), trouble.share))
-        for place, trouble in enumerate(scenario.troubles)
+        for place, trouble in enumerate(scenario.disturbances)
     ]
 
 
@@ -381,17 +398,17 @@
         return left < 1
 
 
-def _happenings(scenario: Scenario, streams: Streams) -> tuple[Happening, ...]:
-    happenings = [
-        Happening(trouble.at_s, trouble.kind, 0.0, 0, share, 1.0)
+def _happenings(scenario: Scenario, streams: Streams) -> tuple[FaultEvent, ...]:
+    fault_events = [
+        FaultEvent(trouble.at_s, trouble.kind, 0.0, 0, share, 1.0)
         for trouble, share in _shares(scenario, streams)
         if trouble.kind == "invalidation"
     ]
     taken: set[int] = set()
     for number, fault in enumerate(scenario.faults):
         place = _place(scenario, fault, streams.of(f"fault {number} {fault.kind}"), taken)
-        happenings.append(Happening(fault.at_s, fault.kind, fault.for_s, place, fault.share, fault.factor))
-    return tuple(sorted(happenings, key=lambda happening: happening.at))
+        fault_events.append(FaultEvent(fault.at_s, fault.kind, fault.for_s, place, fault.share, fault.factor))
+    return tuple(sorted(fault_events, key=lambda event: event.at))
 
 
 def _place(scenario: Scenario, fault: Fault, rng: random.Random, taken: set[int]) -> int:
--- a/pebblepass/simulation/reconcile.py
+++ b/pebblepass/simulation/reconcile.py
@@ -6,12 +6,12 @@
 from collections.abc import Mapping
 from typing import Any
 
-from pebblepass.simulation.count import Count
+from pebblepass.simulation.request_counts import RequestCounts
 
 KEYS = ("taken", "served", "refused", "failed", "gone", "open")
 
 
-def differences(count: Count, figures: Mapping[str, list[dict[str, Any]] | None]) -> list[str]:
+def differences(count: RequestCounts, figures: Mapping[str, list[dict[str, Any]] | None]) -> list[str]:
     """A line for each router, namespace and class whose figures are not the kit's.
 
     `figures`: by router, its accounts, one start after another; None where nothing can be known.
--- a/pebblepass/simulation/recovery.py
+++ b/pebblepass/simulation/recovery.py
@@ -1,7 +1,7 @@
 """Where service goes after a trouble, and when it is back: by reason, by copy, by fetch. No I/O.
 
 A recorder takes what the rehearsal sees; `against` holds the report against that of the calm twin (the same
-scenario without its troubles and faults) and against the clairvoyant bound.
+scenario without its disturbances and faults) and against the clairvoyant bound.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from pebblepass.simulation.bound import Clairvoyant
-from pebblepass.simulation.count import Count
-from pebblepass.simulation.plan import Ask, Plan
+from pebblepass.simulation.clairvoyant_bound import ClairvoyantCache
+from pebblepass.simulation.plan import Operation, Plan
+from pebblepass.simulation.request_counts import RequestCounts
 from pebblepass.simulation.scenario import Scenario
 
 SMOOTH_S = 5  # service of one second is mostly chance
@@ -39,7 +39,7 @@
 @dataclass(slots=True)
 class _Fetch:
     second: int
-    asks: list[int]
+    operations: list[int]
     again: bool
     copies: list[tuple[str, str]]
     reads: int = 0
@@ -67,7 +67,7 @@
     def __init__(self, plan: Plan) -> None:
         self._plan = plan
         self._working_set = frozenset(plan.popular)
-        self._asks: dict[str, int] = {}
+        self._operations: dict[str, int] = {}
         self._fetches: list[_Fetch] = []
         self._copies: dict[tuple[str, str], _Fetch] = {}
         self._refused, self._store = _Seconds(), _Seconds()
@@ -75,22 +75,24 @@
         self.held: list[float] = []
         self.limits: list[float] = []
 
-    def asked(self, request: str, ask: Ask, before: str) -> None:
+    def record_request(self, request: str, operation: Operation, before: str) -> None:
         """A try goes out; `before`: what the try before it came to, empty for the first."""
-        self._asks[request] = ask.number
+        self._operations[request] = operation.number
         self._tried["first" if not before else "after a refusal" if before == "refused" else "other"] += 1
 
-    def read(self, key: str, node: str) -> None:
+    def record_read(self, key: str, node: str) -> None:
         """A node has answered a read with its copy."""
         fetch = self._copies.get((node, key))
         if fetch is not None:
             fetch.reads += 1
 
-    def fetched(self, at: float, request: str, key: str, nodes: Iterable[str], held_elsewhere: bool) -> None:
+    def record_fetch(
+        self, at: float, request: str, key: str, nodes: Iterable[str], held_elsewhere: bool
+    ) -> None:
         """The store has served a fetch, and these nodes keep it; `held_elsewhere`: another one had it."""
         copies = [(node, key) for node in nodes]
-        ask = self._asks.get(request)
-        fetch = _Fetch(int(at), [ask] if ask is not None else [], held_elsewhere, copies)
+        operation = self._operations.get(request)
+        fetch = _Fetch(int(at), [operation] if operation is not None else [], held_elsewhere, copies)
         self._fetches.append(fetch)
         self._copies.update(dict.fromkeys(copies, fetch))
 
@@ -113,20 +115,21 @@
         self._store.take(Counter({"fetches": fetches, "writes": writes}), seconds)
         self._tries.take(self._tried.copy(), seconds)
 
-    def _uses(self, count: Count) -> dict[str, list[int]]:
+    def _uses(self, count: RequestCounts) -> dict[str, list[int]]:
         uses = {use: [0] * len(self.held) for use in USES}
         aims = {cls.name: cls.aim_ms / 1000 for cls in self._plan.scenario.classes}
         for fetch in self._fetches:
             in_time = any(
-                count.served_after.get(number, float("inf")) <= aims[self._plan.asks[number].request_class]
-                for number in fetch.asks
+                count.served_after.get(number, float("inf"))
+                <= aims[self._plan.operations[number].request_class]
+                for number in fetch.operations
             )
             use = "again" if fetch.again else "read" if fetch.reads else "unread" if in_time else "late"
             if self.held:
                 uses[use][min(fetch.second + 1, len(self.held) - 1)] += 1
         return uses
 
-    def report(self, count: Count) -> dict[str, Any]:
+    def report(self, count: RequestCounts) -> dict[str, Any]:
         """Everything second by second, and the figures that can be told without a twin."""
         store, uses = self._plan.store, self._uses(count)
         capacity = store.slots / store.work
@@ -148,14 +151,14 @@
         }
 
 
-def calm(scenario: Scenario) -> Scenario:
+def without_faults(scenario: Scenario) -> Scenario:
     """The same scenario with nothing that goes wrong."""
-    return msgspec.structs.replace(scenario, troubles=(), faults=())
+    return msgspec.structs.replace(scenario, disturbances=(), faults=())
 
 
-def first_trouble(plan: Plan) -> float | None:
+def first_fault_at(plan: Plan) -> float | None:
     """When the first trouble or fault begins; None: there is none."""
-    return min([at for at, _ in plan.troubles] + [h.at for h in plan.happenings], default=None)
+    return min([at for at, _ in plan.disturbances] + [h.at for h in plan.fault_events], default=None)
 
 
 def time_to_recover(
@@ -180,25 +183,25 @@
     return fsum(row[1] for row in rows) / asked if asked else 1.0
 
 
-def bound_rows(plan: Plan, count: Count, bound: Clairvoyant) -> list[tuple[float, float]]:
+def bound_rows(plan: Plan, count: RequestCounts, bound: ClairvoyantCache) -> list[tuple[float, float]]:
     """Each second's worth asked, and earned within the bound."""
     seconds = [[0.0, 0.0] for _ in range(count.seconds)]
-    for ask in plan.asks:
-        worth, _ = count.worth(ask)
-        row = seconds[min(int(ask.at), count.seconds - 1)]
+    for operation in plan.operations:
+        worth, _ = count.worth(operation)
+        row = seconds[min(int(operation.at), count.seconds - 1)]
         row[0] += worth
-        row[1] += worth * bound.in_time.get(ask.number, False)
+        row[1] += worth * bound.in_time.get(operation.number, False)
     return [(asked, earned) for asked, earned in seconds]
 
 
-def against(
-    report: dict[str, Any], calm_report: dict[str, Any], plan: Plan, bound: Clairvoyant
+def compare_to_references(
+    report: dict[str, Any], calm_report: dict[str, Any], plan: Plan, bound: ClairvoyantCache
 ) -> dict[str, Any]:
     """What can be told only beside the calm twin and the bound; it goes into the report's recovery."""
     rows = [(asked, earned) for asked, earned in report["service"]["seconds"]]
     calm_rows = [(asked, earned) for asked, earned in calm_report["service"]["seconds"]]
-    reckoned = bound_rows(plan, Count(plan), bound)
-    at = first_trouble(plan)
+    reckoned = bound_rows(plan, RequestCounts(plan), bound)
+    at = first_fault_at(plan)
     return {
         "trouble_at": at,
         "time_to_recover": time_to_recover(rows, calm_rows, at) if at is not None else 0.0,
--- a/pebblepass/simulation/report.py
+++ b/pebblepass/simulation/report.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from pebblepass.simulation.count import OUTCOMES, Count
+from pebblepass.simulation.emulated_services import EmulatedServices
 from pebblepass.simulation.plan import Plan
 from pebblepass.simulation.reconcile import differences
-from pebblepass.simulation.referee import Referee, Rule
-from pebblepass.simulation.world import World
+from pebblepass.simulation.request_counts import OUTCOMES, RequestCounts
+from pebblepass.simulation.rule_checker import Rule, RuleChecker
 
 DIGITS = 6
 MOST_BREACHES = 20  # that are told with their words; all are counted
@@ -46,10 +46,10 @@
 
 def build_report(
     plan: Plan,
-    count: Count,
-    referee: Referee,
+    count: RequestCounts,
+    rule_checker: RuleChecker,
     series: Series,
-    world: World,
+    world: EmulatedServices,
     recovery: dict[str, Any],
     clock: str,
     events: list[tuple[float, str]],
@@ -61,20 +61,22 @@
     """Put the report together."""
     fleet = plan.scenario.fleet
     begun = series.seconds[0] if series.seconds else 0.0
-    breaches = {rule.value: [breach for breach in referee.breaches if breach.rule is rule] for rule in Rule}
+    breaches = {
+        rule.value: [breach for breach in rule_checker.breaches if breach.rule is rule] for rule in Rule
+    }
     report = {
         "scenario": plan.scenario.title,
         "seed": plan.seed,
         "clock": clock,
         "plan": plan.digest(),
-        "trace": referee.trace.hexdigest()[:16] if clock == "virtual" else None,
+        "trace": rule_checker.trace.hexdigest()[:16] if clock == "virtual" else None,
         "interrupted": interrupted,
         "scale": {
             "routers": fleet.routers,
             "nodes": fleet.nodes,
             "rate": plan.scenario.traffic.rate,
             "length_s": plan.scenario.length_s,
-            "asks": len(plan.asks),
+            "asks": len(plan.operations),
         },
         "service": count.service(),
         "tries": {
@@ -89,8 +91,8 @@
             name: {outcome: tally[outcome] for outcome in ("asked", *OUTCOMES)}
             for name, tally in count.routers.items()
         },
-        "attempts": dict(sorted(referee.attempts.items())),
-        "deadlines": referee.deadlines.report(),
+        "attempts": dict(sorted(rule_checker.attempts.items())),
+        "deadlines": rule_checker.deadlines.report(),
         "store": {"fetches": world.store.fetches, "writes": world.store.writes},
         "effects": {"applied": world.effects.applied, "repeats_dropped": world.effects.dropped},
         "rules": {
@@ -109,7 +111,7 @@
         },
         "recovery": recovery,
         "crashes": crashes,
-        "fallen": referee.pushed,
+        "fallen": rule_checker.pushed,
         "events": [[at, what] for at, what in events],
         "series": {
             "second": [round(second - begun) for second in series.seconds],
--- a/pebblepass/simulation/count.py
+++ b/pebblepass/simulation/request_counts.py
@@ -7,7 +7,7 @@
 from math import fsum
 from typing import Any
 
-from pebblepass.simulation.plan import Ask, Plan
+from pebblepass.simulation.plan import Operation, Plan
 
 WORST_S = 10
 WHOLE, WORST_WINDOW, WORST_CLASS, WORST_NAMESPACE = 0.55, 0.15, 0.05, 0.25
@@ -26,7 +26,7 @@
         return fsum(self.earned) / asked if asked else 1.0
 
 
-class Count:
+class RequestCounts:
     """Tries by outcome and what each ask has earned."""
 
     def __init__(self, plan: Plan) -> None:
@@ -47,25 +47,25 @@
         self.served_after: dict[int, float] = {}
         """Seconds from an ask to its answer, by the ask's number."""
 
-    def tried(self, ask: Ask, router: str) -> None:
+    def record_start(self, operation: Operation, router: str) -> None:
         """A try begins."""
-        self.tries[ask.namespace, ask.request_class]["asked"] += 1
+        self.tries[operation.namespace, operation.request_class]["asked"] += 1
         self.routers[router]["asked"] += 1
-        self.accounts[router, ask.namespace, ask.request_class]["asked"] += 1
+        self.accounts[router, operation.namespace, operation.request_class]["asked"] += 1
 
-    def ended(self, ask: Ask, router: str, outcome: str, unseen: bool = False) -> None:
+    def record_end(self, operation: Operation, router: str, outcome: str, unseen: bool = False) -> None:
         """A try ends in one of OUTCOMES; `unseen`: its connection was closed before a router read it."""
-        account = self.accounts[router, ask.namespace, ask.request_class]
+        account = self.accounts[router, operation.namespace, operation.request_class]
         account[outcome] += 1
         account["unseen"] += unseen
-        self.tries[ask.namespace, ask.request_class][outcome] += 1
+        self.tries[operation.namespace, operation.request_class][outcome] += 1
         self.routers[router][outcome] += 1
 
-    def worth(self, ask: Ask) -> tuple[float, float]:
+    def worth(self, operation: Operation) -> tuple[float, float]:
         """What an ask is worth, and what it has earned."""
-        cls = self._classes[ask.request_class]
-        worth = cls.worth * (self._plan.scenario.traffic.over_share_worth if ask.over else 1.0)
-        after = self.served_after.get(ask.number)
+        cls = self._classes[operation.request_class]
+        worth = cls.worth * (self._plan.scenario.traffic.over_share_worth if operation.over else 1.0)
+        after = self.served_after.get(operation.number)
         if after is None or after > cls.deadline_ms / 1000:
             return worth, 0.0
         return worth, worth * (1.0 if after <= cls.aim_ms / 1000 else cls.late_worth)
@@ -87,13 +87,13 @@
         classes = {cls.name: _Sum([], []) for cls in scenario.classes}
         namespaces = {namespace.name: _Sum([], []) for namespace in scenario.namespaces}
         whole = _Sum([], [])
-        for ask in self._plan.asks:
-            worth, earned = self.worth(ask)
-            second = min(int(ask.at), seconds - 1)
+        for operation in self._plan.operations:
+            worth, earned = self.worth(operation)
+            second = min(int(operation.at), seconds - 1)
             # A namespace is judged within its share: what lies beyond it is not held against the router.
-            parts = [whole, by_second[second], classes[ask.request_class]]
-            if not ask.over:
-                parts += [namespaces[ask.namespace], namespace_seconds[ask.namespace][second]]
+            parts = [whole, by_second[second], classes[operation.request_class]]
+            if not operation.over:
+                parts += [namespaces[operation.namespace], namespace_seconds[operation.namespace][second]]
             for part in parts:
                 part.asked.append(worth)
                 part.earned.append(earned)
--- a/pebblepass/simulation/referee.py
+++ b/pebblepass/simulation/rule_checker.py
@@ -51,7 +51,7 @@
     """Attempts that have advertised a timeout."""
 
 
-class Referee:
+class RuleChecker:
     """A witness that knows the rules."""
 
     def __init__(self, slack: float, transit_slack: float | None = None) -> None:
@@ -77,7 +77,9 @@
 
     # Clients
 
-    def taken(self, request: str, router: str, deadline: float, client_deadline: float | None = None) -> None:
+    def record_taken(
+        self, request: str, router: str, deadline: float, client_deadline: float | None = None
+    ) -> None:
         """A request is written whole to a connection that the router's machine has accepted.
 
         `deadline`: until when its client waits. `client_deadline`: the end of the time that the request
@@ -86,7 +88,7 @@
         by_request = deadline if client_deadline is None else client_deadline
         self._asked[request] = _Asked(router, deadline, by_request)
 
-    def answered(self, request: str, now: float) -> None:
+    def record_answer(self, request: str, now: float) -> None:
         """A request has its final answer."""
         asked = self._asked[request]
         self.trace.update(b"%b answered %d\n" % (request.encode(), int(now * 1e6)))
@@ -97,16 +99,16 @@
         if now > asked.deadline + TIME_SLACK_S + ANSWER_GRACE_S + self._slack:
             self._break(Rule.ANSWERED, now, f"{request}: answered {now - asked.deadline:.3f} s too late")
 
-    def left(self, request: str, now: float) -> None:
+    def record_abandoned(self, request: str, now: float) -> None:
         """Its client has gone away, or its router was killed: nothing is owed."""
         self._asked[request].answered_at = now
 
-    def lost(self, request: str, now: float, how: str) -> None:
+    def record_lost(self, request: str, now: float, how: str) -> None:
         """A request that a running router has taken has no final answer."""
         self._asked[request].answered_at = now
         self._break(Rule.ANSWERED, now, f"{request}: {how}")
 
-    def stray(self, router: str, now: float) -> None:
+    def record_unexpected_bytes(self, router: str, now: float) -> None:
         """A router has sent bytes that no request was open for."""
         self._break(Rule.ANSWERED, now, f"{router}: an answer that nothing was open for")
 
@@ -182,7 +184,7 @@
         if state == "up":
             self._starts_known.add((router, server))
 
-    def started(self, server: str) -> None:
+    def server_started(self, server: str) -> None:
         """A server has started anew: nobody has been told yet."""
         self._starts_known = {(r, s) for r, s in self._starts_known if s != server}
 
--- a/pebblepass/simulation/runner.py
+++ b/pebblepass/simulation/runner.py
@@ -16,14 +16,14 @@
 from pebblepass.emulators.listening import LOOPBACK, Silence, no_silence
 from pebblepass.emulators.ports import take_port
 from pebblepass.simulation.clock import VirtualLoop
-from pebblepass.simulation.count import Count
-from pebblepass.simulation.front import Front
-from pebblepass.simulation.plan import Happening, Plan, Streams
+from pebblepass.simulation.emulated_services import EmulatedServices, platform_settings
+from pebblepass.simulation.load_generator import LoadGenerator
+from pebblepass.simulation.plan import FaultEvent, Plan, Streams
 from pebblepass.simulation.recovery import Recorder
-from pebblepass.simulation.referee import Referee
 from pebblepass.simulation.report import Series, build_report
+from pebblepass.simulation.request_counts import RequestCounts
 from pebblepass.simulation.routers import InProcessRouter, ProcessRouter, RouterPort
-from pebblepass.simulation.world import World, settings_facts
+from pebblepass.simulation.rule_checker import RuleChecker
 from pebblepass.wire.address import Address
 
 READY_S = 10.0
@@ -60,12 +60,14 @@
     def __init__(self, plan: Plan, stage: Stage, progress: Progress = lambda _, __: None) -> None:
         self.plan, self._stage, self._progress = plan, stage, progress
         self._loop = stage.loop
-        self.referee = Referee(stage.slack, stage.transit_slack)
-        self.count = Count(plan)
+        self.rule_checker = RuleChecker(stage.slack, stage.transit_slack)
+        self.count = RequestCounts(plan)
         listening = 0.0 if stage.slack == VIRTUAL_SLACK_S else stage.slack
         self.recorder = Recorder(plan)
-        self.front = Front(self._loop, plan, self.count, self.referee, self.recorder, listening)
-        self.world = World(self._loop, plan, self.referee, stage.unix_ns, stage.silence, self.recorder)
+        self.front = LoadGenerator(self._loop, plan, self.count, self.rule_checker, self.recorder, listening)
+        self.world = EmulatedServices(
+            self._loop, plan, self.rule_checker, stage.unix_ns, stage.silence, self.recorder
+        )
         self.routers = [stage.router(place) for place in range(len(plan.routers))]
         self.series = Series(list(self.world.nodes))
         self.events: list[tuple[float, str]] = []
@@ -99,12 +101,12 @@
         return build_report(
             self.plan,
             self.count,
-            self.referee,
+            self.rule_checker,
             self.series,
             self.world,
             recovery=self.recorder.report(self.count),
             clock=self._stage.clock,
-            events=sorted([*self.plan.troubles, *self.events]),
+            events=sorted([*self.plan.disturbances, *self.events]),
             figures=figures,
             # Only a process has memory of its own.
             peaks_kb={
@@ -128,15 +130,13 @@
             await self._wait_ready(place)
         self._begun = loop.time()
         self.world.begin()
-        handles = [
-            loop.call_at(self._begun + happening.at, self._happen, happening) for happening in plan.happenings
-        ]
+        handles = [loop.call_at(self._begun + event.at, self._happen, event) for event in plan.fault_events]
         self._sample()
-        for ask in plan.asks:
-            left = self._begun + ask.at - loop.time()
+        for operation in plan.operations:
+            left = self._begun + operation.at - loop.time()
             if left > 0:
                 await asyncio.sleep(left)
-            self.front.ask(ask)
+            self.front.start(operation)
         longest = max(cls.deadline_ms for cls in plan.scenario.classes) / 1000
         await asyncio.sleep(max(0.0, self._begun + plan.scenario.length_s - loop.time()))
         while self.front.open or loop.time() < self._begun + plan.scenario.length_s + longest + TAIL_S:
@@ -181,7 +181,7 @@
         agent = self.world.agents[facts.id]
         fleet = self.plan.scenario.fleet
         host, port = self._addresses[place]
-        self.referee.router_started(facts.id)
+        self.rule_checker.router_started(facts.id)
         told = {
             "name": facts.id,
             "listen": f"{host}:{port}",
@@ -189,7 +189,7 @@
             "seed": f"{facts.seed:016x}",
             "limits": {"cores": 1.0, "memory_mb": fleet.memory_mb, "sockets": fleet.sockets},
             "known": self._known[place],
-            "settings": settings_facts(self.plan, facts),
+            "settings": platform_settings(self.plan, facts),
         }
         try:
             await self.routers[place].start(told)
@@ -215,32 +215,30 @@
         why = self.routers[place].crash() or f"not ready after {READY_S:g} s"
         raise RehearsalError(f"{self.plan.routers[place].id}: {why}")
 
-    def _happen(self, happening: Happening) -> None:
-        if happening.kind.startswith("router"):
-            place = happening.place % len(self.routers)
+    def _happen(self, event: FaultEvent) -> None:
+        if event.kind.startswith("router"):
+            place = event.place % len(self.routers)
             name = self.plan.routers[place].id
-            if happening.kind == "router-stall":
-                self.routers[place].stall(happening.length)
-                self.events.append((happening.at, f"{name} stands still for {happening.length:g} s"))
+            if event.kind == "router-stall":
+                self.routers[place].stall(event.length)
+                self.events.append((event.at, f"{name} stands still for {event.length:g} s"))
                 return
-            if happening.kind == "router-reload":
+            if event.kind == "router-reload":
                 what, work = f"{name} is given another address of the registry", self._reload(place)
-            elif happening.kind == "router-term":
+            elif event.kind == "router-term":
                 what, work = f"{name} is restarted in good order", self._restart(place, killed=False)
             else:
                 what, work = f"{name} is killed", self._restart(place, killed=True)
             task = self._loop.create_task(work)
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
-        elif happening.kind == "clients-leave":
-            self.front.leaving = happening.share
-            self._loop.call_later(happening.length, setattr, self.front, "leaving", 0.0)
-            what = (
-                f"{happening.share:.0%} of the clients leave before their answer for {happening.length:g} s"
-            )
+        elif event.kind == "clients-leave":
+            self.front.leaving = event.share
+            self._loop.call_later(event.length, setattr, self.front, "leaving", 0.0)
+            what = f"{event.share:.0%} of the clients leave before their answer for {event.length:g} s"
         else:
-            what = self.world.happen(happening)
-        self.events.append((happening.at, what))
+            what = self.world.happen(event)
+        self.events.append((event.at, what))
 
     async def _reload(self, place: int) -> None:
         name = self.plan.routers[place].id
--- a/pebblepass/simulation/scenario.py
+++ b/pebblepass/simulation/scenario.py
@@ -37,7 +37,7 @@
     "router-stall",
     "clients-leave",
 ]
-TroubleKind = Literal["burst", "invalidation", "one-time", "skew"]
+DisturbanceKind = Literal["burst", "invalidation", "one-time", "skew"]
 
 MOST_PROCESSES = 2048
 """Routers, and mirror nodes, that a scenario may have."""
@@ -181,10 +181,10 @@
     keys: Annotated[int, Meta(ge=1, le=1024, description="keys of one command, all different")] = 100
 
 
-class Trouble(_Checked, frozen=True):
+class Disturbance(_Checked, frozen=True):
     """`[[trouble]]`: something that the clients or the data bring."""
 
-    kind: Annotated[TroubleKind, Meta(description="what happens")]
+    kind: Annotated[DisturbanceKind, Meta(description="what happens")]
     at_s: Annotated[float, Meta(ge=0, description="when it begins")]
     for_s: Annotated[float, Meta(ge=0, description="how long it lasts")] = 0.0
     share: Annotated[
@@ -258,7 +258,7 @@
     namespaces: Annotated[tuple[Namespace, ...], msgspec.Meta(min_length=1, description="namespaces")] = (
         msgspec.field(default=DEFAULT_NAMESPACES, name="namespace")
     )
-    troubles: Annotated[tuple[Trouble, ...], Meta(description="what clients or the data bring")] = (
+    disturbances: Annotated[tuple[Disturbance, ...], Meta(description="what clients or the data bring")] = (
         msgspec.field(default=(), name="trouble")
     )
     faults: Annotated[tuple[Fault, ...], Meta(description="parts that break")] = msgspec.field(
@@ -273,7 +273,7 @@
             if abs(sum(part.share for part in parts) - 1) > 0.001:
                 raise ValueError(f"the shares of [[{words}]] must add up to 1")
         dated: list[tuple[str, str, float]]
-        dated = [(f"trouble[{i}]", trouble.kind, trouble.at_s) for i, trouble in enumerate(self.troubles)]
+        dated = [(f"trouble[{i}]", trouble.kind, trouble.at_s) for i, trouble in enumerate(self.disturbances)]
         dated += [(f"fault[{i}]", fault.kind, fault.at_s) for i, fault in enumerate(self.faults)]
         for place, kind, at in dated:
             if at >= self.length_s:
--- a/pebblepass/simulation/terminal.py
+++ b/pebblepass/simulation/terminal.py
@@ -11,12 +11,12 @@
 from rich.live import Live
 from rich.table import Table
 
-from pebblepass.simulation.bound import clairvoyant
-from pebblepass.simulation.count import OUTCOMES
+from pebblepass.simulation.clairvoyant_bound import clairvoyant_bound
 from pebblepass.simulation.page import deadline_line, recovery_rows
 from pebblepass.simulation.plan import Plan, make_plan
-from pebblepass.simulation.recovery import against, calm
+from pebblepass.simulation.recovery import compare_to_references, without_faults
 from pebblepass.simulation.report import Series, compare, verdict
+from pebblepass.simulation.request_counts import OUTCOMES
 from pebblepass.simulation.runner import rehearse, rehearse_in_real_time
 
 REFRESH_S = 0.1
@@ -35,7 +35,7 @@
         def progress(second: float, series: Series) -> None:
             nonlocal shown_at
             if not console.is_terminal and second < 1:
-                console.print(f"playing {plan.scenario.title}: {len(plan.asks)} asks", soft_wrap=True)
+                console.print(f"playing {plan.scenario.title}: {len(plan.operations)} asks", soft_wrap=True)
             now = time.monotonic()  # the terminal's own clock: nothing of the rehearsal depends on it
             if console.is_terminal and now - shown_at >= REFRESH_S:
                 shown_at = now
@@ -43,8 +43,8 @@
 
         def beside(report: dict[str, Any]) -> dict[str, Any]:
             if recovery and not report["interrupted"]:
-                twin = rehearse(make_plan(calm(plan.scenario), plan.seed), progress)
-                report["recovery"] |= against(report, twin, plan, clairvoyant(plan))
+                twin = rehearse(make_plan(without_faults(plan.scenario), plan.seed), progress)
+                report["recovery"] |= compare_to_references(report, twin, plan, clairvoyant_bound(plan))
             return report
 
         if deploy is None:
--- a/tests/accounting/test_rehearsed.py
+++ b/tests/accounting/test_rehearsed.py
@@ -15,16 +15,16 @@
 from pebblepass.simulation.plan import make_plan
 from pebblepass.simulation.report import verdict
 from pebblepass.simulation.runner import rehearse
-from pebblepass.simulation.scenario import Fault, Fleet, Range, Scenario, Traffic, Trouble
+from pebblepass.simulation.scenario import Disturbance, Fault, Fleet, Range, Scenario, Traffic
 
 LEAVING = Scenario(
     title="clients killed at random",
     length_s=5,
     fleet=Fleet(routers=2, nodes=6),
     traffic=Traffic(rate=80, swing=0, value_bytes=Range(500, 90_000)),
-    troubles=(
-        Trouble(kind="burst", at_s=1, for_s=3, share=Range(0.5, 0.5)),
-        Trouble(kind="one-time", at_s=2, for_s=2, share=Range(0.2, 0.2)),
+    disturbances=(
+        Disturbance(kind="burst", at_s=1, for_s=3, share=Range(0.5, 0.5)),
+        Disturbance(kind="one-time", at_s=2, for_s=2, share=Range(0.2, 0.2)),
     ),
     faults=(
         Fault(kind="clients-leave", at_s=0, for_s=5, share=0.6),
--- a/tests/compatibility/forms.py
+++ b/tests/compatibility/forms.py
@@ -54,9 +54,9 @@
 from pebblepass.scale.hollow import CountingService
 from pebblepass.scale.plan import Plan as ScalePlan
 from pebblepass.scale.run import play as play_scale
-from pebblepass.simulation.bound import clairvoyant
+from pebblepass.simulation.clairvoyant_bound import clairvoyant_bound
 from pebblepass.simulation.plan import make_plan
-from pebblepass.simulation.recovery import against
+from pebblepass.simulation.recovery import compare_to_references
 from pebblepass.simulation.report import as_json, compare
 from pebblepass.simulation.runner import rehearse
 from pebblepass.simulation.scenario import load_scenario
@@ -443,7 +443,7 @@
     """The report of a scenario, with the part on recovery; twice the same run stands for its calm twin."""
     plan = make_plan(load_scenario(str(scenario)), 3)
     report = rehearse(plan)
-    report["recovery"] |= against(report, report, plan, clairvoyant(plan))
+    report["recovery"] |= compare_to_references(report, report, plan, clairvoyant_bound(plan))
     report["compared"] = compare(report, report)
     written: dict[str, Any] = msgspec.json.decode(as_json(report))
     return written
--- a/tests/daemon/test_standing_terms.py
+++ b/tests/daemon/test_standing_terms.py
@@ -19,11 +19,11 @@
 from pebblepass.decisions.interface import NS_PER_S
 from pebblepass.emulators.ports import take_port
 from pebblepass.simulation import runner
-from pebblepass.simulation.count import Count
-from pebblepass.simulation.plan import Ask, make_plan
-from pebblepass.simulation.referee import TIME_SLACK_S, Referee
+from pebblepass.simulation.plan import Operation, make_plan
 from pebblepass.simulation.report import verdict
-from pebblepass.simulation.scenario import Fault, Fleet, Range, RequestClass, Scenario, Traffic, Trouble
+from pebblepass.simulation.request_counts import RequestCounts
+from pebblepass.simulation.rule_checker import TIME_SLACK_S, RuleChecker
+from pebblepass.simulation.scenario import Disturbance, Fault, Fleet, Range, RequestClass, Scenario, Traffic
 from pebblepass.wire.resp import Command
 from tests.processes import end_by_sigterm
 from tests.sockets import FACTS, PATIENCE_S, DiscoveryPeer, eventually, is_ready, start_router
@@ -95,43 +95,45 @@
 ) -> Observed:
     """Play a scenario on the virtual clock, and note what clients and servers saw."""
     observed = Observed()
-    referees: list[ObservedReferee] = []
+    rule_checkers: list[ObservedRuleChecker] = []
 
-    class ObservedReferee(Referee):
+    class ObservedRuleChecker(RuleChecker):
         def __init__(self, slack: float, transit_slack: float | None = None) -> None:
             super().__init__(slack, transit_slack)
             self.last_answered, self.last_answer_at = "", 0.0
-            referees.append(self)
+            rule_checkers.append(self)
 
-        def taken(
+        def record_taken(
             self, request: str, router: str, deadline: float, client_deadline: float | None = None
         ) -> None:
             observed.deadlines[request] = deadline
-            super().taken(request, router, deadline, client_deadline)
+            super().record_taken(request, router, deadline, client_deadline)
 
         def attempt_came(self, request: str, server: str, now: float) -> None:
             super().attempt_came(request, server, now)
             observed.attempts[self._asked[request].router].append(now)
 
-        def answered(self, request: str, now: float) -> None:
-            super().answered(request, now)
+        def record_answer(self, request: str, now: float) -> None:
+            super().record_answer(request, now)
             observed.answers.setdefault(request, now)
             self.last_answered, self.last_answer_at = request, now
 
-        def left(self, request: str, now: float) -> None:
-            super().left(request, now)
+        def record_abandoned(self, request: str, now: float) -> None:
+            super().record_abandoned(request, now)
             observed.owed_nothing.add(request)
 
-    class ObservedCount(Count):
-        def ended(self, ask: Ask, router: str, outcome: str, unseen: bool = False) -> None:
-            super().ended(ask, router, outcome, unseen)
-            referee = referees[0]  # which has just been told of this answer
-            if outcome == "refused" or (outcome == "failed" and not referee.was_sent(referee.last_answered)):
-                observed.turned_away[router].append(referee.last_answer_at)
+    class ObservedRequestCounts(RequestCounts):
+        def record_end(self, operation: Operation, router: str, outcome: str, unseen: bool = False) -> None:
+            super().record_end(operation, router, outcome, unseen)
+            rule_checker = rule_checkers[0]  # which has just been told of this answer
+            if outcome == "refused" or (
+                outcome == "failed" and not rule_checker.was_sent(rule_checker.last_answered)
+            ):
+                observed.turned_away[router].append(rule_checker.last_answer_at)
 
     with patch.context() as patched:
-        patched.setattr(runner, "Referee", ObservedReferee)
-        patched.setattr(runner, "Count", ObservedCount)
+        patched.setattr(runner, "RuleChecker", ObservedRuleChecker)
+        patched.setattr(runner, "RequestCounts", ObservedRequestCounts)
         observed.report = runner.rehearse(make_plan(scenario, seed), make=make)
     return observed
 
@@ -144,9 +146,9 @@
     length_s=20,
     fleet=Fleet(routers=ROUTERS, nodes=NODES),
     traffic=Traffic(rate=160),
-    troubles=(
-        Trouble(kind="burst", at_s=6, for_s=6, share=Range(0.5, 0.5)),
-        Trouble(kind="skew", at_s=3, for_s=14, share=Range(0.3, 0.3), routers=4),
+    disturbances=(
+        Disturbance(kind="burst", at_s=6, for_s=6, share=Range(0.5, 0.5)),
+        Disturbance(kind="skew", at_s=3, for_s=14, share=Range(0.3, 0.3), routers=4),
     ),
 )
 ROLL = Scenario(
--- a/tests/simulation/test_bound.py
+++ b/tests/simulation/test_clairvoyant_bound.py
@@ -4,18 +4,23 @@
 
 import msgspec
 
-from pebblepass.simulation.bound import BoundFacts, Clairvoyant, clairvoyant, facts_of
-from pebblepass.simulation.plan import Ask, make_plan
-from pebblepass.simulation.scenario import Fault, Range, Scenario, Store, Traffic, Trouble
+from pebblepass.simulation.clairvoyant_bound import (
+    BoundFacts,
+    ClairvoyantCache,
+    bound_facts,
+    clairvoyant_bound,
+)
+from pebblepass.simulation.plan import Operation, make_plan
+from pebblepass.simulation.scenario import Disturbance, Fault, Range, Scenario, Store, Traffic
 
 FACTS = BoundFacts(memory=2, slots=1, work=1.0, kept=(), voids=(), downs=())
 AIM = 2.5
 
 
-def asks(*told: tuple[float, str]) -> tuple[Ask, ...]:
+def operations(*told: tuple[float, str]) -> tuple[Operation, ...]:
     """Asks at these times for these keys; a key that begins with `w` is written."""
     return tuple(
-        Ask(
+        Operation(
             number,
             at,
             "write" if key.startswith("w") else "read",
@@ -32,13 +37,15 @@
     )
 
 
-def played(facts: BoundFacts, *told: tuple[float, str], draw: float = 0.0) -> Clairvoyant:
-    bound = Clairvoyant(facts, asks(*told), lambda ask: (ask.key.startswith("w"), 1.0, AIM), lambda: draw)
+def played(facts: BoundFacts, *told: tuple[float, str], draw: float = 0.0) -> ClairvoyantCache:
+    bound = ClairvoyantCache(
+        facts, operations(*told), lambda operation: (operation.key.startswith("w"), 1.0, AIM), lambda: draw
+    )
     bound.play()
     return bound
 
 
-def served(bound: Clairvoyant) -> list[bool]:
+def served(bound: ClairvoyantCache) -> list[bool]:
     return [bound.in_time[number] for number in sorted(bound.in_time)]
 
 
@@ -80,25 +87,28 @@
     roomy = msgspec.structs.replace(small, store=Store(capacity=Range(4, 4)))
     shares = {}
     for name, scenario in (("small", small), ("roomy", roomy)):
-        bound = clairvoyant(make_plan(scenario, 7))
-        assert len(bound.in_time) == len(make_plan(scenario, 7).asks)
+        bound = clairvoyant_bound(make_plan(scenario, 7))
+        assert len(bound.in_time) == len(make_plan(scenario, 7).operations)
         shares[name] = sum(bound.in_time.values()) / len(bound.in_time)
     assert shares["roomy"] > 0.99
     assert shares["small"] < shares["roomy"]
 
 
 def test_the_facts_are_the_plans() -> None:
-    troubles = (
-        Trouble(kind="invalidation", at_s=3, share=Range(0.4, 0.4)),
-        Trouble(kind="burst", at_s=1, for_s=1),
+    disturbances = (
+        Disturbance(kind="invalidation", at_s=3, share=Range(0.4, 0.4)),
+        Disturbance(kind="burst", at_s=1, for_s=1),
     )
     plan = make_plan(
         Scenario(
-            title="t", length_s=9, troubles=troubles, faults=(Fault(kind="store-down", at_s=5, for_s=2),)
+            title="t",
+            length_s=9,
+            disturbances=disturbances,
+            faults=(Fault(kind="store-down", at_s=5, for_s=2),),
         ),
         3,
     )
-    facts = facts_of(plan)
+    facts = bound_facts(plan)
     assert facts.voids == ((3.0, 0.4),)
     assert facts.downs == ((5.0, 7.0),)
     assert facts.memory == sum(node.memory for node in plan.nodes)
--- a/tests/simulation/test_deadlines.py
+++ b/tests/simulation/test_deadlines.py
@@ -12,19 +12,19 @@
 from pebblepass.daemon.multi_get.multi_get import MultiGet
 from pebblepass.simulation.page import as_page, deadline_line
 from pebblepass.simulation.plan import Plan, make_plan
-from pebblepass.simulation.referee import Rule
 from pebblepass.simulation.report import as_json, verdict
+from pebblepass.simulation.rule_checker import Rule
 from pebblepass.simulation.runner import rehearse
-from pebblepass.simulation.scenario import Fleet, Scenario, Sync, Traffic, Trouble, load_scenario
+from pebblepass.simulation.scenario import Disturbance, Fleet, Scenario, Sync, Traffic, load_scenario
 from pebblepass.wire.address import Address
 
-INVALIDATION = Trouble(kind="invalidation", at_s=2)
+INVALIDATION = Disturbance(kind="invalidation", at_s=2)
 MISSES = Scenario(
     title="misses",
     length_s=6,
     fleet=Fleet(routers=2, nodes=8),
     traffic=Traffic(rate=60, swing=0),
-    troubles=(INVALIDATION,),
+    disturbances=(INVALIDATION,),
 )
 """Copies go void, so that most reads miss and are asked of the store in further attempts."""
 LISTS = Scenario(
--- a/tests/simulation/test_index_sync.py
+++ b/tests/simulation/test_index_sync.py
@@ -30,13 +30,13 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_every_key_is_accounted_for_and_every_rule_holds_while_parts_break(seed: int) -> None:
     plan = make_plan(SMALL, seed)
-    keys = sum(ask.command >= 0 for ask in plan.asks)
-    assert keys == 25 * len({ask.command for ask in plan.asks if ask.command >= 0})
+    keys = sum(operation.command >= 0 for operation in plan.operations)
+    assert keys == 25 * len({operation.command for operation in plan.operations if operation.command >= 0})
     assert keys > 100
     report = rehearse(plan)
     assert verdict(report) == []
     assert report["figures"]["differences"] == []
-    assert sum(tally["asked"] for tally in report["routers"].values()) >= len(plan.asks)
+    assert sum(tally["asked"] for tally in report["routers"].values()) >= len(plan.operations)
 
 
 def test_a_killed_router_takes_its_commands_with_it_and_nothing_else_is_lost() -> None:
@@ -51,8 +51,10 @@
 
 def test_a_plan_without_lists_is_what_it_was() -> None:
     without = msgspec.structs.replace(SMALL, sync=None)
-    alone, beside = make_plan(without, 4).asks, make_plan(SMALL, 4).asks
-    assert [(ask.at, ask.key) for ask in alone] == [(a.at, a.key) for a in beside if a.command < 0]
+    alone, beside = make_plan(without, 4).operations, make_plan(SMALL, 4).operations
+    assert [(operation.at, operation.key) for operation in alone] == [
+        (a.at, a.key) for a in beside if a.command < 0
+    ]
 
 
 def test_a_list_longer_than_the_keys_allow_is_one_line() -> None:
--- a/tests/simulation/test_recovery.py
+++ b/tests/simulation/test_recovery.py
@@ -6,19 +6,25 @@
 
 import pytest
 
-from pebblepass.simulation.bound import clairvoyant
-from pebblepass.simulation.count import Count
+from pebblepass.simulation.clairvoyant_bound import clairvoyant_bound
 from pebblepass.simulation.page import as_page
 from pebblepass.simulation.plan import Plan, make_plan
-from pebblepass.simulation.recovery import Recorder, RouterState, against, calm, time_to_recover
+from pebblepass.simulation.recovery import (
+    Recorder,
+    RouterState,
+    compare_to_references,
+    time_to_recover,
+    without_faults,
+)
+from pebblepass.simulation.request_counts import RequestCounts
 from pebblepass.simulation.runner import rehearse
-from pebblepass.simulation.scenario import Range, Scenario, Traffic, Trouble, load_scenario
+from pebblepass.simulation.scenario import Disturbance, Range, Scenario, Traffic, load_scenario
 
 SMALL = Scenario(
     title="void",
     length_s=16,
     traffic=Traffic(rate=50, keys=400),
-    troubles=(Trouble(kind="invalidation", at_s=4, share=Range(0.7, 0.7)),),
+    disturbances=(Disturbance(kind="invalidation", at_s=4, share=Range(0.7, 0.7)),),
 )
 
 
@@ -33,18 +39,18 @@
 
 
 def test_each_fetch_is_told_by_what_it_was_good_for(plan: Plan) -> None:
-    count, recorder = Count(plan), Recorder(plan)
-    reads = [ask for ask in plan.asks if ask.request_class == "fetch"][:4]
-    for place, ask in enumerate(reads):
-        recorder.asked(f"q{place}", ask, "")
+    count, recorder = RequestCounts(plan), Recorder(plan)
+    reads = [operation for operation in plan.operations if operation.request_class == "fetch"][:4]
+    for place, operation in enumerate(reads):
+        recorder.record_request(f"q{place}", operation, "")
     sample(recorder)
-    recorder.fetched(0.5, "q0", "a", ["s0"], held_elsewhere=False)
-    recorder.fetched(0.5, "q1", "b", ["s0"], held_elsewhere=False)
-    recorder.fetched(0.5, "q2", "c", ["s0"], held_elsewhere=False)
-    recorder.fetched(0.5, "q3", "a", ["s1"], held_elsewhere=True)
-    recorder.read("a", "s0")
-    recorder.read("b", "s1")  # no copy of this fetch's
-    recorder.read("a", "s1")  # read, but another node had it
+    recorder.record_fetch(0.5, "q0", "a", ["s0"], held_elsewhere=False)
+    recorder.record_fetch(0.5, "q1", "b", ["s0"], held_elsewhere=False)
+    recorder.record_fetch(0.5, "q2", "c", ["s0"], held_elsewhere=False)
+    recorder.record_fetch(0.5, "q3", "a", ["s1"], held_elsewhere=True)
+    recorder.record_read("a", "s0")
+    recorder.record_read("b", "s1")  # no copy of this fetch's
+    recorder.record_read("a", "s1")  # read, but another node had it
     count.served_after[reads[1].number] = 0.1
     count.served_after[reads[2].number] = 9.0
     sample(recorder, fetches=4)
@@ -56,11 +62,11 @@
 def test_a_copy_fetched_anew_is_another_fetchs_copy(plan: Plan) -> None:
     recorder = Recorder(plan)
     sample(recorder)
-    recorder.fetched(0.1, "q", "a", ["s0"], held_elsewhere=False)
-    recorder.fetched(0.2, "q", "a", ["s0"], held_elsewhere=False)
-    recorder.read("a", "s0")
+    recorder.record_fetch(0.1, "q", "a", ["s0"], held_elsewhere=False)
+    recorder.record_fetch(0.2, "q", "a", ["s0"], held_elsewhere=False)
+    recorder.record_read("a", "s0")
     sample(recorder, fetches=2)
-    assert recorder.report(Count(plan))["fetches"] == {
+    assert recorder.report(RequestCounts(plan))["fetches"] == {
         "read": [0, 1],
         "unread": [0, 0],
         "late": [0, 1],
@@ -76,7 +82,7 @@
     sample(recorder, fetches=2, writes=1, limit=1, shed=4)
     sample(recorder, fetches=9, writes=1, limit=1, shed=9)
     sample(recorder, fetches=10, writes=3, limit=3, shed=9)
-    told = recorder.report(Count(plan))
+    told = recorder.report(RequestCounts(plan))
     assert told["refused"] == {"limit": [0, 1, 0, 2], "shed": [0, 4, 5, 0]}
     assert told["seconds_short"] == 2
     assert told["store_used"] == pytest.approx((3 + 3) / 2 / told["capacity"])
@@ -88,7 +94,7 @@
     recorder = Recorder(plan)
     for limit in (5, 0, 2):
         sample(recorder, limit=limit)
-    assert recorder.report(Count(plan))["refused"] == {"limit": [5, 0, 2]}
+    assert recorder.report(RequestCounts(plan))["refused"] == {"limit": [5, 0, 2]}
 
 
 def rows(*services: float) -> list[tuple[float, float]]:
@@ -117,14 +123,14 @@
 
 def test_the_calm_twin_asks_the_same_and_nothing_goes_wrong() -> None:
     scenario = load_scenario("release-morning")
-    twin = calm(scenario)
-    assert (twin.troubles, twin.faults) == ((), ())
+    twin = without_faults(scenario)
+    assert (twin.disturbances, twin.faults) == ((), ())
     assert twin.traffic == scenario.traffic
-    assert make_plan(twin, 7).happenings == ()
+    assert make_plan(twin, 7).fault_events == ()
 
 
 def test_a_report_tells_of_the_recovery_and_its_page_shows_it(plan: Plan) -> None:
-    report, twin = rehearse(plan), rehearse(make_plan(calm(SMALL), 5))
+    report, twin = rehearse(plan), rehearse(make_plan(without_faults(SMALL), 5))
     told = report["recovery"]
     assert sum(map(sum, told["fetches"].values())) == report["store"]["fetches"]
     tries = sum(sum(row) for row in told["tries"].values())
@@ -136,7 +142,7 @@
     before, after = min(told["held"][:4]), min(told["held"])
     assert before > 0.9
     assert after < 0.6
-    beside = against(report, twin, plan, clairvoyant(plan))
+    beside = compare_to_references(report, twin, plan, clairvoyant_bound(plan))
     assert beside["trouble_at"] == 4.0
     assert beside["calm_service"] > report["service"]["whole"]
     assert 0 < beside["share_of_bound"] <= 1.0
--- a/tests/simulation/test_rehearsal.py
+++ b/tests/simulation/test_rehearsal.py
@@ -26,12 +26,13 @@
 from pebblepass.discovery.endpoint_list import EndpointList
 from pebblepass.emulators.ports import BLOCK, FIRST, PortBlock
 from pebblepass.simulation import runner
-from pebblepass.simulation.count import OUTCOMES
 from pebblepass.simulation.plan import make_plan
 from pebblepass.simulation.report import as_json, compare, verdict
+from pebblepass.simulation.request_counts import OUTCOMES
 from pebblepass.simulation.runner import RehearsalError, rehearse
 from pebblepass.simulation.scenario import (
     DEFAULT_CLASSES,
+    Disturbance,
     Fault,
     Fleet,
     Node,
@@ -40,7 +41,6 @@
     Scenario,
     Store,
     Traffic,
-    Trouble,
     load_scenario,
 )
 from tests.processes import ending, kill_processes_with, spawn
@@ -48,11 +48,11 @@
 ROOT = Path(__file__).resolve().parent.parent.parent
 LIMIT_S = 120  # of real time, for one command on a busy machine
 
-ALL_TROUBLES = (
-    Trouble(kind="burst", at_s=2, for_s=8, share=Range(0.5, 0.5)),
-    Trouble(kind="invalidation", at_s=4, share=Range(0.74, 0.74)),
-    Trouble(kind="one-time", at_s=3, for_s=7, share=Range(0.2, 0.2)),
-    Trouble(kind="skew", at_s=3, for_s=7, share=Range(0.25, 0.25)),
+ALL_DISTURBANCES = (
+    Disturbance(kind="burst", at_s=2, for_s=8, share=Range(0.5, 0.5)),
+    Disturbance(kind="invalidation", at_s=4, share=Range(0.74, 0.74)),
+    Disturbance(kind="one-time", at_s=3, for_s=7, share=Range(0.2, 0.2)),
+    Disturbance(kind="skew", at_s=3, for_s=7, share=Range(0.25, 0.25)),
 )
 
 
@@ -140,7 +140,7 @@
 
 
 def test_four_troubles_at_once_and_every_try_is_accounted_for() -> None:
-    plan = make_plan(small(troubles=ALL_TROUBLES), 3)
+    plan = make_plan(small(disturbances=ALL_DISTURBANCES), 3)
     report = rehearse(plan)
     assert verdict(report) == []
     total: Counter[str] = Counter()
@@ -149,17 +149,17 @@
             assert tally["asked"] == sum(tally[outcome] for outcome in OUTCOMES)
             total.update(tally)
     assert total["served"] > 100
-    assert total["refused"] > 100  # the troubles were felt
+    assert total["refused"] > 100  # the disturbances were felt
     routers: Counter[str] = Counter()
     for tally in report["routers"].values():
         routers.update(tally)
     assert routers == total
-    assert total["asked"] >= len(plan.asks)
+    assert total["asked"] >= len(plan.operations)
 
 
 def test_the_troubles_cost_service() -> None:
     calm = rehearse(make_plan(small(), 3))
-    rough = rehearse(make_plan(small(troubles=ALL_TROUBLES), 3))
+    rough = rehearse(make_plan(small(disturbances=ALL_DISTURBANCES), 3))
     assert rough["service"]["weighted"] < calm["service"]["weighted"] - 0.05
 
 
@@ -275,7 +275,7 @@
 BREAKERS = [
     (DeafToDrains, "drains kept", small(faults=(Fault(kind="node-drain", at_s=2, place=0),))),
     (AnswersTwice, "every request answered", small()),
-    (Forgets, "every request answered", small(troubles=ALL_TROUBLES)),
+    (Forgets, "every request answered", small(disturbances=ALL_DISTURBANCES)),
     (RepeatsWrites, "no effect twice", small(classes=(FETCH, ORDER))),
     (
         FloodsNewcomers,
@@ -364,7 +364,7 @@
 
 
 def test_compared_reports_tell_only_what_differs() -> None:
-    calm, rough = (rehearse(make_plan(small(troubles=t), 3)) for t in ((), ALL_TROUBLES))
+    calm, rough = (rehearse(make_plan(small(disturbances=t), 3)) for t in ((), ALL_DISTURBANCES))
     assert compare(calm, calm) == {}
     figures = compare(calm, rough)
     assert figures["service weighted"] == (calm["service"]["weighted"], rough["service"]["weighted"])
