--- a/benchmarks/cold_starts.py
+++ b/benchmarks/cold_starts.py
@@ -28,7 +28,7 @@
 from pebblepass.decisions.hot_keys import COUNT_LIMIT, HOT_LOAD_FRACTION, Popularity
 from pebblepass.decisions.interface import RequestClass, Server, Settings
 from pebblepass.decisions.slot_table import SLOTS, SlotTable
-from tests.decisions.cold_start_bounds import ColdRules, Start, heaviest
+from tests.decisions.cold_start_bounds import ColdRules, WindowLoad, heaviest_window
 
 ROUTERS = (1, 4, 30, 200, 930)
 LOADS = (1.1,)  # of all servers' capacity, when warm
@@ -209,13 +209,13 @@
         self.starts = self.over = self.over_strictest = 0
         self.part, self.excess, self.excess_strictest = 0.0, -math.inf, -math.inf
 
-    def add(self, start: Start) -> None:
+    def add(self, start: WindowLoad) -> None:
         """Count one start."""
         self.starts += 1
         self.over += start.excess > 0
-        self.over_strictest += start.strictest > 0
-        self.part, self.excess = max(self.part, start.part), max(self.excess, start.excess)
-        self.excess_strictest = max(self.excess_strictest, start.strictest)
+        self.over_strictest += start.strict_excess > 0
+        self.part, self.excess = max(self.part, start.fraction), max(self.excess, start.excess)
+        self.excess_strictest = max(self.excess_strictest, start.strict_excess)
 
 
 class Came(NamedTuple):
@@ -254,13 +254,13 @@
             came = Came(age, each, rng.expovariate(1.0), rng.random(), rng.random(), rng.random())
             if each.slot in self.hot:
                 hot.append(came)
-            elif each.asked_first(site.rules.warmth(age + APART_S)):
+            elif each.asked_first(site.rules.capacity_fraction(age + APART_S)):
                 plain.append(came)
             age += rng.expovariate(rate * cumulated[-1])
-        usual = [came for came in plain if came.held.asked_first(site.rules.warmth(came.age))]
+        usual = [came for came in plain if came.held.asked_first(site.rules.capacity_fraction(came.age))]
         for cell in cells:
             asked = self._asked(cell, rate, plain if cell.know == "apart" else usual, hot)
-            sums[cell].add(heaviest(site.rules, capacity, self._works(cell, asked)))
+            sums[cell].add(heaviest_window(site.rules, capacity, self._works(cell, asked)))
 
     def _works(self, cell: Cell, asked: list[Came]) -> Iterator[tuple[float, float]]:
         """Ages and works, with a new connection's at each router's first."""
@@ -306,13 +306,13 @@
 
     def _warmth(self, cell: Cell, came: Came) -> float:
         off = (2 * came.which - 1) * APART_S if cell.know == "apart" else 0.0
-        return self.site.rules.warmth(came.age + off)
+        return self.site.rules.capacity_fraction(came.age + off)
 
     def _known(self, cell: Cell, rate: float, came: Came) -> bool:
         """Whether a router asks a cold server, by the requests it has seen (`ServerSelection.candidates`)."""
         if not came.held.warm:
             return True
-        spare = (self.site.rules.multiple - 1) * self.site.rules.warmth(came.age)
+        spare = (self.site.rules.multiple - 1) * self.site.rules.capacity_fraction(came.age)
         return came.chance * self.servers < self._seen(cell, rate, came) * spare
 
     def _share(self, cell: Cell, rate: float, came: Came) -> float:
@@ -362,7 +362,7 @@
     sums = {cell: Sums() for some in cells.values() for cell in some}
     for each in draws:
         rules = each.site.rules
-        n = rules.allowed(0.0, each.site.capacity)
+        n = rules.allowed_requests(0.0, each.site.capacity)
         print(
             f"{each.site.name}: {each.site.capacity:.1f} a second when warm, N at the start {n:.0f}; {rules}"
         )
--- a/pebblepass/adapter.py
+++ b/pebblepass/adapter.py
@@ -10,7 +10,7 @@
 
 from pebblepass.decisions import interface as api
 from pebblepass.decisions.router import Router
-from pebblepass.decisions.settings import Fields, WireError, choice, read_settings, typed
+from pebblepass.decisions.settings import Fields, WireError, read_settings, require_choice, require_type
 
 _OUTCOMES = {
     "completed": api.Outcome.OK,
@@ -29,7 +29,7 @@
 
 
 def _indexed(where: str, table: tuple[Any, ...], value: Any) -> Any:
-    if not 0 <= typed(where, value, int) < len(table):
+    if not 0 <= require_type(where, value, int) < len(table):
         raise WireError(f"{where}: unknown value {value!r}")
     return table[value]
 
@@ -57,9 +57,9 @@
 
 def _request(fields: Fields) -> api.RequestArrived:
     return api.RequestArrived(
-        request=typed("request.corr", fields["corr"], str),
+        request=require_type("request.corr", fields["corr"], str),
         request_class=fields["category"],
-        deadline=typed("request.giveUpAtNs", fields["giveUpAtNs"], int),
+        deadline=require_type("request.giveUpAtNs", fields["giveUpAtNs"], int),
         tenant=fields.get("clientGroup") or None,
         key=fields.get("pathKey"),
         write=bool(fields.get("mutates")),
@@ -72,7 +72,7 @@
         request=fields["corr"],
         attempt=fields["copy"],
         server=fields["server"],
-        outcome=choice("reply.verdict", _OUTCOMES, fields["verdict"]),
+        outcome=require_choice("reply.verdict", _OUTCOMES, fields["verdict"]),
         answered=fields["terminal"],
         latency=fields["timeTakenNs"],
         note=_NOTES.get(fields.get("note") or 0),
@@ -83,7 +83,7 @@
 def _echo(fields: Fields) -> api.HealthCheckEnded:
     return api.HealthCheckEnded(
         server=fields["server"],
-        outcome=choice("echo.verdict", _OUTCOMES, fields["verdict"]),
+        outcome=require_choice("echo.verdict", _OUTCOMES, fields["verdict"]),
         latency=fields["timeTakenNs"],
         load_report=_load(fields.get("feedback")),
     )
@@ -123,13 +123,13 @@
     def answer(self, line: bytes) -> bytes:
         """Answer one batch with one reply line; raises WireError on malformed input."""
         try:
-            batch = typed("batch", msgspec.json.decode(line), dict)
-            now = typed("batch.nowNs", batch["nowNs"], int)
+            batch = require_type("batch", msgspec.json.decode(line), dict)
+            now = require_type("batch.nowNs", batch["nowNs"], int)
             groups = []
-            for group in typed("batch.groups", batch["groups"], list):
-                number = typed("group.router", typed("group", group, dict)["router"], int)
+            for group in require_type("batch.groups", batch["groups"], list):
+                number = require_type("group.router", require_type("group", group, dict)["router"], int)
                 orders: list[Fields] = []
-                for event in typed("group.in", group["in"], list):
+                for event in require_type("group.in", group["in"], list):
                     self._deliver(number, event, now, orders)
                 if orders:
                     groups.append({"router": number, "orders": orders})
@@ -140,12 +140,15 @@
         return msgspec.json.encode({"groups": groups}) + b"\n"
 
     def _deliver(self, number: int, message: Any, now: int, orders: list[Fields]) -> None:
-        if len(typed("event", message, dict)) != 1:
+        if len(require_type("event", message, dict)) != 1:
             raise WireError("event: expected an object with a single key, the event's name")
         ((name, fields),) = message.items()
-        typed(name, fields, dict)
+        require_type(name, fields, dict)
         if name == "create":
-            seed, facts = typed("create.salt", fields["salt"], int), typed("facts", fields["facts"], dict)
+            seed, facts = (
+                require_type("create.salt", fields["salt"], int),
+                require_type("facts", fields["facts"], dict),
+            )
             try:
                 self._routers[number] = Router(read_settings(facts), seed)
             except (TypeError, ValueError) as error:
--- a/pebblepass/daemon/config.py
+++ b/pebblepass/daemon/config.py
@@ -9,7 +9,7 @@
 from msgspec import Struct
 
 from pebblepass.decisions import Settings
-from pebblepass.decisions.settings import WireError, read_settings, typed
+from pebblepass.decisions.settings import WireError, read_settings, require_type
 from pebblepass.discovery.endpoint_list import ClockOffset, parse_endpoint_list
 from pebblepass.wire.address import Address, parse_address
 
@@ -58,7 +58,7 @@
     try:
         with open(path, "rb") as file:
             told = msgspec.json.decode(file.read())
-        return read_config(typed("the file", told, dict), environ)
+        return read_config(require_type("the file", told, dict), environ)
     except OSError as error:
         raise ConfigError(f"LB_CONFIG: {error}") from None
     except KeyError as error:
@@ -98,13 +98,13 @@
 
 def read_config(told: dict[str, Any], environ: Mapping[str, str]) -> Config:
     """Read the decoded file; raises KeyError, WireError, ValueError or TypeError if it is invalid."""
-    facts = typed("settings", told["settings"], dict)
+    facts = require_type("settings", told["settings"], dict)
     ceilings = facts.get("ceilings") or {}
-    limits = typed("limits", told.get("limits") or {}, dict)
+    limits = require_type("limits", told.get("limits") or {}, dict)
     known = told.get("known")
     if known is not None:
         # Guards the start: an invalid list is a ConfigError, not a failure of the running router.
-        parse_endpoint_list(typed("known", known, dict), ClockOffset(0, 0))
+        parse_endpoint_list(require_type("known", known, dict), ClockOffset(0, 0))
     return Config(
         name=environ.get("LB_NAME") or str(told.get("name") or "router"),
         listen=parse_address("listen", environ.get("LB_LISTEN") or told["listen"]),
--- a/pebblepass/daemon/multi_get/registry.py
+++ b/pebblepass/daemon/multi_get/registry.py
@@ -21,7 +21,7 @@
     HedgeBudget,
     QueuedKey,
     ReplyAssembly,
-    parse_many,
+    parse_multi_get,
 )
 from pebblepass.wire.resp import Command
 
@@ -79,7 +79,7 @@
         """Accept a command, or answer it with one error line."""
         host = self.host
         try:
-            command = parse_many(words)
+            command = parse_multi_get(words)
         except ValueError as error:
             self._answer(reply, b"-ERR %b\r\n" % str(error).encode())
             return
@@ -288,7 +288,7 @@
         if len(batches) == MAX_BATCHES_PER_TURN:
             self.schedule()
         for batch in batches:
-            self.hedges.attempted(len(batch.items))
+            self.hedges.record_attempts(len(batch.items))
             exchange = BatchExchange(self, batch)
             self._pool.submit(batch.server, exchange)
 
--- a/pebblepass/decisions/attempts.py
+++ b/pebblepass/decisions/attempts.py
@@ -16,7 +16,7 @@
     def __init__(self, max_attempts: int, context: EventContext, timeouts: AttemptTimeouts) -> None:
         self._max_attempts, self._context, self._timeouts = max_attempts, context, timeouts
 
-    def may_try(self, request: Request) -> bool:
+    def may_attempt(self, request: Request) -> bool:
         """Whether the request has an attempt and time left."""
         return request.attempts < self._max_attempts and self._context.now < request.deadline
 
--- a/pebblepass/decisions/hedging.py
+++ b/pebblepass/decisions/hedging.py
@@ -43,7 +43,7 @@
         if not running or not self._may_hedge or request.request_class.effect is not Effect.IDEMPOTENT:
             return
         for node in self._selection.candidates(request):
-            if self._selection.accepts_hedge(request, node) and self._attempts.may_try(request):
+            if self._selection.accepts_hedge(request, node) and self._attempts.may_attempt(request):
                 self._attempts.send_hedge(request, node)
                 return
 
--- a/pebblepass/decisions/origin_requests.py
+++ b/pebblepass/decisions/origin_requests.py
@@ -56,7 +56,7 @@
         request.is_waiting = False
         now = self._context.now
         origins = self._origins.rank(request.slot, now)
-        if not origins or not self._attempts.may_try(request) or not request.may_send(origins[0], now):
+        if not origins or not self._attempts.may_attempt(request) or not request.may_send(origins[0], now):
             self._exhausted(request, has_origin=bool(origins))
         elif request.is_write:
             self._start_write(request, origins[0])
@@ -153,7 +153,7 @@
                 return
             self._queue.remove(best)
             best.is_waiting = False
-            if origins and self._attempts.may_try(best):
+            if origins and self._attempts.may_attempt(best):
                 self._begin(best, origins[0])
             else:
                 self._exhausted(best, has_origin=bool(origins))
--- a/pebblepass/decisions/routing.py
+++ b/pebblepass/decisions/routing.py
@@ -41,7 +41,7 @@
     def route(self, request: Request) -> None:
         """Send the request to a cache server or to the origin, or give it up."""
         attempts, selection = self._attempts, self._selection
-        if not attempts.may_try(request):
+        if not attempts.may_attempt(request):
             self._completion.give_up(request, attempts.exhaustion_reason(request))
             return
         if request.excluded and attempts.is_last(request) and self._origins.nodes:
--- a/pebblepass/decisions/settings.py
+++ b/pebblepass/decisions/settings.py
@@ -23,14 +23,14 @@
     """Malformed input, with one plain line saying what was wrong."""
 
 
-def typed(where: str, value: object, kind: type[Value]) -> Value:
+def require_type(where: str, value: object, kind: type[Value]) -> Value:
     """Return `value` if it is of the kind; a bool is no integer. Raises WireError."""
     if not isinstance(value, kind) or (kind is int and isinstance(value, bool)):
         raise WireError(f"{where}: expected {_TYPE_NAMES[kind]}, got {type(value).__name__}")
     return value
 
 
-def choice(where: str, table: Mapping[str, Value], value: object) -> Value:
+def require_choice(where: str, table: Mapping[str, Value], value: object) -> Value:
     """Look a word of the wire up in its table. Raises WireError."""
     try:
         return table[cast("str", value)]
@@ -43,7 +43,7 @@
         name=facts["name"],
         latency_target=facts["aimNs"],
         deadline=facts["giveUpNs"],
-        effect=choice("classes.semantics", _EFFECTS, facts["semantics"]),
+        effect=require_choice("classes.semantics", _EFFECTS, facts["semantics"]),
         dedup_scope=api.DedupScope(facts.get("group") or "all"),
         dedup_window=facts.get("dedupWindowNs") or 0,
         streamed=bool(facts.get("streamed")),
--- a/pebblepass/multi_get/__init__.py
+++ b/pebblepass/multi_get/__init__.py
@@ -7,7 +7,7 @@
 
 from pebblepass.multi_get.batch import Batch, BatchBounds, QueuedKey
 from pebblepass.multi_get.batches import Batches
-from pebblepass.multi_get.command import MultiGetCommand, parse_many
+from pebblepass.multi_get.command import MultiGetCommand, parse_multi_get
 from pebblepass.multi_get.fair_allocator import AllocationBounds, FairAllocator
 from pebblepass.multi_get.hedging import HedgeBudget
 from pebblepass.multi_get.reply_assembly import KeyState, ReplyAssembly
@@ -23,5 +23,5 @@
     "MultiGetCommand",
     "QueuedKey",
     "ReplyAssembly",
-    "parse_many",
+    "parse_multi_get",
 ]
--- a/pebblepass/multi_get/command.py
+++ b/pebblepass/multi_get/command.py
@@ -33,7 +33,7 @@
         return len(key) + len(self.id) + len(self.info)
 
 
-def parse_many(words: list[bytes]) -> MultiGetCommand:
+def parse_multi_get(words: list[bytes]) -> MultiGetCommand:
     """Parse a multi-get command. Raises ValueError, whose text is the one line that the client is sent."""
     if len(words) < FIXED_WORDS:
         raise ValueError(f"wrong number of arguments for {MANY.decode()}")
--- a/pebblepass/multi_get/hedging.py
+++ b/pebblepass/multi_get/hedging.py
@@ -15,7 +15,7 @@
         self.spent = 0
         """The number of hedged requests so far."""
 
-    def attempted(self, count: int) -> None:
+    def record_attempts(self, count: int) -> None:
         """Record that so many attempts were made."""
         self._saved = min(self._saved + count * self._fraction, MAX_SAVED_HEDGES)
 
--- a/tests/accounting/test_service.py
+++ b/tests/accounting/test_service.py
@@ -22,7 +22,7 @@
 from pebblepass.emulators.ports import take_port
 from pebblepass.operator_config import AccountingSection
 from pebblepass.simulation.clock import VirtualLoop
-from tests.decisions.cases import MS, settings
+from tests.decisions.builders import MS, settings
 from tests.virtual import played
 
 HOST = "127.0.0.1"
--- a/tests/daemon/test_deadline_propagation.py
+++ b/tests/daemon/test_deadline_propagation.py
@@ -13,7 +13,7 @@
 from pebblepass.daemon.deadline_propagation import NS_PER_MS, SHORTEST_TIMEOUT_MS, remaining_ms
 from pebblepass.wire.resp import with_timeout
 from tests.crossings import Advertised, Bed, ClientLine, PeerLine, crossing
-from tests.multi_get.site import Site, on_site
+from tests.multi_get.deployment import Deployment, run_on_deployment
 from tests.sockets import FACTS, MISS, bulk, http_answer
 
 CLIENT_TIMEOUT_MS = 2000
@@ -309,78 +309,78 @@
 
 
 def test_batches_and_fetches_of_many_keys_advertise_at_most_what_is_left() -> None:
-    async def test(site: Site) -> None:
-        client = await site.client()
-        sent_at = site.loop.time()
-        await client.many([f"k{number}" for number in range(40)] + ["silent"])
-        seen = [each for each in site.advertised if each.request.startswith("q")]
-        assert len([at for at, place, _, _ in site.attempts if place == "store"]) > 0
+    async def test(deployment: Deployment) -> None:
+        client = await deployment.client()
+        sent_at = deployment.loop.time()
+        await client.multi_get([f"k{number}" for number in range(40)] + ["silent"])
+        seen = [each for each in deployment.advertised if each.request.startswith("q")]
+        assert len([at for at, place, _, _ in deployment.attempts if place == "store"]) > 0
         assert any(each.at - sent_at > 0.05 for each in seen), "no attempt was late"
         assert advertised_too_much(seen, sent_at, 1000) == []
 
-    on_site(test, fate=fate_of_batches)
+    run_on_deployment(test, behavior=fate_of_batches)
 
 
 def test_a_batch_that_waits_for_its_connections_advertises_what_is_left_then() -> None:
-    async def test(site: Site) -> None:
-        client = await site.client()
-        for node in site.nodes:
-            site.loop.set_silent(("127.0.0.1", node.ports["here"]), True)
-        sent_at = site.loop.time()
-        client.ask_many([f"k{number}" for number in range(8)], d=3000)
+    async def test(deployment: Deployment) -> None:
+        client = await deployment.client()
+        for node in deployment.nodes:
+            deployment.loop.set_silent(("127.0.0.1", node.ports["here"]), True)
+        sent_at = deployment.loop.time()
+        client.send_multi_get([f"k{number}" for number in range(8)], d=3000)
         await asyncio.sleep(0.6)
-        for node in site.nodes:
-            site.loop.set_silent(("127.0.0.1", node.ports["here"]), False)
-        await client.answer()
-        site.answered["q"] = site.loop.time()
-        seen = [each for each in site.advertised if each.request.startswith("q")]
+        for node in deployment.nodes:
+            deployment.loop.set_silent(("127.0.0.1", node.ports["here"]), False)
+        await client.read_reply()
+        deployment.replied_at["q"] = deployment.loop.time()
+        seen = [each for each in deployment.advertised if each.request.startswith("q")]
         assert any(each.at - sent_at > 0.4 for each in seen), "no attempt has waited"
         assert advertised_too_much(seen, sent_at, 3000) == []
 
-    on_site(test)
+    run_on_deployment(test)
 
 
 def test_a_second_copy_advertises_what_is_left() -> None:
     def fate(place: str, key: str, time: int) -> str:
         return "silent" if key == "slow" and time == 1 else "ok"
 
-    async def test(site: Site) -> None:
+    async def test(deployment: Deployment) -> None:
         for number in range(40):
-            client = await site.client()
-            await client.many([f"k{each}" for each in range(20)], request=f"warm{number}")
-        sent_at = site.loop.time()
-        await client.many(["a", "b", "c", "slow"])
-        copies = [each for each in site.advertised if each.request == "q.3"]
+            client = await deployment.client()
+            await client.multi_get([f"k{each}" for each in range(20)], request=f"warm{number}")
+        sent_at = deployment.loop.time()
+        await client.multi_get(["a", "b", "c", "slow"])
+        copies = [each for each in deployment.advertised if each.request == "q.3"]
         assert len(copies) == 2
         assert copies[1].at > copies[0].at
         assert advertised_too_much(copies, sent_at, 1000) == []
 
-    on_site(test, fate=fate)
+    run_on_deployment(test, behavior=fate)
 
 
 def test_no_batch_is_sent_past_the_deadline_of_its_command() -> None:
-    async def test(site: Site) -> None:
-        client = await site.client()
-        await client.many([f"k{number}" for number in range(40)], "warm")
+    async def test(deployment: Deployment) -> None:
+        client = await deployment.client()
+        await client.multi_get([f"k{number}" for number in range(40)], "warm")
         await asyncio.sleep(0.1)  # a connection to every node is at rest: none has to be dialled
-        pool: Any = site.daemon._pool
+        pool: Any = deployment.daemon._pool
         submit = pool.submit
         held: list[Any] = []
 
         def submit_late(server: str, exchange: Any) -> None:
             if not held:
                 held.append(exchange)
-                site.loop.stall(0.5)
+                deployment.loop.stall(0.5)
             submit(server, exchange)
 
         pool.submit = submit_late
-        sent_at = site.loop.time()
-        await client.many(["k1", "k2", "k3"], d=200)
+        sent_at = deployment.loop.time()
+        await client.multi_get(["k1", "k2", "k3"], d=200)
         assert held
-        late = [each for each in site.advertised if each.at > sent_at + 0.2 - 0.001]
+        late = [each for each in deployment.advertised if each.at > sent_at + 0.2 - 0.001]
         assert late == []
 
-    on_site(test)
+    run_on_deployment(test)
 
 
 # The arithmetic and the rewriting
--- a/tests/daemon/test_gone.py
+++ b/tests/daemon/test_gone.py
@@ -20,7 +20,7 @@
 from pebblepass.daemon.multi_get.batch_exchange import BatchExchange
 from pebblepass.decisions import Send
 from tests.crossings import ADDRESS, LONG_DIALS, Bed, ClientLine, PeerLine, asked, crossing
-from tests.multi_get.site import Site, on_site
+from tests.multi_get.deployment import Deployment, run_on_deployment
 from tests.sockets import bulk, http_answer
 
 GONE_S = 0.1  # after which nothing begins for a client that has gone
@@ -293,28 +293,28 @@
 ) -> None:
     """The first part, and the first one that waited for a dial; one look serves all keys."""
 
-    async def test(site: Site) -> None:
-        client = await site.client()
+    async def test(deployment: Deployment) -> None:
+        client = await deployment.client()
         if where == "submit":  # else connections come up one by one, and the end is heard meanwhile
-            await client.many([f"k{number}" for number in range(40)], "warm")
+            await client.multi_get([f"k{number}" for number in range(40)], "warm")
         await asyncio.sleep(0.3)
-        held = len(site.attempts)
+        held = len(deployment.attempts)
         sock = client.writer.transport.get_extra_info("socket")._sock
-        hold = HoldUp(site.loop, sock, leaves)
+        hold = HoldUp(deployment.loop, sock, leaves)
         if where == "submit":
             is_part = lambda server, exchange: isinstance(exchange, BatchExchange)  # noqa: E731
-            before_call(site.daemon._pool, "submit", hold, is_part)
+            before_call(deployment.daemon._pool, "submit", hold, is_part)
         else:
-            before_call(site.daemon._pool, "opened", hold)
-        client.ask_many([f"k{number}" for number in range(40)])
+            before_call(deployment.daemon._pool, "opened", hold)
+        client.send_multi_get([f"k{number}" for number in range(40)])
         if is_paused:
             client.writer.write(bulk(b"PING") * (MAX_PIPELINE - 1))
         await asyncio.sleep(1.0)
         assert hold.at
-        late = [at for at, _, _, _ in site.attempts[held:] if at > hold.at + GONE_S]
+        late = [at for at, _, _, _ in deployment.attempts[held:] if at > hold.at + GONE_S]
         assert bool(late) != leaves
 
-    on_site(test)
+    run_on_deployment(test)
 
 
 @pytest.mark.parametrize("leaves", [True, False])
@@ -323,42 +323,42 @@
     def fate(place: str, key: str, time: int) -> str:
         return "silent" if key == "slow" and time == 1 else "ok"
 
-    async def test(site: Site) -> None:
+    async def test(deployment: Deployment) -> None:
         for i in range(40):
-            client = await site.client()
-            await client.many([f"k{number}" for number in range(20)], request=f"w{i}")
-        held = len(site.attempts)
+            client = await deployment.client()
+            await client.multi_get([f"k{number}" for number in range(20)], request=f"w{i}")
+        held = len(deployment.attempts)
         sock = client.writer.transport.get_extra_info("socket")._sock
-        hold = HoldUp(site.loop, sock, leaves)
-        before_send(site.host, "q.3", 1, hold)
-        client.ask_many(["a", "b", "c", "slow"])
+        hold = HoldUp(deployment.loop, sock, leaves)
+        before_send(deployment.host, "q.3", 1, hold)
+        client.send_multi_get(["a", "b", "c", "slow"])
         if is_paused:
             client.writer.write(bulk(b"PING") * (MAX_PIPELINE - 1))
         await asyncio.sleep(1.5)
         assert hold.at
-        late = [at for at, _, _, _ in site.attempts[held:] if at > hold.at + GONE_S]
+        late = [at for at, _, _, _ in deployment.attempts[held:] if at > hold.at + GONE_S]
         assert bool(late) != leaves
 
-    on_site(test, fate=fate)
+    run_on_deployment(test, behavior=fate)
 
 
 @pytest.mark.parametrize("leaves", [True, False])
 def test_no_fetch_for_a_key_of_many_begins_for_a_client_that_went_in_a_hold_up(leaves: bool) -> None:
     """Nor a further one in its command's name, as each that is let go gives its place to the next."""
 
-    async def test(site: Site) -> None:
-        client = await site.client()
-        await client.many([f"k{number}" for number in range(40)], "warm")
+    async def test(deployment: Deployment) -> None:
+        client = await deployment.client()
+        await client.multi_get([f"k{number}" for number in range(40)], "warm")
         await asyncio.sleep(0.3)
-        hold = HoldUp(site.loop, client.writer.transport.get_extra_info("socket")._sock, leaves)
-        before_call(site.host, "_send", hold, lambda action: action.server == "store")
-        client.ask_many([f"k{number}" for number in range(40)])
+        hold = HoldUp(deployment.loop, client.writer.transport.get_extra_info("socket")._sock, leaves)
+        before_call(deployment.host, "_send", hold, lambda action: action.server == "store")
+        client.send_multi_get([f"k{number}" for number in range(40)])
         await asyncio.sleep(1.0)
         assert hold.at
-        late = [at for at, _, _, _ in site.attempts if at > hold.at + GONE_S]
+        late = [at for at, _, _, _ in deployment.attempts if at > hold.at + GONE_S]
         assert bool(late) != leaves
 
-    on_site(test, fate=lambda place, key, time: "ok" if place == "store" else "miss")
+    run_on_deployment(test, behavior=lambda place, key, time: "ok" if place == "store" else "miss")
 
 
 # Several that wait for one fetch
--- a/tests/daemon/test_pipelined_forms.py
+++ b/tests/daemon/test_pipelined_forms.py
@@ -439,7 +439,7 @@
         (client_connection, "parse_request", stripped, 150, "sent on with another key or value"),
         (CommandReader, "feed", forgetful, 150, "answers to 300 commands"),
         (Request, "may_send", sent_again_whatever_it_is, 150, "an unsafe write sent"),
-        (Attempts, "may_try", tried_once, 150, "reads whose first attempt broke were refused"),
+        (Attempts, "may_attempt", tried_once, 150, "reads whose first attempt broke were refused"),
     ],
 )
 def test_routers_that_break_it_are_caught(
--- a/tests/daemon/test_unread_age.py
+++ b/tests/daemon/test_unread_age.py
@@ -20,7 +20,7 @@
 from pebblepass.wire.resp import Command
 from tests.crossings import ADDRESS, Advertised, Bed, asked, crossing
 from tests.daemon.test_deadline_propagation import advertised_to, advertised_too_much
-from tests.multi_get.site import Site, on_site
+from tests.multi_get.deployment import Deployment, run_on_deployment
 from tests.sockets import bulk
 
 HOLD_UP_S = 0.3
@@ -241,17 +241,17 @@
 
 
 def test_a_list_of_keys_read_after_a_hold_up_advertises_what_is_left() -> None:
-    async def test(site: Site) -> None:
-        client = await site.client()
-        await client.many(["k1", "k2"], "warm")
+    async def test(deployment: Deployment) -> None:
+        client = await deployment.client()
+        await client.multi_get(["k1", "k2"], "warm")
         await asyncio.sleep(0.5)
-        sent_at = site.loop.time()
-        client.ask_many(["k1", "k2", "k3"], d=1000)
-        site.loop.stall(HOLD_UP_S)
-        await client.answer()
-        site.answered["q"] = site.loop.time()
-        seen = [each for each in site.advertised if each.request.startswith("q")]
+        sent_at = deployment.loop.time()
+        client.send_multi_get(["k1", "k2", "k3"], d=1000)
+        deployment.loop.stall(HOLD_UP_S)
+        await client.read_reply()
+        deployment.replied_at["q"] = deployment.loop.time()
+        seen = [each for each in deployment.advertised if each.request.startswith("q")]
         assert seen
         assert advertised_too_much(seen, sent_at, 1000) == []
 
-    on_site(test)
+    run_on_deployment(test)
--- a/tests/decisions/test_attempt_timeouts.py
+++ b/tests/decisions/test_attempt_timeouts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from pebblepass.decisions import EventLoopLagged, Outcome, RequestClass, Router
-from tests.decisions.cases import MS, S, fleet, only_send, request, result_of, settings, started
+from tests.decisions.builders import MS, S, fleet, only_send, request, result_of, settings, started
 
 LATENCY_TARGET = 1000 * MS
 CONFIG = settings(classes=(RequestClass("read", latency_target=LATENCY_TARGET, deadline=3 * S),))
--- a/tests/decisions/test_batches.py
+++ b/tests/decisions/test_batches.py
@@ -24,7 +24,7 @@
     Settings,
 )
 from pebblepass.decisions.health import LATE_DECREASE
-from tests.decisions.cases import MS, S, fleet, request, result_of, settings, started
+from tests.decisions.builders import MS, S, fleet, request, result_of, settings, started
 
 KEYS = [f"pkg/{number}" for number in range(200)]
 
--- a/tests/decisions/test_churn.py
+++ b/tests/decisions/test_churn.py
@@ -24,7 +24,7 @@
     SetTimer,
     TimerFired,
 )
-from tests.decisions.cases import MS, ORIGIN, S, Timeline, finals, request, result_of, settings, started
+from tests.decisions.builders import MS, ORIGIN, S, Timeline, finals, request, result_of, settings, started
 
 SERVERS, A_SECOND = 30, 60
 GRACE = 500 * MS
--- a/tests/decisions/test_cold_servers.py
+++ b/tests/decisions/test_cold_servers.py
@@ -14,8 +14,8 @@
 from pebblepass.decisions.interface import BatchArrived, SendBatch
 from pebblepass.decisions.settings import read_settings
 from pebblepass.decisions.slot_table import SLOTS, SlotTable
-from tests.decisions.cases import MS, ORIGIN, S, fleet, only_send, request, result_of, settings, started
-from tests.decisions.cold_start_bounds import ColdRules, Start, heaviest
+from tests.decisions.builders import MS, ORIGIN, S, fleet, only_send, request, result_of, settings, started
+from tests.decisions.cold_start_bounds import ColdRules, WindowLoad, heaviest_window
 
 SERVERS, BORN = 24, 100 * S
 RULES = ColdRules(multiple=4.0, window=2.0, share=0.32, time=9.0)
@@ -44,7 +44,7 @@
     rules: ColdRules = RULES,
     span: float = 4.0,
     seed: int = 1,
-) -> Start:
+) -> WindowLoad:
     """What all routers send a cold server in its first seconds, each of mean work; `hot`: one key's share."""
     rng, key, age, count = Random(seed), hot_key(rules) if hot else "", 0.0, 0
     sent: list[tuple[float, float]] = []
@@ -56,7 +56,7 @@
         if send.server == cold.id:
             sent.append((age, 1.0))
         router.handle(result_of(send, Outcome.OK, latency=20 * MS), now)
-    return heaviest(rules, A_SECOND, sent)
+    return heaviest_window(rules, A_SECOND, sent)
 
 
 def group(count: int, rules: ColdRules = RULES) -> list[Router]:
@@ -67,8 +67,8 @@
 
 def test_a_hot_slot_not_known_as_hot_is_not_sent_to_a_cold_server_by_all_routers() -> None:
     start = sent_to(COLD, group(200), load=0.6, hot=0.25)
-    assert start.strictest < 0
-    assert start.part < 0.5
+    assert start.strict_excess < 0
+    assert start.fraction < 0.5
 
 
 def test_a_hot_slot_of_batches_is_not_sent_to_a_cold_server_by_all_routers() -> None:
@@ -81,7 +81,7 @@
         for action in router.handle(batch, now):
             if isinstance(action, SendBatch) and action.server == COLD.id:
                 sent += [(age, 1.0)] * len(action.requests)
-    assert heaviest(RULES, A_SECOND, sent).strictest < 0
+    assert heaviest_window(RULES, A_SECOND, sent).strict_excess < 0
 
 
 def test_routers_that_know_hot_slots_send_a_cold_server_its_fraction() -> None:
--- a/tests/decisions/test_cold_start_bursts.py
+++ b/tests/decisions/test_cold_start_bursts.py
@@ -32,8 +32,8 @@
 from pebblepass.decisions.health import Node
 from pebblepass.decisions.hot_keys import Popularity
 from pebblepass.decisions.slot_table import SLOTS, SlotTable
-from tests.decisions.cases import MS, S, Timeline, fleet, request, result_of, sends, settings, started
-from tests.decisions.cold_start_bounds import ColdRules, Start, heaviest
+from tests.decisions.builders import MS, S, Timeline, fleet, request, result_of, sends, settings, started
+from tests.decisions.cold_start_bounds import ColdRules, WindowLoad, heaviest_window
 
 SERVERS, JOINING, RETURNING = 18, 3, 3
 RATE_PER_SERVER = 20.0  # requests of mean work a second that a warm server can do
@@ -157,7 +157,7 @@
     return next(key for key, slot in slots if table.rank(slot, FIRST_START)[0].entry.id == cold.id)
 
 
-def start_burst(count: int, rules: ColdRules, burst: Burst, seed: int) -> dict[str, Start]:
+def start_burst(count: int, rules: ColdRules, burst: Burst, seed: int) -> dict[str, WindowLoad]:
     """What each cold server was sent in its heaviest window, by all routers together."""
     servers = fleet(SERVERS - JOINING)
     routers = [started(config(rules, count), servers, seed=1000 * seed + each) for each in range(count)]
@@ -172,10 +172,10 @@
     site.play(burst)
     for sent in site.sent.values():  # a bound that is kept by leaving the cold ones out shows nothing
         assert len(sent) > LEAST_SHARE * LOAD * RATE_PER_SERVER * COLD_S
-    return {name: heaviest(rules, RATE_PER_SERVER, sent) for name, sent in site.sent.items()}
+    return {name: heaviest_window(rules, RATE_PER_SERVER, sent) for name, sent in site.sent.items()}
 
 
-def fallen(starts: dict[str, Start]) -> list[str]:
+def fallen(starts: dict[str, WindowLoad]) -> list[str]:
     return [name for name, start in starts.items() if start.excess > 0]
 
 
--- a/tests/decisions/test_fetch_queue.py
+++ b/tests/decisions/test_fetch_queue.py
@@ -11,7 +11,7 @@
 from pebblepass.decisions.requests import Request
 from pebblepass.decisions.single_flight import SingleFlight
 from pebblepass.decisions.suppressor import Suppressor
-from tests.decisions.cases import MS, S
+from tests.decisions.builders import MS, S
 
 READ = RequestClass("read", latency_target=300 * MS, deadline=S)
 
--- a/tests/decisions/test_fetch_window.py
+++ b/tests/decisions/test_fetch_window.py
@@ -23,7 +23,7 @@
 )
 from pebblepass.decisions.fetch_queue import QUEUED_PER_FETCH
 from pebblepass.decisions.origin_limits import QUICK_FETCH_FRACTION, SLOW_FETCH_FRACTION, WINDOW_DECREASE
-from tests.decisions.cases import (
+from tests.decisions.builders import (
     MS,
     ORIGIN,
     S,
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -6,7 +6,7 @@
 from msgspec.structs import replace
 
 from pebblepass.decisions import HedgeDue, Outcome, Router, Send, Tenant
-from tests.decisions.cases import (
+from tests.decisions.builders import (
     MS,
     ORIGIN,
     S,
--- a/tests/decisions/test_hot_slots.py
+++ b/tests/decisions/test_hot_slots.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from pebblepass.decisions import ListKind, Outcome, Router, Server, ServersChanged
-from tests.decisions.cases import MS, fleet, only_send, request, result_of, settings, started
+from tests.decisions.builders import MS, fleet, only_send, request, result_of, settings, started
 
 WARM_UP, COUNTED = 400, 400
 
--- a/tests/decisions/test_invariants.py
+++ b/tests/decisions/test_invariants.py
@@ -30,7 +30,7 @@
     Settings,
     TimerFired,
 )
-from tests.decisions.cases import MS, ORIGIN, S, settings
+from tests.decisions.builders import MS, ORIGIN, S, settings
 
 CLASSES = {cls.name: cls for cls in settings().classes}
 FAILURES = [o for o in Outcome if o not in (Outcome.OK, Outcome.CANCELLED)]
--- a/tests/decisions/test_many_routers.py
+++ b/tests/decisions/test_many_routers.py
@@ -21,7 +21,7 @@
     Tenant,
     TimerFired,
 )
-from tests.decisions.cases import (
+from tests.decisions.builders import (
     MS,
     ORIGIN,
     S,
--- a/tests/decisions/test_multi_get_fetches.py
+++ b/tests/decisions/test_multi_get_fetches.py
@@ -17,7 +17,7 @@
     Settings,
 )
 from pebblepass.decisions.completion import FETCHES_PER_COMMAND
-from tests.decisions.cases import (
+from tests.decisions.builders import (
     MS,
     ORIGIN,
     S,
--- a/tests/decisions/test_outage.py
+++ b/tests/decisions/test_outage.py
@@ -6,7 +6,7 @@
 
 from pebblepass.decisions import Action, Event, Outcome, Router, Send, SetTimer, TimerFired
 from pebblepass.decisions.outage import OriginState, Outage
-from tests.decisions.cases import MS, ORIGIN, S, Timeline, fleet, request, result_of, settings, started
+from tests.decisions.builders import MS, ORIGIN, S, Timeline, fleet, request, result_of, settings, started
 
 CUT_S = 6
 
--- a/tests/decisions/test_requests.py
+++ b/tests/decisions/test_requests.py
@@ -24,7 +24,7 @@
     TimerFired,
 )
 from pebblepass.decisions.suppressor import LIMIT_DECREASE
-from tests.decisions.cases import (
+from tests.decisions.builders import (
     MS,
     ORIGIN,
     S,
--- a/tests/decisions/test_short_deadlines.py
+++ b/tests/decisions/test_short_deadlines.py
@@ -8,7 +8,7 @@
 
 from pebblepass.decisions import AttemptEnded, Outcome, Reason, Reject, Router
 from pebblepass.decisions.health import AttemptHistory
-from tests.decisions.cases import (
+from tests.decisions.builders import (
     MS,
     S,
     Timeline,
--- a/tests/decisions/test_slot_table.py
+++ b/tests/decisions/test_slot_table.py
@@ -8,7 +8,7 @@
 
 from pebblepass.decisions.interface import Server
 from pebblepass.decisions.slot_table import DEPTH, SLOTS, SlotTable
-from tests.decisions.cases import S, fleet, settings
+from tests.decisions.builders import S, fleet, settings
 
 COLD = {"cold_capacity": 0.25, "warm_up_time": 10 * S}
 
--- a/tests/decisions/test_state_transfer.py
+++ b/tests/decisions/test_state_transfer.py
@@ -6,7 +6,7 @@
 from msgspec.structs import astuple, replace
 
 from pebblepass.decisions import ListKind, Outcome, Router, RouterState, Server, ServersChanged, StateImported
-from tests.decisions.cases import (
+from tests.decisions.builders import (
     MS,
     ORIGIN,
     S,
--- a/tests/decisions/test_subscription.py
+++ b/tests/decisions/test_subscription.py
@@ -9,7 +9,7 @@
 from pebblepass.decisions import ListKind, SetTimer, Subscribe
 from pebblepass.decisions.context import EventContext
 from pebblepass.decisions.subscription import SUBSCRIBE_BACKOFF_NS, SUBSCRIBE_TIMER, Subscription
-from tests.decisions.cases import MS, S, settings
+from tests.decisions.builders import MS, S, settings
 
 
 def subscription(**changes: object) -> tuple[Subscription, EventContext]:
--- a/tests/decisions/test_suppressor.py
+++ b/tests/decisions/test_suppressor.py
@@ -8,7 +8,7 @@
 
 from pebblepass.decisions.interface import Tenant
 from pebblepass.decisions.suppressor import LIMIT_DECREASE, LIMIT_RECOVERY_S, Suppressor
-from tests.decisions.cases import MS, S
+from tests.decisions.builders import MS, S
 
 
 class Fixed(random.Random):
--- a/tests/discovery/test_discovery_faults.py
+++ b/tests/discovery/test_discovery_faults.py
@@ -24,7 +24,7 @@
 from pebblepass.discovery.client import DiscoveryClient
 from pebblepass.discovery.endpoint_list import ClockOffset, EndpointList
 from pebblepass.simulation.clock import VirtualLoop
-from tests.decisions.cases import S, settings
+from tests.decisions.builders import S, settings
 from tests.virtual import played
 
 ROUTERS, SERVERS = 40, 20
--- a/tests/discovery/test_late_silence.py
+++ b/tests/discovery/test_late_silence.py
@@ -36,7 +36,7 @@
 from pebblepass.discovery.endpoint_list import ClockOffset, EndpointList
 from pebblepass.simulation.clock import VirtualLoop
 from tests.crossings import GatedLoop
-from tests.decisions.cases import S, request, result_of, settings
+from tests.decisions.builders import S, request, result_of, settings
 from tests.discovery.test_discovery_faults import entry
 from tests.discovery.test_watches import AFTER_WAIT_S, GRACE_S, SILENCE_S, Agent
 
--- a/tests/multi_get/test_fair_allocator.py
+++ b/tests/multi_get/test_fair_allocator.py
@@ -115,11 +115,11 @@
 def test_second_copies_stay_within_their_share_of_all_attempts(share: float) -> None:
     budget, attempts = HedgeBudget(share), 0
     for _ in range(500):
-        budget.attempted(3)
+        budget.record_attempts(3)
         attempts += 3
         while budget.spend():
             pass
         assert budget.spent <= attempts * share
     assert budget.spent >= attempts * share - 1
-    budget.attempted(10**9)
+    budget.record_attempts(10**9)
     assert sum(budget.spend() for _ in range(1000)) <= 8  # what is saved up is bounded
--- a/tests/multi_get/test_mixtures.py
+++ b/tests/multi_get/test_mixtures.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.multi_get.site import Fate, Site, marks, on_site
+from tests.multi_get.deployment import Behavior, Deployment, entry_labels, run_on_deployment
 
 SEEDS = 200
 NODES = ("ok", "ok", "ok", "ok", "slow0.05", "slow0.12", "miss", "once-error")
@@ -56,17 +56,17 @@
 @pytest.mark.parametrize("seed", range(SEEDS))
 def test_the_marked_keys_are_exactly_those_withheld(seed: int) -> None:
     told = Told(seed)
-    fate: Fate = told.fate
+    fate: Behavior = told.fate
 
-    async def test(site: Site) -> None:
-        client = await site.client()
-        answer = await client.many(told.asked, request="q", d=6000)
-        assert seen(marks(answer)) == told.model("q")
-        row, once = site.row(), set(told.asked)
+    async def test(deployment: Deployment) -> None:
+        client = await deployment.client()
+        answer = await client.multi_get(told.asked, request="q", d=6000)
+        assert seen(entry_labels(answer)) == told.model("q")
+        row, once = deployment.ledger_row(), set(told.asked)
         assert (row["taken"], row["open"]) == (len(once), 0)
         model = dict(zip(told.asked, told.model("q"), strict=True))
         served = sum(1 for word in model.values() if word not in ("withheld", "miss"))
         assert row["served"] == served
         assert row["failed_by_reason"].get("missing", 0) == sum(word == "miss" for word in model.values())
 
-    on_site(test, fate=fate, nodes=2 + seed % 6)
+    run_on_deployment(test, behavior=fate, nodes=2 + seed % 6)
