--- a/pebblepass/connection_limits/__init__.py
+++ b/pebblepass/connection_limits/__init__.py
@@ -1,1 +1,1 @@
-"""Who may stay when places for clients' connections run out."""
+"""Limits on connections: allocation of descriptors, and eviction of client connections at the limit."""
--- a/pebblepass/connection_limits/descriptors.py
+++ b/pebblepass/connection_limits/descriptors.py
@@ -1,6 +1,6 @@
-"""How a process's descriptors are allocated, so that no use of them exhausts another's. No I/O, no clock.
+"""Allocation of a process's descriptors, so that no use of them exhausts another's. No I/O, no clock.
 
-What each number stands for: the table in docs/design/operations.md.
+The table in docs/design/operations.md explains each number.
 """
 
 from __future__ import annotations
@@ -8,35 +8,35 @@
 from msgspec import Struct
 
 PENDING_ACCEPTS = 3
-"""Connections that are accepted, and not yet registered or closed."""
+"""Connections that are accepted but not yet registered or closed."""
 BASE_DESCRIPTORS = 22
 """Streams 3, event loop 10, listener 1, watches of discovery 2, a file 1, pending accepts 3, spare 2."""
 CONTROL_DESCRIPTORS = 3
-"""The control address beside its callers: its listener, and two pending accepts."""
+"""The control address without its callers: its listener, and two pending accepts."""
 UPGRADE_DESCRIPTORS = 4
-"""The platform's listener once more, the handover's listener, and two processes that connect to it."""
+"""The platform's listener a second time, the handover's listener, and two processes that connect to it."""
 LISTENER_DESCRIPTORS = 3
-"""A listener of one of the operator's sections, and two pending accepts."""
+"""The listener of one of the operator file's sections, and two pending accepts."""
 FILE_DESCRIPTORS = 3
 """A file being written, the one that replaces it, and their directory."""
 WEBHOOK_DESCRIPTORS = 1
 SMALL_LIMIT = 512
-"""Below this many descriptors, callers that may be idle get half of their connections."""
+"""With fewer descriptors than this, callers that may be idle get half of their connections."""
 CLIENT_FRACTION = 0.6
 """Fraction of the connections to clients and servers that is for clients."""
 MAX_REJECTED_CONNECTIONS = 32
-"""Maximum of client connections beyond the limit, whose commands are rejected."""
+"""Maximum number of client connections beyond the limit, whose commands are rejected."""
 REJECTED_FRACTION = 0.125
-"""Maximum fraction of the client connections that is for rejected ones."""
+"""Maximum fraction of the client connections that is for rejected ones; see MAX_REJECTED_CONNECTIONS."""
 MIN_CONNECTIONS = 8
 """For clients and servers together, however few descriptors there are."""
 
 
 class Allocation(Struct, frozen=True):
-    """Descriptors by user; the sum is the limit, unless the limit is too small to run in."""
+    """Descriptors by use; the sum is the limit, unless the limit is too small to run with."""
 
     own: int
-    """The process itself, operators' calls, and what runs beside requests."""
+    """The process itself, operators' calls, accounting and the fleet."""
     served: int
     """Client connections that are served."""
     rejected: int
@@ -46,41 +46,44 @@
 
 
 def caller_limit(limit: int, maximum: int) -> int:
-    """Connections for callers that may be idle: `maximum`, or half of it in a process of few descriptors."""
+    """Return the connections for callers that may be idle: `maximum`, or half if descriptors are few."""
     return maximum if limit >= SMALL_LIMIT else maximum // 2
 
 
-def own_descriptors(control: int, inherited: bool, beside: int = 0) -> int:
-    """Descriptors that neither clients nor servers get.
+def own_descriptors(control: int, inherited: bool, sections: int = 0) -> int:
+    """Return the number of descriptors that neither clients nor servers get.
 
     `control`: connections at the control address, 0 without one; `inherited`: whether the platform holds the
-    clients' listener; `beside`: what the operator's sections take.
+    clients' listener; `sections`: descriptors for the operator file's sections.
     """
     at_control = CONTROL_DESCRIPTORS + control if control else 0
     for_upgrades = UPGRADE_DESCRIPTORS if inherited else 0
-    return BASE_DESCRIPTORS + at_control + for_upgrades + beside
+    return BASE_DESCRIPTORS + at_control + for_upgrades + sections
 
 
 def accounting_descriptors(connections: int, writes: bool, posts: bool) -> int:
-    """What accounting takes: `connections` at its listener, 0 without one; its files; its webhook."""
+    """Return the number of descriptors for accounting: its listener, its files, its webhook.
+
+    `connections`: connections at the listener, 0 without one.
+    """
     at_listener = LISTENER_DESCRIPTORS + connections if connections else 0
     return at_listener + (FILE_DESCRIPTORS if writes else 0) + (WEBHOOK_DESCRIPTORS if posts else 0)
 
 
 def fleet_descriptors(voters: int, incoming: int, unidentified: int, writes: bool) -> int:
-    """What a member of a fleet takes: links to the voters, incoming links, its log's files if `writes`.
+    """Return the number of descriptors for a member of a fleet: links in both directions, log files.
 
     `incoming`: routers that keep a link to this one, 0 unless it is a voter; `unidentified`: connections
-    whose peer has not identified itself yet.
+    whose peer has not identified itself yet; `writes`: whether it writes a log.
     """
     return LISTENER_DESCRIPTORS + voters + incoming + unidentified + (FILE_DESCRIPTORS if writes else 0)
 
 
 def allocate(limit: int, own: int) -> Allocation:
-    """Allocate `limit` descriptors, of which `own` are neither for clients nor for servers."""
+    """Divide `limit` descriptors, of which `own` are neither for clients nor for servers."""
     rest = max(limit - own, MIN_CONNECTIONS)
     clients = int(rest * CLIENT_FRACTION)
-    # Rejected connections take descriptors too: without their share servers would lack them. They are few
-    # where there are few clients, as a descriptor that only rejects serves nobody.
+    # Rejected connections need descriptors too, and without a share of their own would take those of servers.
+    # The share is small where there are few clients, as a descriptor that only rejects serves no one.
     rejected = min(MAX_REJECTED_CONNECTIONS, int(clients * REJECTED_FRACTION))
     return Allocation(own, clients - rejected, rejected, rest - clients)
--- a/pebblepass/connection_limits/eviction.py
+++ b/pebblepass/connection_limits/eviction.py
@@ -7,7 +7,7 @@
 from typing import TypeVar
 
 IDLE_GRACE_S = 0.25
-"""A client that sends request after request sends the next one within this time."""
+"""An active client sends its next request within this time."""
 PARTIAL_COMMAND_GRACE_S = 0.9
 """Maximum pause between two pieces of a command from a slow but live client."""
 NEW_CONNECTION_GRACE_S = 0.005
@@ -17,7 +17,7 @@
 
 
 class Activity(Enum):
-    """What a connection is doing."""
+    """A connection's state."""
 
     NEW = "no command received yet"
     PARTIAL_COMMAND = "a command partially received, no reply pending"
@@ -25,9 +25,9 @@
     REPLY_PENDING = "waiting for a reply"
 
 
-# In order: the first activity that has a connection inactive for at least the grace period gives up the one
-# that has been inactive for longest. An idle client may be about to send its next request; one that pauses in
-# the middle of a command has usually stopped.
+# In order: the first activity with a connection that has been inactive for at least the grace period applies,
+# and its longest inactive connection is evicted. An idle client may be about to send its next request; one
+# that pauses in the middle of a command has usually stopped.
 _EVICTION_ORDER = (
     (Activity.IDLE, IDLE_GRACE_S),
     (Activity.PARTIAL_COMMAND, PARTIAL_COMMAND_GRACE_S),
@@ -37,9 +37,9 @@
 
 
 def choose_eviction(connections: Iterable[tuple[T, Activity, float]]) -> T | None:
-    """Return the connection to evict, of some that each come with their activity and seconds of inactivity.
+    """Return the connection to evict; `connections`: each with its activity and its seconds of inactivity.
 
-    Returns None if all wait for replies, or were active just now.
+    Returns None if each is waiting for a reply or was active just now.
     """
     longest: dict[Activity, tuple[float, T]] = {}
     for connection, activity, inactive_s in connections:
