--- a/pebblepass/multi_get/__init__.py
+++ b/pebblepass/multi_get/__init__.py
@@ -1,8 +1,8 @@
 """Multi-get rules: split one command over the servers, and answer it in the order of its keys. No I/O.
 
-The decision module still chooses each key's server and whether to retry. The modules here decide how many
-keys of which command are requested next (`fair_allocator`), which keys travel together (`batches`), when a
-hedged request is within budget (`hedging`), and what the reply contains (`reply_assembly`).
+The decisions package chooses each key's server and whether to retry. The modules here decide how many keys
+of which command are requested next (`fair_allocator`), which keys are sent together (`batches`), whether a
+hedged request is within the budget (`hedging`), and what the reply contains (`reply_assembly`).
 """
 
 from pebblepass.multi_get.batch import Batch, BatchBounds, QueuedKey
--- a/pebblepass/multi_get/batch.py
+++ b/pebblepass/multi_get/batch.py
@@ -1,4 +1,4 @@
-"""A batch: keys of one command that travel to one server together."""
+"""A batch: keys of one command that are sent to one server together."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 QueuedKey = tuple[bool, int, Item, int, int]
 """A queued key: whether it is sent alone, its position in the command, the key, its bytes, its timeout in ns.
 
-A plain tuple, as one is made for every key of every command.
+A plain tuple for speed, as one is made for every key of every command.
 """
 
 
@@ -35,7 +35,7 @@
     retry_after: int
     """Nanoseconds until the next check; 0: the batch is stalled."""
     unblocked: list[Item]
-    """The keys behind the unresponsive one, which have left the batch."""
+    """The keys behind the unresponsive one, which are removed from the batch."""
 
 
 class Batch(Generic[Item]):
@@ -53,15 +53,15 @@
         self.as_command = as_command
         """Whether it is sent as one multi-get command, not as pipelined single reads."""
         self.answered = 0
-        """The number of keys that are answered: always the first ones."""
+        """The number of keys answered so far, in order from the first."""
         self.last_answer_at = sent_at
         """When the last answer arrived, in nanoseconds; before the first, when the request was written."""
         self.is_stalled = False
-        """Whether the first unanswered key is unresponsive: those behind it have left the batch."""
+        """Whether the first unanswered key is unresponsive, and those behind it have left the batch."""
         self.attempt_timeout = 0
         """Nanoseconds after which the unanswered keys have timed out; 0: only at the command's deadline."""
         self.hedge_delay = 0
-        """Nanoseconds after which the batch is slower than its server's latency explains; 0: not known."""
+        """Nanoseconds after which the batch is slow by its server's usual latency; 0: that is not known."""
         self.stall_timeout = 0
         """Nanoseconds without an answer after which the first unanswered key blocks those behind it."""
 
--- a/pebblepass/multi_get/batches.py
+++ b/pebblepass/multi_get/batches.py
@@ -1,16 +1,15 @@
-"""Grouping of keys into batches: the keys that the decision module has placed on a server, sent side by side.
+"""Grouping of the keys that the decisions have placed on a server into batches.
 
 A batch's answers arrive in the order of its keys, so a slow key blocks those behind it. A batch is therefore
-only as long as its server answers within a fraction of the latency objective, as far as the server's latency
-is known. When a batch times out, all its unanswered keys have timed out, and the decision module may
-retry each.
+only as long as its server should answer within a fraction of the latency objective, if the server's latency
+is known. When a batch times out, all its unanswered keys have timed out, and the decisions may retry each.
 
 A batch's states:
 
 | state     | event                                 | next      | effect                                     |
 | --------- | ------------------------------------- | --------- | ------------------------------------------ |
 | in flight | `record_answer`                       | in flight | restarts the stall timeout                 |
-| in flight | `check_stall` after the stall timeout | stalled   | keys behind leave it; its slot is released |
+| in flight | `check_stall` after the stall timeout | stalled   | keys behind it and its slot are released   |
 | in flight | `finish`                              | finished  | its slot is released                       |
 | stalled   | `record_answer`                       | stalled   | restarts the stall timeout                 |
 | stalled   | `check_stall`                         | stalled   | none: one key is left                      |
@@ -27,7 +26,7 @@
 
 BATCH_LATENCY_FRACTION = 0.5  # of the latency objective, within which a batch should be answered
 INITIAL_MAX_KEYS = 8  # keys of a batch to a server whose latency is not known
-MIN_STALL_TIMEOUT_FRACTION = 0.125  # of the latency objective; less may be a short pause of the server
+MIN_STALL_TIMEOUT_FRACTION = 0.125  # of the latency objective: longer than a short pause of the server
 LATER_KEYS_TIMEOUT_FACTOR = 2  # times the mean latency per key, for each key behind a batch's first
 NO_LIMIT = 1 << 30
 
@@ -80,8 +79,8 @@
     ) -> list[Batch[Item]]:
         """Return the batches to send now, at most `limit`.
 
-        `accepts_command`: whether a server accepts several keys in one command. `full_only`: more keys are
-        about to be queued, so batches that are not full wait for them.
+        `accepts_command`: whether a server accepts several keys in one command. `full_only`: take only full
+        batches, as more keys are about to be queued.
         """
         batches: list[Batch[Item]] = []
         for server in list(self._ready):
@@ -113,9 +112,9 @@
         server_queue.in_flight += 1
         batch = Batch(server, owner, [queued[2] for queued in chosen], now, as_command)
         latency, count, first_timeout = server_queue.latency, len(chosen), chosen[0][4]
-        later_keys = int(latency.per_key * LATER_KEYS_TIMEOUT_FACTOR * (count - 1))
+        later_keys_time = int(latency.per_key * LATER_KEYS_TIMEOUT_FACTOR * (count - 1))
         if first_timeout and all(queued[4] for queued in chosen):
-            batch.attempt_timeout = first_timeout + later_keys
+            batch.attempt_timeout = first_timeout + later_keys_time
         batch.hedge_delay = latency.upper_bound(count) if latency.mean else 0
         # A server that works on all keys at once answers the first only when nearly all are done.
         min_stall_timeout = int(self._latency_objective * MIN_STALL_TIMEOUT_FRACTION)
@@ -156,7 +155,7 @@
     def record_answer(self, batch: Batch[Item], now: int) -> int:
         """Record that the batch's next key is answered; return that key's latency in nanoseconds, at least 1.
 
-        A server that works on one key after another can't be told from one that works on all of them at once.
+        A server that processes keys one by one cannot be distinguished from one that processes all at once.
         The time since the batch was sent is divided by the mean of the number of keys answered and the number
         of all its keys. For the latter kind the result is between one and two times its time per key; for
         the former it rises with each key, up to its time per key for the last.
@@ -183,7 +182,7 @@
             self._discard_if_unused(batch.server, server_queue)
 
     def _discard_if_unused(self, server: str, server_queue: ServerQueue[Item]) -> None:
-        # Bounds the memory: servers come and go all day, each under a new name.
+        # Bounds the memory: servers are replaced all day, each under a new id.
         if server_queue.is_removed and server_queue.is_idle:
             del self._servers[server]
             self._ready.pop(server, None)
@@ -200,5 +199,5 @@
         return cancelled
 
     def cancel(self, owner: Hashable) -> list[Item]:
-        """Cancel the queued keys of a command that is over, and return them."""
+        """Cancel the queued keys of a command that has ended, and return them."""
         return [item for server_queue in self._servers.values() for item in server_queue.cancel(owner)]
--- a/pebblepass/multi_get/command.py
+++ b/pebblepass/multi_get/command.py
@@ -24,17 +24,17 @@
     timeout_ms: int
 
     def read(self, number: int, key: bytes) -> Command:
-        """Return the read of one key, under an id of its own and with the command's names and values."""
+        """Return the read of one key, with its own id and the command's names and values."""
         name = b"%b.%d" % (self.id, number)
         return Command(b"KV.GET", key, name, self.info, None, self.fields, self.timeout_ms)
 
     def key_size(self, key: bytes) -> int:
-        """Return the bytes of the key, the id and the names and values, as for a single read."""
+        """Return the bytes of the key, the id and the names and values, as in a single read."""
         return len(key) + len(self.id) + len(self.info)
 
 
 def parse_multi_get(words: list[bytes]) -> MultiGetCommand:
-    """Parse a multi-get command. Raises ValueError, whose text is the one line that the client is sent."""
+    """Parse a multi-get command. Raises ValueError with the line that is sent to the client."""
     if len(words) < FIXED_WORDS:
         raise ValueError(f"wrong number of arguments for {MANY.decode()}")
     count_word, keys, request, info = words[1], words[2:-2], words[-2], words[-1]
@@ -47,7 +47,7 @@
         raise ValueError(f"expected {count} keys, an id and a list of names and values")
     if sum(map(len, words)) > MAX_COMMAND_BYTES:
         raise ValueError(f"more than {MAX_COMMAND_BYTES} bytes of words")
-    # One check of all keys: a thousand checks would block the event loop. No character spans the slash.
+    # One check of all keys, as a thousand would block the event loop. No character extends over the slash.
     if b"" in keys:
         check_key(b"")
     check_key(b"/".join(keys))
--- a/pebblepass/multi_get/fair_allocator.py
+++ b/pebblepass/multi_get/fair_allocator.py
@@ -5,7 +5,7 @@
 | state   | event             | next    | effect                                                          |
 | ------- | ----------------- | ------- | --------------------------------------------------------------- |
 | reading | `client_stalled`  | stalled | no more keys are allocated to the command                       |
-| stalled | `client_stalled`  | stalled | none: the time since which it has stalled stays                 |
+| stalled | `client_stalled`  | stalled | none: the time of the first stall stays                         |
 | stalled | `client_resumed`  | reading | keys are allocated to the command again                         |
 | stalled | `command_to_shed` | stalled | proposed after `stall_timeout`, if others lack the memory       |
 | either  | `remove`          | removed | its keys in flight and its memory are free for others           |
@@ -33,11 +33,11 @@
     value_bytes: int = 64 << 10
     """Bytes reserved for a key in flight."""
     chunk: int = 16
-    """Keys requested at a time, before single requests are served again."""
+    """Keys requested at a time, after which single requests are served again."""
     commands: int = 256
     """Commands in progress; further ones are rejected."""
     stall_timeout: int = 1_000_000_000
-    """Nanoseconds that a client may read nothing while others lack the memory of its reply."""
+    """Nanoseconds for which a client may read nothing while others lack the memory of its reply."""
 
 
 class Allocation(NamedTuple):
@@ -76,11 +76,11 @@
         return True
 
     def remove(self, command: ReplyAssembly) -> None:
-        """Remove a command that is over."""
+        """Remove a command that has ended."""
         self._stalled_since.pop(command, None)
 
     def client_stalled(self, command: ReplyAssembly, now: int) -> None:
-        """Record that a command's client does not read its reply: that stops only its own command."""
+        """Record that a command's client does not read its reply, which stops only that command."""
         if self._stalled_since.get(command, 0) is None:
             self._stalled_since[command] = now
 
@@ -96,7 +96,7 @@
         )
 
     def command_to_shed(self, now: int) -> ReplyAssembly | None:
-        """Return the command with the most memory of those stalled for too long, if others lack memory."""
+        """Return the command with the most memory among those stalled for too long, if others lack memory."""
         bounds = self.bounds
         if self.memory + bounds.value_bytes <= bounds.memory or not self.is_starved():
             return None
--- a/pebblepass/multi_get/hedging.py
+++ b/pebblepass/multi_get/hedging.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-MAX_SAVED_HEDGES = 8.0  # hedged requests that may be saved up for a burst
+MAX_SAVED_HEDGES = 8.0  # unspent hedged requests that may accumulate for a burst
 
 
 class HedgeBudget:
@@ -16,11 +16,11 @@
         """The number of hedged requests so far."""
 
     def record_attempts(self, count: int) -> None:
-        """Record that so many attempts were made."""
+        """Record that `count` attempts were made."""
         self._saved = min(self._saved + count * self._fraction, MAX_SAVED_HEDGES)
 
     def spend(self) -> bool:
-        """Return whether one more hedged request may be sent, and count it."""
+        """Return whether one more hedged request may be sent, and count it if so."""
         if self._saved < 1:
             return False
         self._saved -= 1
--- a/pebblepass/multi_get/reply_assembly.py
+++ b/pebblepass/multi_get/reply_assembly.py
@@ -31,14 +31,14 @@
     PENDING = "pending"
     """Not requested yet."""
     REQUESTED = "requested"
-    """In flight: the decision module owes its outcome."""
+    """In flight: its outcome is not known yet."""
     STREAMING = "streaming"
     """Its value is too long to be buffered, and is streamed when its position is reached."""
     COMPLETED = "completed"
 
 
 class ReplyAssembly:
-    """The state of one command's reply. Memory is counted in bytes, from before a key is requested."""
+    """The state of one command's reply. Its memory, in bytes, is reserved before a key is requested."""
 
     def __init__(self, keys: Sequence[bytes], value_bytes: int) -> None:
         """`value_bytes`: memory reserved for each number in flight, until its outcome is known."""
@@ -129,11 +129,11 @@
         self.memory += size
 
     def stream_bytes_released(self, size: int) -> None:
-        """Uncount bytes of a streamed value that are written or discarded."""
+        """Subtract bytes of a streamed value that are written or discarded."""
         self.memory -= size
 
     def fail_stream(self, number: int, entry: bytes) -> None:
-        """Complete a streamed value that ended before any of it was written: `entry` stands for it."""
+        """Complete a streamed value that failed before any of it was written; `entry` replaces it."""
         assert self._states[number] is KeyState.STREAMING
         assert self._streaming != number
         self._buffer_entry(number, entry)
@@ -144,14 +144,14 @@
         self._states[number] = KeyState.COMPLETED
         self.incomplete -= 1
         self._unwritten_uses[number] -= 1
-        # Bounds the memory: a value too long to be buffered can't be kept for its later positions.
+        # Bounds the memory: a value too long to be buffered cannot be kept for its later positions.
         self._entries[number] = STREAMED_ONCE
         self.memory += len(STREAMED_ONCE) if self._unwritten_uses[number] else 0
         self._position += 1
         self._streaming = None
 
     def expire(self) -> list[int]:
-        """Complete all incomplete numbers as late at the deadline, but for a streamed value being written.
+        """Complete all incomplete numbers as late at the deadline, except a streamed value being written.
 
         Return the late numbers.
         """
--- a/pebblepass/multi_get/server_queue.py
+++ b/pebblepass/multi_get/server_queue.py
@@ -16,7 +16,7 @@
 
 
 class BatchLatency:
-    """Moving averages of how long a server takes for a batch, in nanoseconds; 0 before the first sample."""
+    """Moving averages of a server's latency for a batch, in nanoseconds; 0 before the first sample."""
 
     def __init__(self) -> None:
         self.per_key = 0.0
@@ -27,7 +27,7 @@
         """Mean absolute deviation from that mean."""
 
     def record(self, latency: float, keys: int) -> None:
-        """Record the latency of a complete batch of so many keys."""
+        """Record the latency of a complete batch of `keys` keys."""
         if not self.mean:
             self.per_key, self.mean, self.deviation = latency / keys, latency, latency / 2
             return
@@ -37,7 +37,7 @@
         self.deviation += (abs(difference) - self.deviation) / EWMA_SAMPLES
 
     def upper_bound(self, keys: int) -> int:
-        """Return the nanoseconds after which a batch of so many keys is slower than expected."""
+        """Return the nanoseconds after which a batch of `keys` keys is slower than expected."""
         # Some servers take as long for one key as for many, others in proportion to their number.
         return int(max(self.mean, self.per_key * keys) + self.deviation * SLOW_DEVIATIONS)
 
@@ -55,7 +55,7 @@
         self.stalled: Counter[Hashable] = Counter()
         """Stalled batches by command."""
         self.is_removed = False
-        """Whether the server drains or has left the endpoint list."""
+        """Whether the server is draining or was removed from the endpoint list."""
         self.latency = BatchLatency()
 
     @property
@@ -64,7 +64,7 @@
         return not (self.in_flight or self.stalled or self.round_robin)
 
     def queue_of(self, owner: Hashable) -> list[QueuedKey[Item]]:
-        """Return a command's queue, which is created and given a turn if there is none."""
+        """Return a command's queue; a new queue is created and gets a turn if there is none."""
         queue = self.queues.get(owner)
         if queue is None:
             queue = self.queues[owner] = []
@@ -76,13 +76,13 @@
         return len(self.queues[self.round_robin[0]]) >= max_keys
 
     def take_next(self, max_keys: int, max_bytes: int) -> tuple[Hashable, list[QueuedKey[Item]]]:
-        """Take a batch's keys from the command whose turn it is; with more queued it gets another turn.
+        """Take a batch's keys from the command whose turn it is, and give it another turn if more are queued.
 
         Return the command and the keys. The first key is always taken, whatever its size.
         """
         owner = self.round_robin.popleft()
         queue = self.queues[owner]
-        # Order matters: a streamed value waits for the keys ahead of it. A key that is sent alone goes last.
+        # Order matters: a streamed value waits for the keys ahead of it. A key that is sent alone comes last.
         if len(queue) > 1:
             queue.sort(key=_SEND_ORDER)
         limit, size, count = min(max_keys, len(queue)), queue[0][3], 1
--- a/tests/multi_get/__init__.py
+++ b/tests/multi_get/__init__.py
@@ -1,1 +1,1 @@
-"""Reads of many keys."""
+"""Tests of multi-get commands."""
--- a/tests/multi_get/test_fair_allocator.py
+++ b/tests/multi_get/test_fair_allocator.py
@@ -1,4 +1,4 @@
-"""Which command is allocated how many keys, and when a stalled client is shed."""
+"""Allocation of keys to commands, shedding of stalled clients, and the budget of hedged requests."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     return ReplyAssembly([b"k%d" % number for number in range(count)], value)
 
 
-def test_the_command_with_the_fewest_keys_in_flight_is_allocated_keys_first() -> None:
+def test_command_with_fewest_keys_in_flight_is_served_first() -> None:
     allocator = FairAllocator(AllocationBounds(chunk=8, value_bytes=100))
     long, short = assembly(1000), assembly(3)
     allocator.add(long)
@@ -31,34 +31,36 @@
     strategies.integers(200, 3000),
     strategies.integers(0, 50),
 )
-def test_no_bound_is_ever_passed_and_none_in_need_is_passed_over(
-    counts: list[int], keys: int, of_one: int, memory: int, capacity: int
+def test_allocation_keeps_all_bounds_and_is_max_min_fair(
+    counts: list[int], keys: int, keys_per_command: int, memory: int, capacity: int
 ) -> None:
     bounds = AllocationBounds(
         keys_in_flight=keys,
-        keys_in_flight_per_command=of_one,
+        keys_in_flight_per_command=keys_per_command,
         memory=memory,
         memory_per_command=memory // 2,
         value_bytes=100,
         chunk=7,
     )
     allocator = FairAllocator(bounds)
-    all_of_them = [assembly(count) for count in counts]
-    for each in all_of_them:
-        allocator.add(each)
+    commands = [assembly(count) for count in counts]
+    for command in commands:
+        allocator.add(command)
     while allocation := allocator.allocate(capacity):
-        poorest = min(each.in_flight for each in all_of_them if each.pending or each is allocation.command)
+        fewest = min(
+            command.in_flight for command in commands if command.pending or command is allocation.command
+        )
         assert 0 < len(allocation.numbers) <= min(bounds.chunk, capacity)
-        assert allocation.command.in_flight - len(allocation.numbers) <= poorest
+        assert allocation.command.in_flight - len(allocation.numbers) <= fewest
         assert allocator.keys_in_flight <= keys
         assert allocator.memory <= memory
-        assert all(each.in_flight <= of_one for each in all_of_them)
-        assert all(each.memory <= memory // 2 or each.in_flight == 1 for each in all_of_them)
-    spread = [each.in_flight for each in all_of_them if each.pending]
-    assert not spread or max(spread) - min(spread) <= bounds.chunk or capacity == 0
+        assert all(command.in_flight <= keys_per_command for command in commands)
+        assert all(command.memory <= memory // 2 or command.in_flight == 1 for command in commands)
+    in_flight = [command.in_flight for command in commands if command.pending]
+    assert not in_flight or max(in_flight) - min(in_flight) <= bounds.chunk or capacity == 0
 
 
-def test_a_client_that_takes_nothing_is_allocated_no_keys_and_others_go_on() -> None:
+def test_stalled_client_gets_no_keys_while_others_do() -> None:
     allocator = FairAllocator(AllocationBounds(value_bytes=100))
     stalled, reading = assembly(5), assembly(5)
     allocator.add(stalled)
@@ -70,7 +72,7 @@
     assert allocator.allocate(100) == (stalled, [0, 1, 2, 3, 4])
 
 
-def test_a_stalled_client_is_shed_only_after_its_time_and_where_others_lack_its_memory() -> None:
+def test_stalled_client_is_shed_after_its_timeout_if_others_lack_memory() -> None:
     allocator = FairAllocator(AllocationBounds(memory=250, memory_per_command=250, value_bytes=100))
     stalled, other = assembly(2), assembly(2)
     allocator.add(stalled)
@@ -87,7 +89,7 @@
     assert allocator.allocate(100) == (other, [0, 1])
 
 
-def test_the_time_of_a_stall_counts_from_its_first_report_and_anew_after_the_client_resumed() -> None:
+def test_stall_time_counts_from_first_report_and_restarts_after_resumption() -> None:
     allocator = FairAllocator(AllocationBounds(memory=100, memory_per_command=100, value_bytes=100))
     stalled, other = assembly(1), assembly(1)
     for command in (stalled, other):
@@ -105,21 +107,21 @@
     assert allocator.command_to_shed(4 * S) is stalled
 
 
-def test_commands_past_the_bound_are_not_added() -> None:
+def test_commands_beyond_the_bound_are_not_added() -> None:
     allocator = FairAllocator(AllocationBounds(commands=1))
     assert allocator.add(assembly(1))
     assert not allocator.add(assembly(1))
 
 
-@pytest.mark.parametrize("share", [0.0, 0.02, 0.5])
-def test_second_copies_stay_within_their_share_of_all_attempts(share: float) -> None:
-    budget, attempts = HedgeBudget(share), 0
+@pytest.mark.parametrize("fraction", [0.0, 0.02, 0.5])
+def test_hedges_stay_within_their_fraction_of_all_attempts(fraction: float) -> None:
+    budget, attempts = HedgeBudget(fraction), 0
     for _ in range(500):
         budget.record_attempts(3)
         attempts += 3
         while budget.spend():
             pass
-        assert budget.spent <= attempts * share
-    assert budget.spent >= attempts * share - 1
+        assert budget.spent <= attempts * fraction
+    assert budget.spent >= attempts * fraction - 1
     budget.record_attempts(10**9)
-    assert sum(budget.spend() for _ in range(1000)) <= 8  # what is saved up is bounded
+    assert sum(budget.spend() for _ in range(1000)) <= 8  # the saved budget is bounded
--- a/tests/multi_get/test_imports.py
+++ b/tests/multi_get/test_imports.py
@@ -1,4 +1,4 @@
-"""The modules of a package import each other in no circle, imports for type checkers included."""
+"""The modules of a package have no import cycle, imports under TYPE_CHECKING included."""
 
 from __future__ import annotations
 
@@ -43,14 +43,14 @@
 
 
 @pytest.mark.parametrize("package", ["multi_get", "daemon.multi_get"])
-def test_no_circle(package: str) -> None:
+def test_packages_have_no_import_cycle(package: str) -> None:
     graph = import_graph(sources_of_package(package))
     assert len(graph) >= 5
     assert any(graph.values())
     TopologicalSorter(graph).prepare()
 
 
-def test_a_circle_through_type_checking_is_found() -> None:
+def test_import_cycle_through_type_checking_is_detected() -> None:
     sources = {
         "p.a": "from p.b import B",
         "p.b": "from typing import TYPE_CHECKING\nif TYPE_CHECKING:\n    from p import a\n",
--- a/tests/multi_get/test_limits.py
+++ b/tests/multi_get/test_limits.py
@@ -1,4 +1,4 @@
-"""The operator's `[many_keys]` section becomes the rules' bounds."""
+"""Conversion of the operator's `[many_keys]` section to the bounds of allocation and batches."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(("memory", "expected"), [(64 * MIB, MIB), (2 * MIB, MIB // 2)])
-def test_the_sections_keys_bound_all_commands_and_each(memory: int, expected: int) -> None:
+def test_section_sets_bounds_of_all_commands_and_of_each(memory: int, expected: int) -> None:
     section = MultiGetSection(keys_in_flight=7, keys_of_one=5, commands=3, chunk=2, held_kib=1024)
     assert allocation_bounds(section, memory) == AllocationBounds(
         keys_in_flight=7,
@@ -27,13 +27,13 @@
     )
 
 
-def test_one_command_may_always_have_memory_for_one_value() -> None:
+def test_command_always_has_memory_for_one_value() -> None:
     assert allocation_bounds(MultiGetSection(held_kib=128), 100 << 10).memory_per_command == 64 << 10
 
 
 @pytest.mark.parametrize(("part_keys", "pipelined"), [(32, 8), (6, 6)])
-def test_the_sections_keys_bound_batches(part_keys: int, pipelined: int) -> None:
-    told = {
+def test_section_sets_bounds_of_batches(part_keys: int, pipelined: int) -> None:
+    config_fields = {
         "name": "r0",
         "listen": "127.0.0.1:1",
         "discovery": "127.0.0.1:2",
@@ -42,6 +42,6 @@
         "settings": {**FACTS, "ceilings": {**FACTS["ceilings"], "streamsPerConn": 8}},
     }
     section = MultiGetSection(part_keys=part_keys, part_kib=4, parts_of_server=2)
-    assert batch_bounds(section, read_config(told, {}).settings) == BatchBounds(
+    assert batch_bounds(section, read_config(config_fields, {}).settings) == BatchBounds(
         keys=part_keys, pipelined=pipelined, key_bytes=4 << 10, in_flight_per_server=2
     )
--- a/tests/multi_get/test_mixtures.py
+++ b/tests/multi_get/test_mixtures.py
@@ -1,4 +1,4 @@
-"""Any mixture of withheld, late and missing keys, against a model that knows nothing of parts or retries."""
+"""Random mixtures of withheld, late and missing keys, against a model without batches and retries."""
 
 from __future__ import annotations
 
@@ -9,64 +9,67 @@
 from tests.multi_get.deployment import Behavior, Deployment, entry_labels, run_on_deployment
 
 SEEDS = 200
-NODES = ("ok", "ok", "ok", "ok", "slow0.05", "slow0.12", "miss", "once-error")
-STORE = ("ok", "ok", "none")
+NODE_OUTCOMES = ("ok", "ok", "ok", "ok", "slow0.05", "slow0.12", "miss", "once-error")
+STORE_OUTCOMES = ("ok", "ok", "none")
 
 
-class Told:
-    """Which keys are withheld, by whom, and what becomes of the others."""
+class RandomBehavior:
+    """Which keys get no answer, from which server, and the outcomes of the others."""
 
     def __init__(self, seed: int) -> None:
         rng = random.Random(seed)
         self.keys = [f"pkg/{seed}/{number}" for number in range(rng.randint(1, 120))]
-        self.asked = [rng.choice(self.keys) for _ in range(rng.randint(1, 160))]
-        self.at_nodes = {key: rng.choice(NODES) for key in self.keys}
-        self.at_store = {
-            key: rng.choice(STORE) if self.at_nodes[key] == "miss" else "ok" for key in self.keys
+        self.requested = [rng.choice(self.keys) for _ in range(rng.randint(1, 160))]
+        self.node_outcomes = {key: rng.choice(NODE_OUTCOMES) for key in self.keys}
+        self.store_outcomes = {
+            key: rng.choice(STORE_OUTCOMES) if self.node_outcomes[key] == "miss" else "ok"
+            for key in self.keys
         }
-        self.at_nodes[rng.choice(self.keys)] = "once-reset"
+        self.node_outcomes[rng.choice(self.keys)] = "once-reset"
         self.withheld = set(rng.sample(self.keys, min(len(self.keys), rng.randint(0, 3))))
-        self.how = {key: rng.choice(("node", "store")) for key in sorted(self.withheld)}
+        self.withheld_by = {key: rng.choice(("node", "store")) for key in sorted(self.withheld)}
 
-    def fate(self, place: str, key: str, time: int) -> str:
-        if place == "store":
-            return "silent" if key in self.withheld else self.at_store[key]
+    def outcome(self, server: str, key: str, count: int) -> str:
+        if server == "store":
+            return "silent" if key in self.withheld else self.store_outcomes[key]
         if key in self.withheld:
-            return "silent" if self.how[key] == "node" else "miss"
-        word = self.at_nodes[key]
-        return (word[5:] if time == 1 else "ok") if word.startswith("once-") else word
-
-    def model(self, request: str) -> list[str]:
-        """One word for each place asked."""
-        words = []
-        for key in self.asked:
+            return "silent" if self.withheld_by[key] == "node" else "miss"
+        label = self.node_outcomes[key]
+        return (label[5:] if count == 1 else "ok") if label.startswith("once-") else label
+
+    def expected(self, request: str) -> list[str]:
+        """Return the expected label of each requested position."""
+        labels = []
+        for key in self.requested:
             if key in self.withheld:
-                words.append("withheld")
-            elif self.at_nodes[key] == "miss" and self.at_store[key] == "none":
-                words.append("miss")
+                labels.append("withheld")
+            elif self.node_outcomes[key] == "miss" and self.store_outcomes[key] == "none":
+                labels.append("miss")
             else:
-                words.append(f"{key} of {request}")
-        return words
+                labels.append(f"{key} of {request}")
+        return labels
 
 
-def seen(words: list[str]) -> list[str]:
-    return ["withheld" if word in ("late", "refused", "failed") else word for word in words]
+def normalized(labels: list[str]) -> list[str]:
+    return ["withheld" if label in ("late", "refused", "failed") else label for label in labels]
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_the_marked_keys_are_exactly_those_withheld(seed: int) -> None:
-    told = Told(seed)
-    fate: Behavior = told.fate
+def test_exactly_the_withheld_keys_have_error_entries(seed: int) -> None:
+    random_behavior = RandomBehavior(seed)
+    behavior: Behavior = random_behavior.outcome
 
     async def test(deployment: Deployment) -> None:
         client = await deployment.client()
-        answer = await client.multi_get(told.asked, request="q", d=6000)
-        assert seen(entry_labels(answer)) == told.model("q")
-        row, once = deployment.ledger_row(), set(told.asked)
-        assert (row["taken"], row["open"]) == (len(once), 0)
-        model = dict(zip(told.asked, told.model("q"), strict=True))
-        served = sum(1 for word in model.values() if word not in ("withheld", "miss"))
+        answer = await client.multi_get(random_behavior.requested, request="q", d=6000)
+        assert normalized(entry_labels(answer)) == random_behavior.expected("q")
+        row, distinct_keys = deployment.ledger_row(), set(random_behavior.requested)
+        assert (row["taken"], row["open"]) == (len(distinct_keys), 0)
+        expected = dict(zip(random_behavior.requested, random_behavior.expected("q"), strict=True))
+        served = sum(1 for label in expected.values() if label not in ("withheld", "miss"))
         assert row["served"] == served
-        assert row["failed_by_reason"].get("missing", 0) == sum(word == "miss" for word in model.values())
+        assert row["failed_by_reason"].get("missing", 0) == sum(
+            label == "miss" for label in expected.values()
+        )
 
-    run_on_deployment(test, behavior=fate, nodes=2 + seed % 6)
+    run_on_deployment(test, behavior=behavior, nodes=2 + seed % 6)
--- a/tests/multi_get/test_registry.py
+++ b/tests/multi_get/test_registry.py
@@ -1,4 +1,4 @@
-"""Reads of many keys through a whole router, in virtual time: each hard case by itself."""
+"""Multi-get commands through a complete router in virtual time, one difficult case in each test."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 KEYS = [f"pkg/{number}" for number in range(60)]
 
 
-def only(**fates: str) -> Behavior:
-    """These keys have these fates everywhere (a key's slash is a `_` here); all others are served."""
-    told = {name.replace("_", "/"): fate for name, fate in fates.items()}
-    return lambda place, key, time: told.get(key, "ok")
+def behavior_with(**outcomes_by_name: str) -> Behavior:
+    """Return a behavior with these outcomes at all servers; other keys are served. `_` stands for a slash."""
+    outcomes = {name.replace("_", "/"): outcome for name, outcome in outcomes_by_name.items()}
+    return lambda server, key, count: outcomes.get(key, "ok")
 
 
-def test_one_answer_in_the_order_asked_and_each_key_counted_once() -> None:
+def test_reply_is_in_key_order_and_each_key_is_counted_once() -> None:
     async def test(deployment: Deployment) -> None:
         client = await deployment.client()
         assert entry_labels(await client.multi_get(KEYS)) == expected_values(KEYS)
@@ -40,7 +40,7 @@
     run_on_deployment(test)
 
 
-def test_the_same_key_500_times_is_fetched_once_and_answered_in_each_place() -> None:
+def test_repeated_key_is_read_once_and_answered_at_each_position() -> None:
     async def test(deployment: Deployment) -> None:
         client = await deployment.client()
         assert entry_labels(await client.multi_get(["a"] * 250 + ["b"] + ["a"] * 250)) == expected_values(
@@ -52,41 +52,41 @@
     run_on_deployment(test)
 
 
-def test_a_node_that_times_out_while_others_answer_costs_its_keys_alone() -> None:
-    def fate(place: str, key: str, time: int) -> str:
-        return "silent" if place in ("s0", "store") else "ok"
+def test_node_that_times_out_affects_only_its_own_keys() -> None:
+    def behavior(server: str, key: str, count: int) -> str:
+        return "silent" if server in ("s0", "store") else "ok"
 
     async def test(deployment: Deployment) -> None:
         client = await deployment.client()
-        begun = deployment.loop.time()
+        started_at = deployment.loop.time()
         answer = entry_labels(await client.multi_get(KEYS, d=400))
-        took = deployment.loop.time() - begun
-        of_s0 = [key for _, place, key, _ in deployment.attempts if place == "s0"]
+        elapsed_s = deployment.loop.time() - started_at
+        of_s0 = [key for _, server, key, _ in deployment.attempts if server == "s0"]
         assert len(of_s0) > 5
-        # What s0 held is asked of the next node; the few that it was asked for first are late.
-        not_served = {key for key, mark in zip(KEYS, answer, strict=True) if mark != f"{key} of q"}
+        # The keys of s0 are retried at the next node; only those of the first batches are late.
+        not_served = {key for key, label in zip(KEYS, answer, strict=True) if label != f"{key} of q"}
         assert not_served <= set(of_s0)
         assert len(not_served) < len(KEYS) // 4
-        assert took <= 0.4 - 0.025 + 2 * NETWORK_DELAY_S
+        assert elapsed_s <= 0.4 - 0.025 + 2 * NETWORK_DELAY_S
         assert set(answer) - set(expected_values(KEYS)) <= {"late", "refused"}
 
-    run_on_deployment(test, behavior=fate)
+    run_on_deployment(test, behavior=behavior)
 
 
-def test_a_withheld_key_is_late_before_the_deadline_and_nothing_is_sent_for_it_after() -> None:
+def test_unanswered_key_is_late_by_the_deadline_and_not_retried_after_it() -> None:
     async def test(deployment: Deployment) -> None:
         client = await deployment.client()
-        begun = deployment.loop.time()
+        started_at = deployment.loop.time()
         answer = entry_labels(await client.multi_get(["a", "b", "c"], d=500))
         assert (answer[0], answer[2]) == ("a of q", "c of q")
         assert answer[1] in ("late", "refused")
-        assert deployment.loop.time() - begun < 0.5
-        await deployment.settle()  # holds that no attempt begins after the answer
+        assert deployment.loop.time() - started_at < 0.5
+        await deployment.settle()  # checks that no attempt begins after the answer
 
-    run_on_deployment(test, behavior=only(b="silent"))
+    run_on_deployment(test, behavior=behavior_with(b="silent"))
 
 
-def test_a_node_draining_in_mid_read_gets_nothing_new_and_its_keys_are_served() -> None:
+def test_node_that_starts_draining_gets_no_new_keys_and_all_are_served() -> None:
     async def test(deployment: Deployment) -> None:
         client = await deployment.client()
         client.send_multi_get(KEYS * 4, d=5000)
@@ -94,42 +94,42 @@
         drained_at = deployment.loop.time()
         deployment.agent.change(deployment.entry(deployment.nodes[0], "draining"))
         assert entry_labels(await client.read_reply()) == expected_values(KEYS * 4)
-        late = [at for at, place, _, _ in deployment.attempts if place == "s0" and at > drained_at + 0.5]
+        late = [at for at, server, _, _ in deployment.attempts if server == "s0" and at > drained_at + 0.5]
         assert late == []
-        assert any(place != "s0" and at > drained_at for at, place, _, _ in deployment.attempts)
+        assert any(server != "s0" and at > drained_at for at, server, _, _ in deployment.attempts)
 
     section = MultiGetSection(keys_in_flight=8, part_keys=2, parts_of_server=1)
-    run_on_deployment(test, behavior=lambda place, key, time: "slow0.1", section=section)
+    run_on_deployment(test, behavior=lambda server, key, count: "slow0.1", section=section)
 
 
-def test_a_node_that_answers_half_its_part_and_resets() -> None:
-    broken: set[str] = set()
+def test_keys_are_served_after_a_reset_in_the_middle_of_a_batch() -> None:
+    reset_by: set[str] = set()
 
-    def fate(place: str, key: str, time: int) -> str:
-        if key == "pkg/20" and not broken:
-            broken.add(place)
+    def behavior(server: str, key: str, count: int) -> str:
+        if key == "pkg/20" and not reset_by:
+            reset_by.add(server)
             return "reset"
         return "ok"
 
     async def test(deployment: Deployment) -> None:
         client = await deployment.client()
         assert entry_labels(await client.multi_get(KEYS)) == expected_values(KEYS)
-        assert broken
+        assert reset_by
         row = deployment.ledger_row()
         assert row["attempts"]["reset"] >= 1
         assert row["served"] == 60
 
-    run_on_deployment(test, behavior=fate, nodes=2)
+    run_on_deployment(test, behavior=behavior, nodes=2)
 
 
-def test_all_nodes_down_and_every_key_is_marked_at_once() -> None:
+def test_all_keys_are_rejected_at_once_if_all_servers_are_down() -> None:
     async def test(deployment: Deployment) -> None:
-        for place in [*deployment.nodes, deployment.store]:
-            place.refuse()
+        for server in [*deployment.nodes, deployment.store]:
+            server.refuse()
         client = await deployment.client()
-        begun = deployment.loop.time()
+        started_at = deployment.loop.time()
         assert set(entry_labels(await client.multi_get(KEYS, d=1000))) == {"refused"}
-        assert deployment.loop.time() - begun < 0.2
+        assert deployment.loop.time() - started_at < 0.2
         row = deployment.ledger_row()
         assert (row["taken"], row["refused"], row["open"]) == (60, 60, 0)
 
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "said"),
+    ("words", "error"),
     [
         ((b"0", b"q", b"c=get,d=1"), "the count must lie between 1 and 1024"),
         ((b"x", b"k", b"q", b"c=get,d=1"), "the count must be a number"),
@@ -153,20 +153,18 @@
         ((b"1", b"k"), "wrong number of arguments for KV.MGET"),
     ],
 )
-def test_a_list_that_cannot_be_used_is_one_line_and_takes_nothing(
-    words: tuple[bytes, ...], said: str
-) -> None:
+def test_invalid_command_gets_one_error_line_and_is_not_counted(words: tuple[bytes, ...], error: str) -> None:
     async def test(deployment: Deployment) -> None:
         client = await deployment.client()
         client.send(b"KV.MGET", *words)
-        assert str(await client.read_reply()) == f"ERR {said}"
-        assert entry_labels(await client.multi_get(["a"])) == ["a of q"]  # the connection goes on
+        assert str(await client.read_reply()) == f"ERR {error}"
+        assert entry_labels(await client.multi_get(["a"])) == ["a of q"]  # the connection stays usable
         assert deployment.ledger_row()["taken"] == 1
 
     run_on_deployment(test)
 
 
-def test_what_clients_say_beside_requests_is_counted_nowhere() -> None:
+def test_commands_other_than_requests_are_not_counted() -> None:
     async def test(deployment: Deployment) -> None:
         client = await deployment.client()
         for text in (
@@ -184,53 +182,53 @@
         assert deployment.attempts == []
         assert entry_labels(await client.multi_get(["a", "none"])) == ["a of q", "miss"]
 
-    def fate(place: str, key: str, time: int) -> str:
-        return {"none": "none" if place == "store" else "miss"}.get(key, "ok")
+    def behavior(server: str, key: str, count: int) -> str:
+        return {"none": "none" if server == "store" else "miss"}.get(key, "ok")
 
-    run_on_deployment(test, behavior=fate)
+    run_on_deployment(test, behavior=behavior)
 
 
-def test_an_id_that_is_open_is_turned_away_in_both_directions() -> None:
+def test_id_in_use_is_rejected_for_single_and_multi_get() -> None:
     async def test(deployment: Deployment) -> None:
         client, other = await deployment.client(), await deployment.client()
         client.send_multi_get(["a", "b"], "q", d=800)
         await deployment.wait_until(lambda: len(deployment.attempts) >= 2)
-        assert str(await _said(other, "q")) == "ERR duplicate id"
+        assert str(await _multi_get_reply(other, "q")) == "ERR duplicate id"
         other.send_get("c", "q.1")
         assert str(await other.read_reply()) == "ERR duplicate id"
         other.send_get("d", "z.0", d=800)
         await deployment.wait_until(lambda: len(deployment.attempts) >= 3)
-        assert str(await _said(await deployment.client(), "z")) == "ERR duplicate id"
+        assert str(await _multi_get_reply(await deployment.client(), "z")) == "ERR duplicate id"
         row = deployment.ledger_row()
         assert row["failed_by_reason"] == {"duplicate id": 3}
 
-    async def _said(client: object, request: str) -> object:
+    async def _multi_get_reply(client: object, request: str) -> object:
         client.send_multi_get(["c"], request)  # type: ignore[attr-defined]
         return await client.read_reply()  # type: ignore[attr-defined]
 
-    run_on_deployment(test, behavior=lambda place, key, time: "silent")
+    run_on_deployment(test, behavior=lambda server, key, count: "silent")
 
 
-def test_a_client_gone_in_mid_gather_leaves_nothing_behind() -> None:
+def test_disconnected_client_leaves_no_state_and_no_further_attempts() -> None:
     async def test(deployment: Deployment) -> None:
         client = await deployment.client()
         client.send_multi_get(KEYS * 4, d=5000)
         await deployment.wait_until(lambda: len(deployment.attempts) >= 8)
         client.close()
         await deployment.wait_until(lambda: not deployment.host.open_request_count)
-        asked = len(deployment.attempts)
+        attempts_before = len(deployment.attempts)
         await asyncio.sleep(1)
-        assert len(deployment.attempts) == asked
+        assert len(deployment.attempts) == attempts_before
         row = deployment.ledger_row()
         assert (row["taken"], row["open"]) == (60, 0)
         assert row["gone"] + row["served"] == 60
         assert row["gone"] > 30
 
     section = MultiGetSection(keys_in_flight=8)
-    run_on_deployment(test, behavior=lambda place, key, time: "slow0.1", section=section)
+    run_on_deployment(test, behavior=lambda server, key, count: "slow0.1", section=section)
 
 
-def test_sigterm_in_mid_gather_answers_all_of_it_first() -> None:
+def test_drain_waits_for_the_complete_reply() -> None:
     async def test(deployment: Deployment) -> None:
         client = await deployment.client()
         client.send_multi_get(KEYS, d=1500)
@@ -239,12 +237,12 @@
         assert entry_labels(await client.read_reply()) == expected_values(KEYS)
         await draining
 
-    run_on_deployment(test, behavior=lambda place, key, time: "slow0.1")
+    run_on_deployment(test, behavior=lambda server, key, count: "slow0.1")
 
 
-def test_a_value_of_4_mib_among_200_small_ones_is_streamed_in_its_place() -> None:
+def test_long_value_is_streamed_at_its_position_in_bounded_memory() -> None:
     keys = [f"k{number}" for number in range(200)]
-    most = []
+    memory_samples = []
 
     async def test(deployment: Deployment) -> None:
         client = await deployment.client()
@@ -253,19 +251,19 @@
         many = deployment.host.many
         assert isinstance(many, MultiGetRegistry)
         while not answer.done():
-            most.append(many.allocator.memory)
+            memory_samples.append(many.allocator.memory)
             await asyncio.sleep(0.0005)
-        got = await answer
-        assert entry_labels(got) == expected_values(keys)
-        assert len(got[70]) == LONG_VALUE_BYTES
-        # Gathered are the small ones; of the long one only what came in one piece before its turn.
-        assert max(most) < 200 * (64 << 10) + (1 << 20)
+        reply = await answer
+        assert entry_labels(reply) == expected_values(keys)
+        assert len(reply[70]) == LONG_VALUE_BYTES
+        # Buffered are the small values, and of the long one what arrived before its position was reached.
+        assert max(memory_samples) < 200 * (64 << 10) + (1 << 20)
         assert deployment.ledger_row()["bytes_served"] > LONG_VALUE_BYTES
 
-    run_on_deployment(test, behavior=only(k70="long"))
+    run_on_deployment(test, behavior=behavior_with(k70="long"))
 
 
-def test_a_long_value_asked_twice_is_given_once_and_refused_in_its_other_place() -> None:
+def test_long_value_at_two_positions_is_rejected_at_the_second() -> None:
     async def test(deployment: Deployment) -> None:
         client = await deployment.client()
         assert entry_labels(await client.multi_get(["a", "b", "a"], d=5000)) == [
@@ -274,78 +272,78 @@
             "refused",
         ]
 
-    run_on_deployment(test, behavior=only(a="long"))
+    run_on_deployment(test, behavior=behavior_with(a="long"))
 
 
-def test_a_long_value_whose_turn_never_comes_is_late_and_its_connection_given_up() -> None:
+def test_long_value_behind_an_unanswered_key_does_not_block_later_keys() -> None:
     async def test(deployment: Deployment) -> None:
         client = await deployment.client()
         answer = entry_labels(await client.multi_get(["a", "b", "c"], d=800))
         assert answer[0] in ("late", "refused")
         assert answer[2] == "c of q"
 
-    run_on_deployment(test, behavior=only(a="silent", b="long"), nodes=1)
+    run_on_deployment(test, behavior=behavior_with(a="silent", b="long"), nodes=1)
 
 
-def test_two_clients_that_read_the_same_missing_keys_share_their_fetches() -> None:
+def test_two_clients_share_fetches_of_the_same_keys() -> None:
     async def test(deployment: Deployment) -> None:
-        one, two = await deployment.client(), await deployment.client()
-        one.send_multi_get(KEYS, "q", d=4000)
-        two.send_multi_get(KEYS, "r", d=4000)
-        assert entry_labels(await one.read_reply()) == expected_values(KEYS)
-        answer = entry_labels(await two.read_reply())
+        first, second = await deployment.client(), await deployment.client()
+        first.send_multi_get(KEYS, "q", d=4000)
+        second.send_multi_get(KEYS, "r", d=4000)
+        assert entry_labels(await first.read_reply()) == expected_values(KEYS)
+        answer = entry_labels(await second.read_reply())
         assert answer == expected_values(KEYS, "r")
-        fetches = Counter(key for _, place, key, _ in deployment.attempts if place == "store")
-        assert set(fetches.values()) == {1}  # stored by the first one's fetch, the second asks the node again
+        fetches = Counter(key for _, server, key, _ in deployment.attempts if server == "store")
+        assert set(fetches.values()) == {1}  # the second client reads what the first one's fetch stored
 
     stored: set[str] = set()
 
-    def fate(place: str, key: str, time: int) -> str:
-        if place == "store":
+    def behavior(server: str, key: str, count: int) -> str:
+        if server == "store":
             stored.add(key)
             return "ok"
         return "ok" if key in stored else "miss"
 
-    run_on_deployment(test, behavior=fate)
+    run_on_deployment(test, behavior=behavior)
 
 
-def test_500_misses_of_one_scan_have_four_fetches_out_at_a_time() -> None:
+def test_scan_of_500_misses_has_four_fetches_in_flight() -> None:
     keys = [f"scan/{number}" for number in range(500)]
 
     async def test(deployment: Deployment) -> None:
         client = await deployment.client()
         answer = Counter(
-            mark if mark in ("refused", "late") else "served"
-            for mark in entry_labels(await client.multi_get(keys, d=5000))
+            label if label in ("refused", "late") else "served"
+            for label in entry_labels(await client.multi_get(keys, d=5000))
         )
         assert deployment.max_fetches_in_flight == 4
         assert answer["served"] > 100
         assert deployment.ledger_row()["taken"] == 500
 
-    run_on_deployment(test, behavior=lambda place, key, time: "ok" if place == "store" else "miss")
+    run_on_deployment(test, behavior=lambda server, key, count: "ok" if server == "store" else "miss")
 
 
-def test_what_nobody_has_is_a_miss_also_for_those_that_wait_for_the_same_fetch() -> None:
+def test_key_missing_at_the_origin_is_a_miss_for_all_waiting_clients() -> None:
     async def test(deployment: Deployment) -> None:
-        one, two, three = [await deployment.client() for _ in range(3)]
-        one.send_multi_get(["a", "b"], "q")
-        two.send_multi_get(["b", "a"], "r")
-        three.send_get("a", "s")
-        assert entry_labels(await one.read_reply()) == ["miss", "b of q"]
-        assert entry_labels(await two.read_reply()) == ["b of r", "miss"]
-        assert await three.read_reply() is None
-        assert sum(place == "store" and key == "a" for _, place, key, _ in deployment.attempts) == 1
+        first, second, third = [await deployment.client() for _ in range(3)]
+        first.send_multi_get(["a", "b"], "q")
+        second.send_multi_get(["b", "a"], "r")
+        third.send_get("a", "s")
+        assert entry_labels(await first.read_reply()) == ["miss", "b of q"]
+        assert entry_labels(await second.read_reply()) == ["b of r", "miss"]
+        assert await third.read_reply() is None
+        assert sum(server == "store" and key == "a" for _, server, key, _ in deployment.attempts) == 1
         row = deployment.ledger_row()
         assert row["failed_by_reason"] == {"missing": 3}
         assert deployment.host._router.origin_limits.bad_fetch_fraction == 0
 
-    def fate(place: str, key: str, time: int) -> str:
-        return ("none" if key == "a" else "ok") if place == "store" else "miss"
+    def behavior(server: str, key: str, count: int) -> str:
+        return ("none" if key == "a" else "ok") if server == "store" else "miss"
 
-    run_on_deployment(test, behavior=fate)
+    run_on_deployment(test, behavior=behavior)
 
 
-def test_a_publish_in_between_is_done_and_every_key_has_a_value() -> None:
+def test_write_during_a_multi_get_is_served_and_every_key_has_a_value() -> None:
     async def test(deployment: Deployment) -> None:
         client, writer = await deployment.client(), await deployment.client()
         client.send_multi_get(KEYS, d=3000)
@@ -354,10 +352,10 @@
         assert await writer.read_reply() is not None
         assert entry_labels(await client.read_reply()) == expected_values(KEYS)
 
-    run_on_deployment(test, behavior=lambda place, key, time: "ok" if place == "store" else "slow0.05")
+    run_on_deployment(test, behavior=lambda server, key, count: "ok" if server == "store" else "slow0.05")
 
 
-def test_a_node_that_speaks_the_command_is_asked_once_for_many_keys() -> None:
+def test_node_that_accepts_multi_get_gets_batches_as_commands() -> None:
     async def test(deployment: Deployment) -> None:
         client = await deployment.client()
         answer = entry_labels(await client.multi_get(KEYS))
@@ -367,20 +365,24 @@
     run_on_deployment(test, section=MultiGetSection(node_kinds=("std",)))
 
 
-def test_a_node_that_speaks_the_command_and_withholds_a_key_costs_that_key_alone() -> None:
+def test_unanswered_key_of_a_batch_command_costs_no_other_key() -> None:
     async def test(deployment: Deployment) -> None:
         client = await deployment.client()
         answer = entry_labels(await client.multi_get(KEYS, d=3000))
-        assert [mark for mark, value in zip(answer, expected_values(KEYS), strict=True) if mark != value] in (
+        assert [
+            label for label, value in zip(answer, expected_values(KEYS), strict=True) if label != value
+        ] in (
             ["late"],
             ["refused"],
         )
         assert answer[33] in ("late", "refused")
 
-    run_on_deployment(test, behavior=only(pkg_33="silent"), section=MultiGetSection(node_kinds=("std",)))
+    run_on_deployment(
+        test, behavior=behavior_with(pkg_33="silent"), section=MultiGetSection(node_kinds=("std",))
+    )
 
 
-def test_a_client_that_stops_reading_stops_its_own_gathering_only() -> None:
+def test_client_that_stops_reading_stalls_only_its_own_command() -> None:
     keys = [f"k{number}" for number in range(200)]
 
     async def test(deployment: Deployment) -> None:
@@ -388,51 +390,51 @@
         stalled.writer.transport.pause_reading()  # type: ignore[attr-defined]
         stalled.send_multi_get(keys, "q", d=900)
         await asyncio.sleep(0.3)
-        asked = len(deployment.attempts)
-        assert asked < 200
+        attempts_before = len(deployment.attempts)
+        assert attempts_before < 200
         assert entry_labels(await other.multi_get(["a", "b"], "r")) == expected_values(["a", "b"], "r")
         stalled.writer.transport.resume_reading()  # type: ignore[attr-defined]
         answer = await stalled.read_reply()
         assert len(answer) == 200
 
-    run_on_deployment(test, behavior=lambda place, key, time: "ok" if key in "ab" else "long", memory_mb=32)
+    run_on_deployment(test, behavior=lambda server, key, count: "ok" if key in "ab" else "long", memory_mb=32)
 
 
-def test_commands_past_the_bound_are_refused_whole_and_counted_by_key() -> None:
+def test_command_beyond_the_bound_is_rejected_and_counted_by_key() -> None:
     async def test(deployment: Deployment) -> None:
-        one, two = await deployment.client(), await deployment.client()
-        one.send_multi_get(["a"], "q", d=500)
+        first, second = await deployment.client(), await deployment.client()
+        first.send_multi_get(["a"], "q", d=500)
         await deployment.wait_until(lambda: len(deployment.attempts) == 1)
-        two.send_multi_get(["b", "c"], "r")
-        assert str(await two.read_reply()) == "BUSY"
-        await one.read_reply()
+        second.send_multi_get(["b", "c"], "r")
+        assert str(await second.read_reply()) == "BUSY"
+        await first.read_reply()
         assert deployment.ledger_row()["refused_by_reason"]["commands of many keys"] == 2
 
-    run_on_deployment(test, behavior=lambda place, key, time: "silent", section=MultiGetSection(commands=1))
+    run_on_deployment(test, behavior=lambda server, key, count: "silent", section=MultiGetSection(commands=1))
 
 
-def test_the_last_slow_key_has_a_second_copy_within_the_budget() -> None:
+def test_last_slow_key_is_hedged_within_the_budget() -> None:
     slow = {"pkg/59"}
 
-    def fate(place: str, key: str, time: int) -> str:
-        return "slow0.6" if key in slow and time == 1 else "ok"
+    def behavior(server: str, key: str, count: int) -> str:
+        return "slow0.6" if key in slow and count == 1 else "ok"
 
     async def test(deployment: Deployment) -> None:
         client = await deployment.client()
-        for number in range(4):  # so that the nodes' pace is known, and a copy is saved up
+        for number in range(4):  # so that the nodes' latency is known, and the budget allows a hedge
             await client.multi_get([f"warm/{number}/{key}" for key in range(60)], f"w{number}")
-        begun = deployment.loop.time()
+        started_at = deployment.loop.time()
         assert entry_labels(await client.multi_get(KEYS, "q", d=3000)) == expected_values(KEYS)
-        assert deployment.loop.time() - begun < 0.4
+        assert deployment.loop.time() - started_at < 0.4
         assert Counter(key for _, _, key, _ in deployment.attempts)["pkg/59"] == 2
         many = deployment.host.many
         assert isinstance(many, MultiGetRegistry)
         assert many.hedges.spent == 1
 
-    run_on_deployment(test, behavior=fate)
+    run_on_deployment(test, behavior=behavior)
 
 
-def test_without_leave_for_second_copies_there_are_none() -> None:
+def test_no_hedges_are_sent_if_disabled() -> None:
     async def test(deployment: Deployment) -> None:
         client = await deployment.client()
         for number in range(4):
--- a/tests/multi_get/test_reply_assembly.py
+++ b/tests/multi_get/test_reply_assembly.py
@@ -18,30 +18,32 @@
     strategies.randoms(use_true_random=False),
     strategies.integers(0, 6),
 )
-def test_whatever_the_order_of_the_ends_entries_leave_in_the_order_asked(
-    keys: list[bytes], chance: object, before_time_is_up: int
+def test_entries_are_written_in_key_order_whatever_the_completion_order(
+    keys: list[bytes], rng: object, completions: int
 ) -> None:
-    assembly, out = ReplyAssembly(keys, VALUE), b""
-    asked: list[int] = []
-    ended: set[bytes] = set()
-    for _ in range(before_time_is_up):
-        asked += assembly.take_pending(2)
-        if asked:
-            number = asked.pop(chance.randrange(len(asked)))  # type: ignore[attr-defined]
+    assembly, written = ReplyAssembly(keys, VALUE), b""
+    requested: list[int] = []
+    completed: set[bytes] = set()
+    for _ in range(completions):
+        requested += assembly.take_pending(2)
+        if requested:
+            number = requested.pop(rng.randrange(len(requested)))  # type: ignore[attr-defined]
             assembly.complete(number, entry(assembly.keys[number]))
-            ended.add(assembly.keys[number])
-        out += b"".join(assembly.take_writable())
-        assert assembly.memory >= len(asked) * VALUE
-        assert assembly.in_flight == len(asked)
+            completed.add(assembly.keys[number])
+        written += b"".join(assembly.take_writable())
+        assert assembly.memory >= len(requested) * VALUE
+        assert assembly.in_flight == len(requested)
     late = assembly.expire()
-    assert {assembly.keys[number] for number in late} == set(keys) - ended
-    out += b"".join(assembly.take_writable())
-    assert out == b"".join(entry(key) if key in ended else b"-LATE its time ran out\r\n" for key in keys)
+    assert {assembly.keys[number] for number in late} == set(keys) - completed
+    written += b"".join(assembly.take_writable())
+    assert written == b"".join(
+        entry(key) if key in completed else b"-LATE its time ran out\r\n" for key in keys
+    )
     assert assembly.is_written
     assert (assembly.memory, assembly.incomplete, assembly.in_flight, assembly.pending) == (0, 0, 0, 0)
 
 
-def test_keys_are_asked_in_the_order_of_the_list_and_each_once() -> None:
+def test_keys_are_requested_once_and_in_order() -> None:
     assembly = ReplyAssembly([b"b", b"a", b"b", b"c"], VALUE)
     assert assembly.keys == [b"b", b"a", b"c"]
     assert assembly.head == b"*4\r\n"
@@ -51,7 +53,7 @@
     assert assembly.take_pending(1) == []
 
 
-def test_a_later_key_waits_for_an_earlier_one_and_takes_up_its_own_bytes_only() -> None:
+def test_later_entry_waits_for_earlier_one_and_counts_only_its_own_bytes() -> None:
     assembly = ReplyAssembly([b"a", b"b"], VALUE)
     assembly.take_pending(2)
     assembly.complete(1, entry(b"b"))
@@ -62,7 +64,7 @@
     assert assembly.memory == 0
 
 
-def test_a_long_value_has_its_turn_after_those_ahead_and_before_those_behind() -> None:
+def test_streamed_value_is_written_at_its_position() -> None:
     assembly = ReplyAssembly([b"a", b"long", b"c"], VALUE)
     assembly.take_pending(3)
     assembly.start_stream(1)
@@ -72,14 +74,14 @@
     assert assembly.take_writable() == [entry(b"a")]
     assert assembly.start_next_stream() == 1
     assert assembly.is_streaming(1)
-    assert assembly.take_writable() == []  # nothing gets in between its bytes
-    assert assembly.expire() == []  # what is being written goes on
+    assert assembly.take_writable() == []  # no other entry is written between its bytes
+    assert assembly.expire() == []  # a value being written is not late
     assembly.complete_stream(1)
     assert assembly.take_writable() == [entry(b"c")]
     assert assembly.is_written
 
 
-def test_a_long_value_whose_turn_has_not_come_is_late_like_any_other() -> None:
+def test_streamed_value_not_yet_being_written_expires() -> None:
     assembly = ReplyAssembly([b"a", b"long"], VALUE)
     assembly.take_pending(2)
     assembly.start_stream(1)
@@ -88,7 +90,7 @@
     assert len(assembly.take_writable()) == 2
 
 
-def test_a_long_value_that_breaks_before_its_turn_fails_alone() -> None:
+def test_streamed_value_that_fails_before_its_position_is_one_error_entry() -> None:
     assembly = ReplyAssembly([b"a", b"long", b"c"], VALUE)
     assembly.take_pending(3)
     assembly.start_stream(1)
@@ -99,15 +101,15 @@
     assert assembly.memory == 0
 
 
-def test_many_that_end_at_once_are_as_if_each_had_ended_by_itself() -> None:
+def test_complete_all_equals_single_completions() -> None:
     keys = [b"a", b"b", b"a", b"c", b"d"]
-    together, singly = ReplyAssembly(keys, VALUE), ReplyAssembly(keys, VALUE)
-    for assembly in (together, singly):
+    at_once, one_by_one = ReplyAssembly(keys, VALUE), ReplyAssembly(keys, VALUE)
+    for assembly in (at_once, one_by_one):
         assert assembly.take_pending(3) == [0, 1, 2]
-    together.complete_all([2, 0], [entry(b"c"), entry(b"a")])
+    at_once.complete_all([2, 0], [entry(b"c"), entry(b"a")])
     for number, key in ((2, b"c"), (0, b"a")):
-        singly.complete(number, entry(key))
-    for assembly in (together, singly):
+        one_by_one.complete(number, entry(key))
+    for assembly in (at_once, one_by_one):
         assert (assembly.in_flight, assembly.incomplete, assembly.memory) == (
             1,
             2,
