--- a/pebblepass/decisions/arrivals.py
+++ b/pebblepass/decisions/arrivals.py
@@ -39,7 +39,7 @@
         self._origin_requests, self._routing, self._rng = origin_requests, routing, rng
 
     def request_arrived(self, event: api.RequestArrived) -> None:
-        """Open a request and take its first step; one without a key gets a random slot."""
+        """Open a request and choose its first step; a request without a key gets a random slot."""
         suppressor = self._tenants.suppressor(event.tenant)
         cls = self._classes[event.request_class]
         request = Request(event.request, event.key, event.deadline, event.write, cls, suppressor)
@@ -58,7 +58,7 @@
 class Batches:
     """Opens a request for each key of a multi-get command, and batches those for one server.
 
-    Inputs: as for single requests. Reason: one action and one sample for many keys keep a key cheap.
+    Inputs: as for single requests. Reason: one action and one sample for many keys make a key cheap.
     """
 
     def __init__(
@@ -79,14 +79,14 @@
         self._routing, self._context = routing, context
 
     def batch_arrived(self, event: api.BatchArrived) -> None:
-        """Route each key as a request of its own, but batch those for one server into one action."""
+        """Route each key as a separate request, but batch those for one server into one action."""
         suppressor = self._tenants.suppressor(event.tenant)
         cls, now = self._classes[event.request_class], self._context.now
         hot_fraction = HOT_LOAD_FRACTION / max(len(self._caches.nodes), 1)
         steady_rankings = self._caches.steady_rankings
         command = self._requests.open_command(event.command, len(event.requests))
         suppressor.record_usage(self._tenants.usage.add(event.tenant or "", len(event.requests)))
-        short_of_time = event.deadline - now < cls.latency_target
+        has_short_deadline = event.deadline - now < cls.latency_target
         open_requests, add = self._requests.by_id, self._selection.slot_popularity.add
         sends: dict[Node, api.SendBatch] = {}
         for name, key in zip(event.requests, event.keys, strict=True):
@@ -96,7 +96,7 @@
             cached = steady_rankings.get(slot) if request.popularity <= hot_fraction else None
             ranking = cached or self._selection.candidates(request)
             # Fast path of Routing.route: the first choice is healthy, and there is time left.
-            if not ranking or not ranking[0].is_healthy or short_of_time:
+            if not ranking or not ranking[0].is_healthy or has_short_deadline:
                 self._routing.route(request)
                 continue
             node = ranking[0]
@@ -114,7 +114,7 @@
 
     def batch_served(self, event: api.BatchServed) -> None:
         """Close the requests of a batch, and record one sample for all of its keys."""
-        recorded: Node | None = None
+        recorded_node: Node | None = None
         open_requests = self._requests.by_id
         for name in event.requests:
             request = open_requests.pop(name, None)
@@ -124,6 +124,6 @@
             node.attempts_in_flight -= 1
             request.in_flight, request.is_done = False, True
             self._requests.request_closed(request.command)
-            if node is not recorded:
-                recorded = node
+            if node is not recorded_node:
+                recorded_node = node
                 self._cache_health.record_batch(node, event.latency, request.request_class.latency_target)
--- a/pebblepass/decisions/attempt_results.py
+++ b/pebblepass/decisions/attempt_results.py
@@ -1,4 +1,4 @@
-"""What follows the end of an attempt: the final answer, a fetch, or a retry."""
+"""The next step after an attempt has ended: the final answer, a fetch, or a retry."""
 
 from __future__ import annotations
 
@@ -39,35 +39,35 @@
         if request.hedge_node is not None and event.server == request.hedge_node.entry.id:
             self._hedging.process_result(request, request.hedge_node, event)
             return
-        freed = request.free_command_slot() if request.is_fetching else None
+        freed_command = request.free_command_slot() if request.is_fetching else None
         self._process_first(request, request.node, event)
-        if freed is not None:
-            self._completion.resume_command(freed)
+        if freed_command is not None:
+            self._completion.resume_command(freed_command)
 
     def _process_first(self, request: Request, node: Node, event: api.AttemptEnded) -> None:
         """Process the end of any attempt but a hedge."""
-        fetched, outcome = request.is_fetching, event.outcome
+        was_fetch, outcome = request.is_fetching, event.outcome
         request.in_flight = request.is_fetching = False
         node.attempts_in_flight -= 1
-        if fetched:
+        if was_fetch:
             self._origin_requests.record_attempt(request, node, event)
         else:
             self._cache_health.record_attempt(request, node, event)
         if not outcome.never_ran and request.may_have_run is None:
             request.may_have_run = node, request.sent_at
         if event.answered or request.is_done:
-            self._completion.finish(request, stored=fetched and outcome is Outcome.OK)
-        elif outcome is Outcome.MISS and fetched:
+            self._completion.finish(request, stored=was_fetch and outcome is Outcome.OK)
+        elif outcome is Outcome.MISS and was_fetch:
             self._completion.key_missing(request)
         elif outcome is Outcome.MISS and self._has_origin:
             self._origin_requests.fetch_or_wait(request)
-        elif fetched:
+        elif was_fetch:
             self._origin_requests.fetch_failed(request, event)
         else:
             self._retry(request, node, event)
 
     def _retry(self, request: Request, node: Node, event: api.AttemptEnded) -> None:
-        """Retry at a cache server; at the same one after a single lost attempt that was not late."""
+        """Retry at another cache server, or at the same one after a single lost attempt that was not late."""
         late = event.latency > request.request_class.latency_target
         lost = event.outcome in (Outcome.TIMEOUT, Outcome.RESET)
         if not lost or late or node.consecutive_unanswered > 1:
--- a/pebblepass/decisions/cache_health.py
+++ b/pebblepass/decisions/cache_health.py
@@ -1,4 +1,4 @@
-"""What the ends of attempts at cache servers show of these servers."""
+"""Health of the cache servers, from the outcomes of attempts."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class CacheHealth:
-    """Latency and recent attempts over all cache servers, and the records of each one.
+    """Latency and recent attempts over all cache servers, and updates of each server's record.
 
     Inputs: an attempt's outcome and latency (nanoseconds), the class's latency target, and the deadline.
     """
@@ -29,7 +29,7 @@
         self._context, self._rng = context, rng
 
     def record_attempt(self, request: Request, node: Node, event: api.AttemptEnded) -> None:
-        """Record the end of one attempt, unless it shows nothing of the server."""
+        """Record the end of one attempt, unless it is no evidence about the server."""
         now, latency = self._context.now, event.latency
         late = latency > request.request_class.latency_target
         answered = event.outcome in (Outcome.OK, Outcome.MISS)
@@ -57,7 +57,7 @@
     def _timed_out_early(self, request: Request, node: Node, event: api.AttemptEnded) -> bool:
         """Whether the client's deadline ended an attempt that was not yet slow for this server.
 
-        Clients with little time would otherwise make healthy servers look unresponsive.
+        Clients with short deadlines would otherwise make healthy servers look unresponsive.
         """
         if event.outcome is not Outcome.TIMEOUT or self._context.now < request.deadline:
             return False
--- a/pebblepass/decisions/completion.py
+++ b/pebblepass/decisions/completion.py
@@ -1,4 +1,4 @@
-"""The end of a request: its final answer, and the requests that waited for it."""
+"""The end of a request: its final answer, and resuming the requests that waited for it."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 FETCHES_PER_COMMAND = 4  # of one command's keys, in flight or queued: one scan must not fill the queue
 
 Resume = Callable[[Request], None]
-"""What a request does next that has waited."""
+"""The next step of a request that has waited."""
 
 
 class Completion:
@@ -38,11 +38,11 @@
         self._fetch_or_wait: Resume
 
     def resume_with(self, route: Resume, fetch_or_wait: Resume) -> None:
-        """Set how waiters go on: `route` to a cache that holds their key now, else `fetch_or_wait`."""
+        """Set the next step of waiters: `route` if a cache now has their key, else `fetch_or_wait`."""
         self._route, self._fetch_or_wait = route, fetch_or_wait
 
     def give_up(self, request: Request, reason: Reason) -> None:
-        """Answer without a result: reject where a retry is harmless, else fail.
+        """Give a final answer without a result: reject if a retry is harmless, else fail.
 
         The Retry-After (nanoseconds) is drawn at random, so that clients do not retry in step.
         """
@@ -54,29 +54,29 @@
         self.finish(request)
 
     def key_missing(self, request: Request) -> None:
-        """Answer all that wait for this fetch: the origin has no such key."""
+        """Fail this request and all that wait for its fetch: the origin has no such key."""
         waiters = self._flights.waiters(request) if request.leads_flight else ()
-        for each in (*waiters, request):
-            if not each.is_done:
-                self._context.actions.append(api.Fail(each.id, Reason.NOT_FOUND))
-                self.finish(each)
+        for waiter in (*waiters, request):
+            if not waiter.is_done:
+                self._context.actions.append(api.Fail(waiter.id, Reason.NOT_FOUND))
+                self.finish(waiter)
 
     def finish(self, request: Request, stored: bool = False) -> None:
-        """Close a request that has its final answer; `stored`: a cache holds its key now."""
+        """Close a request that has its final answer; `stored`: a cache now has its key."""
         request.is_done, request.is_waiting = True, False
-        freed = None
+        freed_command = None
         if request.in_origin_queue:
             self._queue.remove(request)
-            freed = request.free_command_slot()
+            freed_command = request.free_command_slot()
         if not request.in_flight and request.hedge_node is None:
             self._requests.remove(request)
         if request.leads_flight:
             self._end_flight(request, stored)
-        if freed is not None:
-            self.resume_command(freed)
+        if freed_command is not None:
+            self.resume_command(freed_command)
 
     def resume_command(self, command: Command) -> None:
-        """Start fetches of a command that waited for one of its fetches to end."""
+        """Start queued fetches of a command, up to its limit."""
         while command.queued and command.fetches < FETCHES_PER_COMMAND:
             waiter = command.queued.popleft()
             if waiter.in_command_queue and waiter.is_waiting:
@@ -84,7 +84,7 @@
                 self._fetch_or_wait(waiter)
 
     def _end_flight(self, request: Request, stored: bool) -> None:
-        """Resume the waiters of a shared fetch: to the cache if it is stored there, else to a fetch."""
+        """Resume the waiters of a shared fetch: at the cache if it now has the key, else with a fetch."""
         for waiter in self._flights.end(request):
             if not waiter.is_done:
                 waiter.is_waiting = False
--- a/pebblepass/decisions/context.py
+++ b/pebblepass/decisions/context.py
@@ -6,9 +6,9 @@
 
 
 class EventContext:
-    """The present time (nanoseconds) and the actions decided so far, in order.
+    """The current time (nanoseconds) and the actions decided so far, in order.
 
-    A router has one context; `Router.handle` renews both values for each event.
+    A router has one context; `Router.handle` resets both values for each event.
     """
 
     __slots__ = ("actions", "now")
--- a/pebblepass/decisions/fetch_queue.py
+++ b/pebblepass/decisions/fetch_queue.py
@@ -11,8 +11,8 @@
 class FetchQueue:
     """Queued fetches, ordered by how many reads wait for the same key.
 
-    Inputs: the flights' waiters, and the window (fetches that may be in flight). Reason: one fetch of the key
-    that most reads wait for serves the most clients.
+    Inputs: the reads that wait for each key, and the window (fetches that may be in flight). Reason: a fetch
+    of the key that most reads wait for serves the most clients.
     """
 
     def __init__(self, flights: SingleFlight) -> None:
@@ -31,11 +31,11 @@
         return len(self._queued) >= QUEUED_PER_FETCH * window
 
     def with_most_waiters(self) -> Request:
-        """Return the queued request whose key has most waiters; the oldest of several."""
+        """Return the queued request whose key has the most waiters, the oldest if several have."""
         return max(self._queued, key=self._flights.waiter_count)
 
     def with_fewest_waiters(self) -> Request:
-        """Return the queued request whose key has fewest waiters; the oldest of several."""
+        """Return the queued request whose key has the fewest waiters, the oldest if several have."""
         return min(self._queued, key=self._flights.waiter_count)
 
     def add(self, request: Request) -> None:
@@ -44,6 +44,6 @@
         self._queued.append(request)
 
     def remove(self, request: Request) -> None:
-        """Take a request out of the queue."""
+        """Remove a request from the queue."""
         request.in_origin_queue = False
         self._queued.remove(request)
--- a/pebblepass/decisions/health.py
+++ b/pebblepass/decisions/health.py
@@ -1,4 +1,4 @@
-"""Health of servers as this router observes it: latency, timeouts, and a send probability.
+"""Health of servers as observed by this router: latency, timeouts, and a send probability.
 
 All times are whole nanoseconds on the caller's clock.
 """
@@ -16,13 +16,13 @@
 LATE_DECREASE = 0.25  # factor for a late answer
 SUCCESS_INCREASE = 0.2  # added by an answer in time
 MIN_PROBABILITY = 0.05  # of a server that can be reached
-UNREACHABLE_PROBABILITY = -0.02  # below 0: none, until the clock has restored it
-# Times from probability 0 to 1. Recovery is by the clock and not by this router's own answers: a router that
-# seldom sends to a server would avoid it for long after it has recovered.
+UNREACHABLE_PROBABILITY = -0.02  # below 0: no request is sent at the beginning of the recovery
+# Times from probability 0 to 1. Recovery depends on time and not on answers to this router: a router that
+# rarely sends to a server would otherwise avoid it long after it has recovered.
 LATE_RECOVERY_NS = 2 * NS_PER_S  # a queue that made an answer late drains fast
 OVERLOAD_RECOVERY_NS = 8 * NS_PER_S  # a server that declines or does not answer recovers more slowly
-UNREACHABLE_RECOVERY_NS = 60 * NS_PER_S  # discovery is to remove it
-TIMEOUT_HOLD_NS = 4 * NS_PER_S  # before recovery begins: further requests would go unanswered too
+UNREACHABLE_RECOVERY_NS = 60 * NS_PER_S  # time for discovery to remove it
+TIMEOUT_HOLD_NS = 4 * NS_PER_S  # before recovery begins, as further requests would go unanswered too
 CONNECT_BACKOFF_NS = NS_PER_S  # first pause after a rejected connection
 MAX_CONNECT_DOUBLINGS = 4  # of that pause
 HISTORY_SIZE = 32  # attempts in an AttemptHistory
@@ -35,7 +35,7 @@
     def __init__(self, initial: float = 0.0) -> None:
         self.mean = self.deviation = initial
         self.sample_weight = 0.0
-        """Fraction of the mean that comes from samples, 0 to 1; the rest comes from the initial value."""
+        """Fraction of the mean that is due to samples, 0 to 1; the rest is due to the initial value."""
 
     def record(self, latency: int) -> None:
         """Add one sample."""
@@ -50,15 +50,15 @@
         self.deviation += (deviation - self.deviation) * weight
 
     def expected(self, prior: float) -> float:
-        """Return the latency to expect if the estimate began at 0: `prior` stands in for missing samples.
+        """Return the expected latency of an estimate that began at 0; `prior` replaces missing samples.
 
-        Without the prior a server that has just joined would look faster than any other.
+        Without the prior, a server that has just joined would look faster than any other.
         """
         return self.mean + (1 - self.sample_weight) * prior
 
 
 class AttemptHistory:
-    """The last attempts at any server, to estimate the probability of an answer within some time."""
+    """Recent attempts at all servers, to estimate the probability of an answer within a given time."""
 
     def __init__(self) -> None:
         self._attempts: deque[tuple[int, bool]] = deque(maxlen=HISTORY_SIZE)
@@ -70,7 +70,7 @@
     def answer_probability(self, time: int) -> float:
         """Estimate the probability of an answer within `time` (nanoseconds); 1 without evidence.
 
-        An attempt that was abandoned earlier than `time` is no evidence and is left out.
+        An attempt that was abandoned earlier than `time` is inconclusive, and is ignored.
         """
         in_time = sum(1 for duration, answered in self._attempts if answered and duration <= time)
         conclusive = sum(1 for duration, answered in self._attempts if answered or duration >= time)
@@ -81,7 +81,7 @@
     """A ready server: this router's attempts in flight there, and its health.
 
     Inputs: outcomes of attempts, whether they were late, and the clock (nanoseconds). Reason: a failing
-    server gets fewer requests by its send probability, and some soon again, which show whether it has
+    server gets fewer requests, by its send probability; the few that it soon gets again show whether it has
     recovered.
     """
 
@@ -95,12 +95,12 @@
         self._probability, self._recovers_from, self._recovery_time = 1.0, 0, LATE_RECOVERY_NS
         self._connect_rejections, self._next_connect_at = 0, 0
         self.unanswered_at = -TIMEOUT_HOLD_NS
-        """When its last attempt ended without an answer, however short its time was; reset by an answer."""
+        """When its last attempt ended without an answer, however short its timeout; an answer resets it."""
 
     def send_probability(self, now: int) -> float:
         """Return the probability with which a request is sent here; it recovers linearly with time.
 
-        The time counts from the last outcome: the zero of the clock may lie any time back.
+        Time counts from the last outcome, as the clock's zero is arbitrary.
         """
         if self._probability >= 1.0:
             return 1.0
@@ -123,7 +123,7 @@
     def record_connect_rejection(self, now: int, rng: random.Random) -> None:
         """Back off exponentially from a server that accepts no more connections.
 
-        Jitter keeps the routers of a fleet from connecting in step.
+        Jitter keeps the routers of a fleet from reconnecting at the same time.
         """
         self._next_connect_at = now + int(
             rng.uniform(0.5, 1.0) * (CONNECT_BACKOFF_NS << self._connect_rejections)
@@ -133,18 +133,18 @@
     def record_outcome(self, outcome: Outcome, late: bool, now: int) -> None:
         """Update the health by an attempt's outcome; `late`: after the latency target.
 
-        The first row that fits holds:
+        A loss is a timeout or a reset. The first row that matches applies:
 
         | outcome | send probability | full again after |
         | --- | --- | --- |
-        | connect failed; reset, the second loss in a row | UNREACHABLE_PROBABILITY, unreachable | 60 s |
-        | timeout that is late, or the second loss in a row | MIN_PROBABILITY, held for 4 s | 8 s |
+        | connect failed; reset, if the second loss in a row | UNREACHABLE_PROBABILITY, unreachable | 60 s |
+        | timeout, if late or the second loss in a row | MIN_PROBABILITY, held for 4 s | 8 s |
         | answer or miss, late | times LATE_DECREASE | 2 s |
-        | late, overloaded, or the second loss in a row | times LATE_DECREASE | 8 s |
+        | any other that is late, overloaded, or the second loss in a row | times LATE_DECREASE | 8 s |
         | answer or miss in time | plus SUCCESS_INCREASE; reachable | as before |
-        | error in time, a first loss that is not late | unchanged | as before |
+        | any other: error in time, first loss that is not late | unchanged | as before |
 
-        A late answer leaves a server unreachable: only one in time shows that it serves again.
+        A late answer does not make a server reachable again; only an answer in time does.
         """
         probability, hold = self.send_probability(now), 0
         answered = outcome in (Outcome.OK, Outcome.MISS)
@@ -184,24 +184,28 @@
             self.latency.sample_weight,
         )
 
-    def import_state(self, known: api.ServerHealth) -> None:
-        """Replace the record by another router's newer one; latencies count by its weight (0 to 1)."""
-        # A server that has started since has lost its queue and its faults, and its cache is empty.
-        if known.started != self.entry.started or known.last_outcome_at <= self.last_outcome_at:
+    def import_state(self, imported: api.ServerHealth) -> None:
+        """Replace the record by another router's newer one; latencies are multiplied by its weight."""
+        # After a restart the server's queue and cache are empty, and its earlier faults no longer count.
+        if imported.started != self.entry.started or imported.last_outcome_at <= self.last_outcome_at:
             return
-        self.last_outcome_at, self.is_unreachable = known.last_outcome_at, known.unreachable
-        self.consecutive_unanswered = known.consecutive_unanswered
-        self._probability, self._recovers_from = known.send_probability, known.recovers_from
-        self._recovery_time = known.recovery_time
-        self._connect_rejections, self._next_connect_at = known.connect_rejections, known.next_connect_at
-        self.latency.mean = known.mean_latency * known.weight
-        self.latency.deviation = known.latency_deviation * known.weight
-        self.latency.sample_weight = known.sample_weight * known.weight
+        self.last_outcome_at, self.is_unreachable = imported.last_outcome_at, imported.unreachable
+        self.consecutive_unanswered = imported.consecutive_unanswered
+        self._probability, self._recovers_from = imported.send_probability, imported.recovers_from
+        self._recovery_time = imported.recovery_time
+        self._connect_rejections, self._next_connect_at = (
+            imported.connect_rejections,
+            imported.next_connect_at,
+        )
+        self.latency.mean = imported.mean_latency * imported.weight
+        self.latency.deviation = imported.latency_deviation * imported.weight
+        self.latency.sample_weight = imported.sample_weight * imported.weight
 
 
 def is_connection_failure(event: api.AttemptEnded, late: bool) -> bool:
     """Whether an outcome concerns its connection alone, and not the server.
 
-    A connection that failed to open counts so however long that took, a broken one only if it was not late.
+    This holds for a connection that failed to open, however long that took, and for a broken one if it was
+    not late.
     """
     return event.connection_failed and (event.outcome is Outcome.CONNECT_FAILED or not late)
--- a/pebblepass/decisions/hedging.py
+++ b/pebblepass/decisions/hedging.py
@@ -15,10 +15,11 @@
 
 
 class Hedging:
-    """Sends hedges and processes their ends; the first good answer counts.
+    """Sends hedges and processes their results; the first good answer counts.
 
     Inputs: the first attempt's state, the class's effect, and the health and warm-up of the slot's next
-    servers. Reason: a slow server costs one client's time; only idempotent requests may run twice.
+    servers. Reason: a hedge spares a client the wait for one slow server; only idempotent requests may run
+    twice.
     """
 
     def __init__(
@@ -36,11 +37,11 @@
         self._origin_requests, self._routing, self._completion = origin_requests, routing, completion
 
     def hedge(self, request: Request) -> None:
-        """Send a hedged second attempt to the slot's next server, if one is fit for it."""
-        running = (
+        """Send a hedged second attempt to the slot's next suitable server, if there is one."""
+        is_running = (
             request.hedge_node is None and request.in_flight and not (request.is_fetching or request.is_done)
         )
-        if not running or not self._may_hedge or request.request_class.effect is not Effect.IDEMPOTENT:
+        if not is_running or not self._may_hedge or request.request_class.effect is not Effect.IDEMPOTENT:
             return
         for node in self._selection.candidates(request):
             if self._selection.accepts_hedge(request, node) and self._attempts.may_attempt(request):
@@ -48,7 +49,7 @@
                 return
 
     def process_result(self, request: Request, node: Node, event: api.AttemptEnded) -> None:
-        """Process a hedge's end; while the first attempt is in flight, that one decides."""
+        """Process a hedge's result; while the first attempt is in flight, that one decides the next step."""
         request.hedge_node = None
         node.attempts_in_flight -= 1
         self._cache_health.record_attempt(request, node, event)
--- a/pebblepass/decisions/interface/actions.py
+++ b/pebblepass/decisions/interface/actions.py
@@ -19,7 +19,7 @@
 
 
 class SendBatch(Struct, frozen=True):
-    """Start the first attempts of several reads of one command at one server; they may travel together."""
+    """Start the first attempts of several reads of one command at one server, possibly as one batch."""
 
     requests: list[str]
     server: str
@@ -37,16 +37,16 @@
     """The tenant's rate limit or the fetch queue declined the fetch."""
     NO_SERVER = "no server"
     DEADLINE = "time"
-    """The time was up, or too short for an answer."""
+    """The deadline has passed, or the time left is too short for an answer."""
     ATTEMPTS = "attempts"
-    """No attempt is left, or none that may be repeated."""
+    """No attempt is left, or another one might run a request twice that must not run twice."""
     ORIGIN_FAILED = "store"
     NOT_FOUND = "missing"
     """The origin has no such key, which is not a failure."""
 
 
 class Reject(Struct, frozen=True):
-    """Final answer: not done, and a retry is harmless."""
+    """Final answer: no result, and the client may safely retry the request."""
 
     request: str
     retry_after: int = 0
@@ -75,7 +75,7 @@
 class HealthCheck(Struct, frozen=True):
     """Check a server's health.
 
-    These decisions never ask for one: health is learned from attempts, and recovers by the clock.
+    The decisions never request one: health is learned from attempts, and recovers with time.
     """
 
     server: str
--- a/pebblepass/decisions/interface/events.py
+++ b/pebblepass/decisions/interface/events.py
@@ -35,23 +35,23 @@
 
 
 class CacheNote(Enum):
-    """A cache server's remark on its answer."""
+    """What a cache server states about its answer."""
 
     HIT = 1
     MISS = 2
     FETCH_SHARED = 3
-    """A miss whose fetch another request is to do."""
+    """A miss of a key that another request is to fetch."""
 
 
 class ServersChanged(Struct, frozen=True):
-    """A list, a change of it, or a failure to get one, which leaves the last one in force."""
+    """A server list, changes to it, or a failure to get one; after a failure the last list stays in force."""
 
     kind: ListKind
     servers: tuple[Server, ...] = ()
 
 
 class StateImported(Struct, frozen=True):
-    """Another router's state arrived; servers that are not listed are left out."""
+    """Another router's state arrived; servers missing from the present list are ignored."""
 
     state: RouterState
 
@@ -59,7 +59,7 @@
 class PolicyChanged(Struct, frozen=True):
     """A version of the policy was decided, or its expiry or the leases were renewed.
 
-    From `expires_at` on, and at once where that is past, the router admits only what the floor allows.
+    From `expires_at` on (at once if that time is past) the router admits only what the floor allows.
     """
 
     policy: FleetPolicy
@@ -72,7 +72,7 @@
 
 
 class RequestArrived(Struct, frozen=True):
-    """A client's request arrived; one final answer is owed by `deadline`."""
+    """A client's request arrived; it needs one final answer by `deadline`."""
 
     request: str
     request_class: str
@@ -82,11 +82,11 @@
     key: str | None = None
     write: bool = False
     retry: bool = False
-    """Whether the client states that it repeats a request."""
+    """Whether the client states that this request repeats an earlier one."""
 
 
 class BatchArrived(Struct, frozen=True):
-    """Reads of one multi-get command arrived; each of them is a request of its own."""
+    """Reads of one multi-get command arrived; each is a separate request."""
 
     requests: list[str]
     keys: list[str]
@@ -101,7 +101,8 @@
 class BatchServed(Struct, frozen=True):
     """First attempts of one SendBatch succeeded, each with its request's final answer.
 
-    They count as one sample of their server. Requests with any other attempt are not reported so.
+    They count as one sample of their server. Requests that had another attempt are reported one by one, by
+    AttemptEnded.
     """
 
     requests: list[str]
@@ -117,7 +118,7 @@
 
 
 class StreamStarted(Struct, frozen=True):
-    """A streamed answer has begun: the client gets what this attempt returns. Needs no decision."""
+    """A streamed answer has begun: the client gets this attempt's answer. Needs no decision."""
 
     request: str
     attempt: int
@@ -137,15 +138,15 @@
     note: CacheNote | None = None
     load_report: tuple[float, ...] | None = None
     connection_failed: bool = False
-    """Whether the outcome concerns the connection and not the server: an idle connection broke without a byte
-    of an answer, there was no capacity for a further one, or one failed to open for the first time since the
-    server's last sign of life."""
+    """Whether the outcome concerns the connection and not the server: an idle connection broke before the
+    first byte of an answer, there was no capacity for another connection, or a connection failed to open for
+    the first time since the server was last known to respond."""
     connection_rejected: bool = False
     """Whether the server accepts no more connections, and this router has none to it."""
 
 
 class ClientDisconnected(Struct, frozen=True):
-    """The client has left; no answer is owed any more."""
+    """The client disconnected; its request needs no answer."""
 
     request: str
 
@@ -157,7 +158,7 @@
 
 
 class HealthCheckEnded(Struct, frozen=True):
-    """A health check ended. Needs no decision: none is asked for."""
+    """A health check ended. Needs no decision, as the decisions request no health checks."""
 
     server: str
     outcome: Outcome
@@ -166,7 +167,7 @@
 
 
 class EventLoopLagged(Struct, frozen=True):
-    """The router's event loop ran late: an answer may have lain unread for up to `lag`."""
+    """The router's event loop ran late: an answer may have waited unread for up to `lag`."""
 
     lag: int
 
--- a/pebblepass/decisions/interface/policy.py
+++ b/pebblepass/decisions/interface/policy.py
@@ -29,6 +29,6 @@
     cordoned: tuple[str, ...]
     """Ids of servers that get no new requests."""
     floor_fraction: float
-    """Of the settings' quota, 0 to 1: the floor, which is safe whichever version is in force."""
+    """Fraction of the settings' quota, 0 to 1: the floor, which is safe whichever version is in force."""
     uses_leases: bool = False
-    """Whether a quota is divided by quota leases: a router may use the floor and its lease."""
+    """Whether quotas are divided by quota leases: each router may use the floor plus its lease."""
--- a/pebblepass/decisions/interface/servers.py
+++ b/pebblepass/decisions/interface/servers.py
@@ -8,7 +8,7 @@
 
 
 class ListKind(Enum):
-    """What a ServersChanged event holds."""
+    """What a ServersChanged event contains."""
 
     DELTA = "delta"
     """The entries that changed."""
@@ -17,7 +17,7 @@
     CACHED = "cached"
     """The complete list from an earlier run, possibly outdated."""
     FAILED = "failed"
-    """Nothing: the list could not be had."""
+    """Nothing: the list could not be fetched."""
 
 
 class ServerState(Enum):
@@ -36,7 +36,7 @@
     """Its machine kind."""
     state: ServerState = ServerState.READY
     weight: float = 1.0
-    """Its size relative to others, where the settings say `weighted`."""
+    """Its size relative to other servers, if the settings are `weighted`."""
     started: int = 0
     """When it started (clock time, nanoseconds); 0: longer ago than any warm-up."""
     zone: str = ""
--- a/pebblepass/decisions/interface/settings.py
+++ b/pebblepass/decisions/interface/settings.py
@@ -11,24 +11,24 @@
 
 
 class Effect(Enum):
-    """What it does to run a request twice."""
+    """The effect of running a request twice."""
 
     IDEMPOTENT = "safe"
-    """Nothing."""
+    """None."""
     IDEMPOTENCY_KEY = "keyed"
-    """Nothing at servers that drop the duplicate (see DedupScope) within the dedup window."""
+    """None at servers that drop the duplicate (see DedupScope), within the dedup window."""
     NOT_IDEMPOTENT = "unsafe"
-    """Harm."""
+    """Harmful."""
 
 
 class DedupScope(Enum):
-    """The servers that drop duplicates of a request with an idempotency key: all, or those near the first."""
+    """The servers that drop duplicates of a request with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
-    """Those in the zone of the server that may have run it."""
+    """Those in the zone of the server that may have run the request."""
     CELL = "cell"
-    """Those in its zone and cell."""
+    """Those in the zone and cell of that server."""
 
 
 def _require(ok: bool, key: str, rule: str) -> None:
@@ -73,18 +73,18 @@
 
 
 class Settings(Struct, frozen=True):
-    """What a router is configured with at its start. Raises ValueError where a value is out of its range."""
+    """A router's configuration, fixed at its start. Raises ValueError where a value is out of its range."""
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
     routers: int = 1
     """Routers that share the quotas."""
     origin_kind: str | None = None
-    """The machine kind of the origin's list entries; None: the caches fetch for themselves."""
+    """The machine kind of the origin's list entries; None: cache servers fetch missing keys themselves."""
     weighted: bool = False
     """Whether the weights of the server list are the servers' sizes."""
     must_subscribe: bool = False
-    """Whether the server list is sent only to subscribers."""
+    """Whether discovery sends the server list only to subscribers."""
     subscribe_within: int = 10 * NS_PER_S
     """Nanoseconds within which the router has to subscribe."""
     cold_capacity: float = 1.0
@@ -92,7 +92,7 @@
     warm_up_time: int = 0
     """Nanoseconds from a server's start to its full capacity."""
     overload_multiple: float = inf
-    """A server that is warming up fails under more than this multiple of its present capacity."""
+    """A server that is warming up fails under a load above this multiple of its present capacity."""
     max_attempts: int = 4
     """Attempts for one request, hedges and fetches included."""
     retry_after: bool = False
--- a/pebblepass/decisions/interface/state.py
+++ b/pebblepass/decisions/interface/state.py
@@ -12,11 +12,11 @@
     started: int
     """The server's start, as listed; the record is void after a restart."""
     last_outcome_at: int
-    """When an attempt at it last showed something of its health."""
+    """When an attempt at it last gave evidence of its health."""
     weight: float
-    """How much the latencies count, 0 to 1; the exporter lets it decrease with age."""
+    """How much the latencies count, 0 to 1; it decreases with the age of the record."""
     send_probability: float
-    """0 to 1 at `recovers_from`; below 0: unreachable for the beginning of the recovery."""
+    """0 to 1 at `recovers_from`; below 0: no request is sent until the recovery has raised it above 0."""
     recovers_from: int
     """When the probability begins to recover."""
     recovery_time: int
@@ -63,14 +63,14 @@
 
 
 class RouterState(Struct, frozen=True):
-    """What a router has measured, for one that starts."""
+    """What a router has measured, for a router that starts."""
 
     servers: tuple[ServerHealth, ...]
     limits: tuple[LimitState, ...]
     origin: OriginHealth
     slot_counts: tuple[tuple[int, float], ...]
-    """The slots with most requests lately, and their decayed counts."""
+    """The slots with the most recent requests, and their decayed counts."""
     tenant_counts: tuple[tuple[str, float], ...]
-    """The tenants with most requests lately, and their decayed counts."""
+    """The tenants with the most recent requests, and their decayed counts."""
     weight: float = 1.0
-    """How much all but `servers` counts, 0 to 1."""
+    """How much everything but `servers` counts, 0 to 1."""
--- a/pebblepass/decisions/origin_limits.py
+++ b/pebblepass/decisions/origin_limits.py
@@ -1,4 +1,4 @@
-"""Limits on the traffic to the origin, tuned by how its fetches end.
+"""Limits on the traffic to the origin, tuned by the outcomes of fetches and writes.
 
 Three limits adapt by AIMD (additive increase, multiplicative decrease): the fetches in flight, the writes in
 flight, and each tenant's rate (its Suppressor). All latencies are nanoseconds.
@@ -30,8 +30,8 @@
 
     Inputs: outcome and latency of each fetch and write, the class's latency target, and the attempts in
     flight at the origin. Reason: the origin's capacity is not announced. Slow fetches narrow the window,
-    since fewer in flight are answered faster; bad ones decrease the write limit and the rates; an outage
-    decreases nothing for good.
+    since fewer in flight are answered faster; bad ones decrease the write limit and the rates. Limits
+    decreased by an outage are restored after it.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         self._window_decreased_at = self._limits_decreased_at = 0
 
     def has_headroom(self, request: Request, queued: int) -> bool:
-        """Whether fetches are fast, none is queued, and hardly any of this tenant's is declined."""
+        """Whether fetches are fast, none is queued, and hardly any call of this tenant was declined."""
         suppressor = request.suppressor
         return (
             suppressor.declined <= MAX_DECLINED_FRACTION * suppressor.accepted(self._context.now)
@@ -74,11 +74,11 @@
         elif not connection_only and (
             late or outcome not in (Outcome.SUPERSEDED, Outcome.CANCELLED, Outcome.TIMEOUT)
         ):
-            # A timeout that is not late had too little time left: not the origin's fault.
+            # A timeout that is not late had too little time left, which is not the origin's fault.
             self._record_bad(node)
 
     def _narrow_window(self, node: Node) -> None:
-        """Decrease the window from the fetches in flight; those of one round trip count as one."""
+        """Decrease the window, starting from the fetches in flight, at most once in a round trip."""
         if self._context.now - self._window_decreased_at >= self.fetch_latency.mean:
             self._window_decreased_at = self._context.now
             self.fetch_window = max(
@@ -95,7 +95,7 @@
     def _record_bad(self, node: Node) -> None:
         """Count a bad fetch, and decrease the limits if too many are bad.
 
-        One bad fetch is chance, and those of one round trip count as one failure.
+        A single bad fetch may be chance, and all those of one round trip count as one failure.
         """
         now = self._context.now
         self.bad_fetch_fraction += (1 - self.bad_fetch_fraction) / BAD_FETCH_SMOOTHING
@@ -110,16 +110,16 @@
             suppressor.decrease_limit(now)
 
     def _detect_outage(self, event: api.AttemptEnded, late: bool, target: int) -> None:
-        """Count fetches without an answer; restore the limits from before an outage that is over."""
+        """Count fetches without an answer; after an outage restore the limits from before it."""
         if event.outcome in (Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT):
             # A timeout that is not late had too little time left, and is no evidence.
             if not event.connection_failed and (late or event.outcome is not Outcome.TIMEOUT):
                 self.outage.record_unanswered(self._state())
         elif event.outcome in (Outcome.OK, Outcome.MISS, Outcome.ERROR, Outcome.OVERLOADED):
             good = event.outcome in (Outcome.OK, Outcome.MISS)
-            before = self.outage.record_answer(good and event.latency <= target * QUICK_FETCH_FRACTION)
-            if before is not None:
-                self._restore(before)
+            state_before = self.outage.record_answer(good and event.latency <= target * QUICK_FETCH_FRACTION)
+            if state_before is not None:
+                self._restore(state_before)
 
     def _state(self) -> OriginState:
         return OriginState(
@@ -131,17 +131,19 @@
             {name: suppressor.limit for name, suppressor in self._suppressors.items()},
         )
 
-    def _restore(self, before: OriginState) -> None:
-        self.write_limit, self.fetch_window = before.write_limit, before.fetch_window
-        self.bad_fetch_fraction = before.bad_fraction
-        self.fetch_latency.mean, self.fetch_latency.deviation = before.mean, before.deviation
+    def _restore(self, state_before: OriginState) -> None:
+        self.write_limit, self.fetch_window = state_before.write_limit, state_before.fetch_window
+        self.bad_fetch_fraction = state_before.bad_fraction
+        self.fetch_latency.mean, self.fetch_latency.deviation = state_before.mean, state_before.deviation
         for name, suppressor in self._suppressors.items():
-            suppressor.limit = max(suppressor.limit, before.limits[name])
+            suppressor.limit = max(suppressor.limit, state_before.limits[name])
 
-    def import_state(self, known: api.OriginHealth, weight: float) -> None:
+    def import_state(self, imported: api.OriginHealth, weight: float) -> None:
         """Move towards another router's limits and fetch latency by `weight` (0 to 1)."""
-        self.bad_fetch_fraction += (known.bad_fraction - self.bad_fetch_fraction) * weight
-        self.fetch_latency.import_estimate(known.fetch_latency_mean, known.fetch_latency_deviation, weight)
-        if weight > 0:  # infinite is unknown here, and can't be averaged
-            self.fetch_window = min(self.fetch_window, max(known.fetch_window, 1.0) / weight)
-            self.write_limit = min(self.write_limit, max(known.write_limit, 1.0) / weight)
+        self.bad_fetch_fraction += (imported.bad_fraction - self.bad_fetch_fraction) * weight
+        self.fetch_latency.import_estimate(
+            imported.fetch_latency_mean, imported.fetch_latency_deviation, weight
+        )
+        if weight > 0:  # infinite means unknown here, and cannot be averaged
+            self.fetch_window = min(self.fetch_window, max(imported.fetch_window, 1.0) / weight)
+            self.write_limit = min(self.write_limit, max(imported.write_limit, 1.0) / weight)
--- a/pebblepass/decisions/origin_requests.py
+++ b/pebblepass/decisions/origin_requests.py
@@ -18,10 +18,11 @@
 
 
 class OriginRequests:
-    """Starts, queues, delays or rejects fetches and writes, by the origin's limits.
+    """Starts, queues, delays or rejects fetches and writes, according to the origin's limits.
 
     Inputs: the limits (OriginLimits), the tenant's Suppressor, the flight of the key, the command's fetches
-    and the time left. Reason: the origin is one slow server; more than it can answer in time helps nobody.
+    and the time left. Reason: the origin is one slow server, and requests that it cannot answer in time serve
+    no client.
     """
 
     def __init__(
@@ -41,7 +42,7 @@
         self._waiting_writes: list[Request] = []  # the newest is sent first
 
     def fetch_or_wait(self, request: Request) -> None:
-        """Fetch, or wait for the same key's fetch or for another fetch of the same command."""
+        """Fetch, or wait for a fetch of the same key or for another fetch of the same command."""
         if not self._flights.join(request):
             command = request.command
             if command is None or command.fetches < FETCHES_PER_COMMAND:
@@ -52,12 +53,12 @@
         self._wait(request, request.deadline - self._context.now)
 
     def submit(self, request: Request) -> None:
-        """Send a read's fetch or a write to the origin if its limits admit it; else queue or give it up."""
+        """Send a read's fetch or a write to the origin if the limits admit it; else queue or reject it."""
         request.is_waiting = False
         now = self._context.now
         origins = self._origins.rank(request.slot, now)
         if not origins or not self._attempts.may_attempt(request) or not request.may_send(origins[0], now):
-            self._exhausted(request, has_origin=bool(origins))
+            self._give_up_exhausted(request, has_origin=bool(origins))
         elif request.is_write:
             self._start_write(request, origins[0])
         else:
@@ -73,7 +74,7 @@
             self.submit(request)
 
     def record_attempt(self, request: Request, node: Node, event: api.AttemptEnded) -> None:
-        """Tune the limits by the end of a fetch or write, and start what waits for one to end."""
+        """Tune the limits by the end of a fetch or write, and start requests that waited for an end."""
         target = request.request_class.latency_target
         self._limits.record_fetch(node, event, event.latency > target, target)
         self._start_queued()
@@ -82,7 +83,7 @@
     def fetch_failed(self, request: Request, event: api.AttemptEnded) -> None:
         """Retry a write after a pause; reject a read, which the client may retry.
 
-        A lost attempt is repeated at once, one time: the origin was not at fault.
+        A lost attempt is repeated once, immediately, as the origin was not at fault.
         """
         late = event.latency > request.request_class.latency_target
         lost = is_connection_failure(event, late) or (event.outcome is Outcome.TIMEOUT and not late)
@@ -107,8 +108,8 @@
 
     def _start_fetch(self, request: Request, origin: Node) -> None:
         now = self._context.now
-        again = request.is_retry or request.is_refetch
-        if not (request.suppressor.admit(now, again) or self._limits.outage.take_probe(now)):
+        is_repeat = request.is_retry or request.is_refetch
+        if not (request.suppressor.admit(now, is_repeat) or self._limits.outage.take_probe(now)):
             self._completion.give_up(request, Reason.RATE_LIMITED)
             return
         if request.key is not None:
@@ -126,37 +127,37 @@
     def _enqueue(self, request: Request) -> None:
         """Queue a fetch while the window is full, if it can still be in time.
 
-        From a full queue a key that nobody else waits for is removed instead.
+        If the queue is full too, a queued fetch that no other read waits for is rejected to make room.
         """
         target = request.request_class.latency_target
-        left = min(request.deadline - self._context.now, int(target * SLOW_FETCH_FRACTION))
-        left -= int(self._limits.fetch_latency.mean)
+        time_left = min(request.deadline - self._context.now, int(target * SLOW_FETCH_FRACTION))
+        time_left -= int(self._limits.fetch_latency.mean)
         if self._queue.is_full(self._limits.fetch_window):
-            least = self._queue.with_fewest_waiters()
-            if left > 0 and not self._flights.waiter_count(least):
-                self._completion.give_up(least, Reason.RATE_LIMITED)
+            evicted = self._queue.with_fewest_waiters()
+            if time_left > 0 and not self._flights.waiter_count(evicted):
+                self._completion.give_up(evicted, Reason.RATE_LIMITED)
             else:
-                left = 0
-        if left <= 0:
+                time_left = 0
+        if time_left <= 0:
             self._completion.give_up(request, Reason.RATE_LIMITED)
             return
         request.take_command_slot()
         self._queue.add(request)
-        self._wait(request, left)
+        self._wait(request, time_left)
 
     def _start_queued(self) -> None:
         """Start queued fetches while the window has room, the key with most waiters first."""
         while self._queue:
-            best = self._queue.with_most_waiters()
-            origins = self._origins.rank(best.slot, self._context.now)
+            next_fetch = self._queue.with_most_waiters()
+            origins = self._origins.rank(next_fetch.slot, self._context.now)
             if origins and origins[0].attempts_in_flight >= self._limits.fetch_window:
                 return
-            self._queue.remove(best)
-            best.is_waiting = False
-            if origins and self._attempts.may_attempt(best):
-                self._begin(best, origins[0])
+            self._queue.remove(next_fetch)
+            next_fetch.is_waiting = False
+            if origins and self._attempts.may_attempt(next_fetch):
+                self._begin(next_fetch, origins[0])
             else:
-                self._exhausted(best, has_origin=bool(origins))
+                self._give_up_exhausted(next_fetch, has_origin=bool(origins))
 
     def _resume_writes(self, node: Node) -> None:
         """Send waiting writes, the newest first, while the write limit has room."""
@@ -165,10 +166,10 @@
             if waiter.is_waiting:
                 self.submit(waiter)
             if self._waiting_writes and self._waiting_writes[-1] is waiter:
-                # It was queued again: the origin's entry was replaced, and its new node is the full one.
+                # It was queued again: the list has replaced the origin's entry, and the new one is full.
                 break
 
-    def _exhausted(self, request: Request, has_origin: bool) -> None:
+    def _give_up_exhausted(self, request: Request, has_origin: bool) -> None:
         reason = self._attempts.exhaustion_reason(request) if has_origin else Reason.NO_SERVER
         self._completion.give_up(request, reason)
 
--- a/pebblepass/decisions/outage.py
+++ b/pebblepass/decisions/outage.py
@@ -1,4 +1,4 @@
-"""Outages of the origin: their detection, and the state to return to when one is over."""
+"""Outages of the origin: their detection, and the state to restore after them."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class Outage:
-    """Detects that the network path to the origin is interrupted, and keeps the state from before.
+    """Detects that the network path to the origin is interrupted, and keeps the state from before that.
 
     An overloaded origin answers late or declines; an unreachable one does not answer at all, and answers fast
-    once it is reachable. Limits that were decreased in between had the wrong cause, and are restored.
+    once it is reachable. Limits decreased in an outage do not reflect its capacity, and are restored.
     """
 
     def __init__(self) -> None:
@@ -40,20 +40,20 @@
         return self._unanswered >= OUTAGE_THRESHOLD
 
     def take_probe(self, now: int) -> bool:
-        """Whether a fetch may be sent as a probe, whatever the limits; at most one a second, in an outage."""
-        due = self.active and now - self._last_probe_at >= PROBE_INTERVAL_NS
-        if due:
+        """Whether to send a fetch as a probe despite the limits: during an outage, at most one a second."""
+        is_due = self.active and now - self._last_probe_at >= PROBE_INTERVAL_NS
+        if is_due:
             self._last_probe_at = now
-        return due
+        return is_due
 
     def record_unanswered(self, state: OriginState) -> None:
-        """Count a fetch that ended without an answer; `state` is kept if it is the first in a row."""
+        """Count a fetch that ended without an answer; the first consecutive one keeps `state`."""
         if not self._unanswered:
             self._state_before = state
         self._unanswered += 1
 
-    def record_answer(self, quickly: bool) -> OriginState | None:
-        """End the row of unanswered fetches; return the state to restore if a quick answer ends an outage."""
-        over = quickly and self.active
+    def record_answer(self, is_fast: bool) -> OriginState | None:
+        """Reset the count; return the state to restore if a fast answer ends an outage."""
+        has_ended = is_fast and self.active
         self._unanswered = 0
-        return self._state_before if over else None
+        return self._state_before if has_ended else None
--- a/pebblepass/decisions/requests.py
+++ b/pebblepass/decisions/requests.py
@@ -1,4 +1,4 @@
-"""Open requests, the rules of repeating them, and the multi-get commands that several of them belong to."""
+"""Open requests, the rules for repeating them, and the multi-get commands that they belong to."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class Command:
-    """A multi-get command: its open requests, and those of them that may not be fetched yet."""
+    """A multi-get command: its open requests, and those whose fetch has to wait."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.open_requests = 0
         self.fetches = 0
-        """Requests that hold a slot: being fetched, or in the origin's queue."""
+        """Requests that hold one of the command's fetch slots: being fetched, or in the fetch queue."""
         self.queued: deque[Request] = deque()
         """Requests that wait for one of these fetches to end, the oldest first."""
 
@@ -27,7 +27,7 @@
 
     # Placement.
     slot = 0
-    popularity = 0.0  # fraction of recent requests that its slot had, 0 to 1
+    popularity = 0.0  # its slot's fraction of recent requests, 0 to 1
     command: Command | None = None
 
     # Attempts.
@@ -38,15 +38,15 @@
     may_have_run: tuple[Node, int] | None = None  # the first attempt that may have run: server, clock time
     in_flight = False  # an attempt that is no hedge is in flight
     is_fetching = False  # and that attempt is at the origin
-    is_refetch = False  # its fetch was lost, and repeated at once
+    is_refetch = False  # its fetch was lost, and is repeated
     is_retry = False  # the client repeats an earlier request
 
     # Waiting.
     is_waiting = False  # for a timer, and possibly for one of the three below
     in_command_queue = False  # for one of its command's fetches to end
     in_origin_queue = False  # for one of this router's fetches to end
-    leads_flight = False  # others wait for its fetch
-    holds_command_slot = False  # it counts as one of its command's fetches
+    leads_flight = False  # other reads of its key wait for its fetch
+    holds_command_slot = False  # it counts among its command's fetches
     is_done = False  # it has its final answer
 
     def __init__(
@@ -66,12 +66,12 @@
     def may_send(self, node: Node, now: int) -> bool:
         """Whether it may be sent to this server at clock time `now` (nanoseconds).
 
-        What may have run is repeated only if that is harmless: an idempotent request anywhere, one with an
-        idempotency key at the servers that drop duplicates, within the time for which they remember the key.
+        A request that may have run is repeated only if that is harmless: an idempotent one anywhere; one with
+        an idempotency key at servers that drop duplicates, for as long as they remember the key.
         """
         if self.may_have_run is None or self.request_class.effect is Effect.IDEMPOTENT:
             return True
-        here, there = node.entry, self.may_have_run[0].entry
+        candidate, first_server = node.entry, self.may_have_run[0].entry
         if (
             self.request_class.effect is Effect.NOT_IDEMPOTENT
             or now - self.may_have_run[1] >= self.request_class.dedup_window
@@ -79,12 +79,12 @@
             return False
         if self.request_class.dedup_scope is DedupScope.ALL:
             return True
-        return here.zone == there.zone and (
-            self.request_class.dedup_scope is DedupScope.ZONE or here.cell == there.cell
+        return candidate.zone == first_server.zone and (
+            self.request_class.dedup_scope is DedupScope.ZONE or candidate.cell == first_server.cell
         )
 
     def resend_deadline(self) -> int:
-        """Return the clock time in nanoseconds after which it must not be sent again; 0: no such time."""
+        """Return the clock time in nanoseconds after which it must not be sent again; 0: no limit."""
         if self.may_have_run is None or self.request_class.effect is not Effect.IDEMPOTENCY_KEY:
             return 0
         return self.may_have_run[1] + self.request_class.dedup_window
@@ -108,7 +108,7 @@
             self.command.fetches += 1
 
     def free_command_slot(self) -> Command | None:
-        """Stop counting it; return the command that may start another fetch, if any."""
+        """Stop counting the fetch; return the command, which may start another one, or None."""
         if self.command is None or not self.holds_command_slot:
             return None
         self.holds_command_slot = False
--- a/pebblepass/decisions/router.py
+++ b/pebblepass/decisions/router.py
@@ -1,16 +1,16 @@
 """The decisions of one router, without I/O: events and the time in, actions out (see interface/).
 
-Ordinary path: key -> slot -> the ready cache server with the highest weighted hash of (slot, server id);
+Usual path: key -> slot -> the ready cache server with the highest weighted hash of (slot, server id);
 a read that misses there -> the origin, if its tenant's Suppressor admits the fetch; a write -> the origin.
-docs/design/decisions.md gives the source and the condition of every departure.
+docs/design/decisions.md gives the source of every departure from this path, and its condition.
 
-Where each rule stands:
+Where each rule is implemented:
 
 | rule | module |
 | --- | --- |
 | a request's first step; batches of a multi-get command | arrivals |
 | placement and warm-up of servers | slot_table |
-| which cache server, hot slots, cold servers, deadlines that are too short | selection |
+| choice of the cache server, hot slots, cold servers, short deadlines | selection |
 | cache server, origin or rejection | routing |
 | popularity of slots and tenants | hot_keys |
 | number, timeout and start of attempts | attempts, timeouts |
@@ -21,7 +21,7 @@
 | admission of fetches and writes to the origin | origin_requests, fetch_queue, single_flight |
 | limits on the origin's traffic, outages | origin_limits, outage |
 | a tenant's rate limit | suppressor, tenants |
-| final answers, and who goes on after them | completion, open_requests |
+| final answers, and resuming the requests that waited | completion, open_requests |
 | policy, quota leases, floor | policy |
 | server list, cordons, subscription | server_list, subscription |
 | state for a router that starts | state_transfer |
@@ -63,8 +63,8 @@
 class Router:
     """One router's decisions: pass each event with the time, and carry out the actions returned.
 
-    It builds the parts and hands each event to the one that it concerns. The parts share the context (the
-    time and the actions of the event in hand) and one random generator.
+    It builds the parts and passes each event to the part concerned. The parts share the context (the time and
+    the actions of the current event) and one random generator.
     """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
@@ -115,7 +115,7 @@
         )
 
     def _event_table(self) -> dict[type, Handler]:
-        """Return what processes each kind of event; the kinds that are missing need no decision."""
+        """Return the handler of each kind of event; kinds without a handler need no decision."""
         return {
             api.RequestArrived: self._arrivals.request_arrived,
             api.BatchArrived: self._batches.batch_arrived,
@@ -134,7 +134,7 @@
         """Process one event at clock time `now` (nanoseconds); return the actions to carry out, in order."""
         context = self._context
         context.now, context.actions = now, []
-        if now >= self.policy.next_expiry:  # not by a timer: the process may have been stopped
+        if now >= self.policy.next_expiry:  # not by a timer, as the process may have been stopped
             self.policy.expire(now)
         handler = self._handlers.get(type(event))
         if handler is not None:
@@ -162,7 +162,7 @@
         return self.policy.version()
 
     def export_state(self, now: int) -> api.RouterState:
-        """Return what this router has measured, for another router that starts."""
+        """Return what this router has measured, for a router that starts."""
         return self._state_transfer.export_state(now)
 
     def _hedge_due(self, event: api.HedgeDue) -> None:
@@ -178,7 +178,7 @@
     def _timer_fired(self, event: api.TimerFired) -> None:
         if event.token == SUBSCRIBE_TIMER:
             self._subscription.timer_fired()
-            # No return: clients choose the ids of requests, and one of this id may have a timer too.
+            # No return: clients choose the request ids, so a request with this id may have a timer too.
         request = self.open_requests.by_id.get(event.token)
         if request is not None:
             self._origin_requests.timer_fired(request)
--- a/pebblepass/decisions/routing.py
+++ b/pebblepass/decisions/routing.py
@@ -1,4 +1,4 @@
-"""Routing of a read: to a cache server, to the origin, or nowhere."""
+"""Routing of a request to a cache server or to the origin, or its rejection."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 class Routing:
     """Chooses the next step of a request that has no attempt in flight.
 
-    Inputs: the candidates in order, their health, and the origin's headroom. A candidate that declines is
-    passed over once, and only while the origin has headroom for the miss at the next one; then the request
-    is shed. Where no candidate can be reached the origin gets it.
+    Inputs: the candidates in order, their health, and the origin's headroom. If a candidate is ruled out by
+    its send probability, the next one is considered, but only one, and only while the origin has headroom
+    for a miss there; otherwise the request is shed. If no candidate is reachable, it goes to the origin.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
             # A miss elsewhere would leave no attempt for the origin.
             self._origin_requests.fetch_or_wait(request)
             return
-        declined = False
+        has_declined = False
         for node in selection.candidates(request):
             if not selection.may_connect(request, node):
                 continue
@@ -56,10 +56,10 @@
                 self._send_in_time(request, node)
                 return
             if not node.is_unreachable:
-                again, declined = declined, True
-                if again or not self._origin_limits.has_headroom(request, len(self._queue)):
+                is_second, has_declined = has_declined, True
+                if is_second or not self._origin_limits.has_headroom(request, len(self._queue)):
                     break
-        if declined:
+        if has_declined:
             self._completion.give_up(request, Reason.SHED)
         else:
             self._origin_requests.fetch_or_wait(request)
--- a/pebblepass/decisions/selection.py
+++ b/pebblepass/decisions/selection.py
@@ -15,15 +15,15 @@
 from pebblepass.decisions.slot_table import DEPTH, SlotTable
 
 OWNER_JITTER = 0.4  # of the estimated wait at a hot slot's owners, so that routers choose differently
-MIN_ANSWER_PROBABILITY = 0.5  # within the time left: below it no attempt is made
+MIN_ANSWER_PROBABILITY = 0.5  # of an answer within the time left; below it, no attempt is made
 
 
 class ServerSelection:
     """The ready cache servers for a read in order of preference, and whether each may get it.
 
     Inputs: the slot's ranking and popularity, each server's health, load and warm-up, and the time left.
-    Reason: a key belongs on one server, so that it is cached once; a hot slot belongs on several, and a
-    server that has just started must not get a full load.
+    Reason: a key should be cached on one server only, a hot slot on several, and a server that has just
+    started must not get a full load.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         return node not in request.excluded and node.may_connect(now) and request.may_send(node, now)
 
     def accepts(self, request: Request, node: Node) -> bool:
-        """Draw whether a server gets the request, by its send probability.
+        """Decide at random, by its send probability, whether a server gets the request.
 
         Requests of tenants that overuse their weight are shed first.
         """
@@ -78,35 +78,37 @@
     def unlikely_in_time(self, request: Request, node: Node) -> bool:
         """Whether a first attempt at this server would probably end after the client's deadline.
 
-        Such a request is rejected: it would cost the server as much as any, and the client time for a retry.
-        A few are sent all the same, to detect that caches are fast again where all deadlines are short.
+        Such a request is rejected: it would cost the server as much as any other, and the client the time for
+        a retry. A few are still sent, to detect that caches are fast again when all deadlines are short.
         """
-        left = request.deadline - self._context.now
-        if left >= request.request_class.latency_target or request.attempts or request.is_write:
+        time_left = request.deadline - self._context.now
+        if time_left >= request.request_class.latency_target or request.attempts or request.is_write:
             return False
-        unlikely = node.unanswered_at > self._context.now - TIMEOUT_HOLD_NS
-        unlikely = unlikely or self._health.history.answer_probability(left) < MIN_ANSWER_PROBABILITY
-        return unlikely and self._rng.random() >= MIN_PROBABILITY
+        is_unlikely = node.unanswered_at > self._context.now - TIMEOUT_HOLD_NS
+        is_unlikely = (
+            is_unlikely or self._health.history.answer_probability(time_left) < MIN_ANSWER_PROBABILITY
+        )
+        return is_unlikely and self._rng.random() >= MIN_PROBABILITY
 
     def _skips_cold(self, node: Node) -> bool:
         """Whether to skip a cold server: its slot may be hot, and too few requests were seen to know that.
 
         All routers place a slot on the same server, and those that have just started know no hot slots.
-        Beyond its normal load a cold server has room for `overload_multiple` - 1 times that. With the
-        probability used here all such routers together send it 1/e of that room for one slot, however many
-        they are.
+        Beyond its normal load a cold server can take `overload_multiple` - 1 times that load. With the
+        probability used here, all such routers together send it 1/e of that for one slot, however many they
+        are.
         """
         warm_up = self._caches.warm_up_fraction(node, self._context.now)
         servers = len(self._caches.nodes)
         if warm_up >= 1.0:
             return False
-        seen = self.slot_popularity.total * (self._overload_multiple - 1) * warm_up
-        return seen < servers and self._rng.random() * servers >= seen
+        requests_seen = self.slot_popularity.total * (self._overload_multiple - 1) * warm_up
+        return requests_seen < servers and self._rng.random() * servers >= requests_seen
 
     def _expected_wait(self, node: Node) -> float:
-        """Estimate the time in nanoseconds of one more request there, with jitter.
+        """Estimate the wait of one more request there in nanoseconds, with jitter.
 
-        Latency stands for the server's speed and other routers' load; this router's attempts show neither.
+        Latency reflects the server's speed and other routers' load; this router's attempts in flight do not.
         """
         weight = node.weight * self._caches.warm_up_fraction(node, self._context.now)
         expected = node.latency.expected(self._health.latency.mean)
--- a/pebblepass/decisions/server_list.py
+++ b/pebblepass/decisions/server_list.py
@@ -10,10 +10,10 @@
 
 
 class ServerList:
-    """Applies lists to the tables of caches and origins, and keeps cordoned servers out of them.
+    """Applies lists to the tables of caches and origins, without the cordoned servers.
 
-    Inputs: the lists received, and the names that the policy cordons. The origin is never cordoned: nothing
-    could be served without it.
+    Inputs: the lists received, and the ids that the policy cordons. The origin is never cordoned, as no miss
+    or write could be served without it.
     """
 
     def __init__(
@@ -37,13 +37,15 @@
         ready = [entry for entry in event.servers if entry.state is ServerState.READY]
         if self._policy.cordoned:
             ready = self._without_cordoned(ready, event)
-        left = [entry.id for entry in event.servers if entry.state is not ServerState.READY]
+        removed = [entry.id for entry in event.servers if entry.state is not ServerState.READY]
         for table, is_origin in ((self._caches, False), (self._origins, True)):
-            mine = [entry for entry in ready if (entry.kind == self._origin_kind) == is_origin]
+            entries = [entry for entry in ready if (entry.kind == self._origin_kind) == is_origin]
             unlisted = (
-                table.nodes.keys() - {entry.id for entry in mine} if event.kind is not ListKind.DELTA else ()
+                table.nodes.keys() - {entry.id for entry in entries}
+                if event.kind is not ListKind.DELTA
+                else ()
             )
-            table.update(mine, [*left, *unlisted])
+            table.update(entries, [*removed, *unlisted])
 
     def ready_servers(self) -> list[api.Server]:
         """Return the ready servers of the last list, the origin and cordoned ones included."""
@@ -51,7 +53,7 @@
         return [*routed, *self._cordoned.values()]
 
     def reapply_cordons(self) -> None:
-        """Apply the last list again under the names that the policy cordons now."""
+        """Apply the last list again with the servers that the policy now cordons."""
         entries = self.ready_servers()
         self._cordoned.clear()
         self.servers_changed(api.ServersChanged(ListKind.FULL, tuple(entries)))
@@ -59,16 +61,16 @@
     def avoided(self, now: int) -> list[str]:
         """Return the ids of ready caches that get hardly any requests; one late answer is not enough."""
         nodes = self._caches.nodes.items()
-        return [name for name, node in nodes if node.is_avoided(now) or not node.may_connect(now)]
+        return [server_id for server_id, node in nodes if node.is_avoided(now) or not node.may_connect(now)]
 
     def _without_cordoned(self, ready: list[api.Server], event: api.ServersChanged) -> list[api.Server]:
-        """Remember the ready servers that are cordoned, and return the others."""
-        names = self._policy.cordoned
+        """Keep the ready servers that are cordoned aside, and return the others."""
+        cordoned_ids = self._policy.cordoned
         if event.kind is not ListKind.DELTA:
             self._cordoned.clear()
         for entry in event.servers:
             self._cordoned.pop(entry.id, None)
         self._cordoned |= {
-            entry.id: entry for entry in ready if entry.id in names and entry.kind != self._origin_kind
+            entry.id: entry for entry in ready if entry.id in cordoned_ids and entry.kind != self._origin_kind
         }
         return [entry for entry in ready if entry.id not in self._cordoned]
--- a/pebblepass/decisions/settings.py
+++ b/pebblepass/decisions/settings.py
@@ -1,4 +1,4 @@
-"""The settings in the simulator's form, read for the adapter and the real router alike."""
+"""Reads the settings in the simulator's JSON form, for the adapter and the daemon."""
 
 from __future__ import annotations
 
@@ -20,44 +20,44 @@
 
 
 class WireError(Exception):
-    """Malformed input, with one plain line saying what was wrong."""
+    """Malformed input; the message is one line that names the field and the fault."""
 
 
 def require_type(where: str, value: object, kind: type[Value]) -> Value:
-    """Return `value` if it is of the kind; a bool is no integer. Raises WireError."""
+    """Return `value` if it has this type; a bool is not accepted as an integer. Raises WireError."""
     if not isinstance(value, kind) or (kind is int and isinstance(value, bool)):
         raise WireError(f"{where}: expected {_TYPE_NAMES[kind]}, got {type(value).__name__}")
     return value
 
 
 def require_choice(where: str, table: Mapping[str, Value], value: object) -> Value:
-    """Look a word of the wire up in its table. Raises WireError."""
+    """Return the entry of `table` for a value of the input. Raises WireError."""
     try:
         return table[cast("str", value)]
     except (KeyError, TypeError):
         raise WireError(f"{where}: unknown value {value!r}") from None
 
 
-def _request_class(facts: Fields) -> api.RequestClass:
+def _request_class(fields: Fields) -> api.RequestClass:
     return api.RequestClass(
-        name=facts["name"],
-        latency_target=facts["aimNs"],
-        deadline=facts["giveUpNs"],
-        effect=require_choice("classes.semantics", _EFFECTS, facts["semantics"]),
-        dedup_scope=api.DedupScope(facts.get("group") or "all"),
-        dedup_window=facts.get("dedupWindowNs") or 0,
-        streamed=bool(facts.get("streamed")),
+        name=fields["name"],
+        latency_target=fields["aimNs"],
+        deadline=fields["giveUpNs"],
+        effect=require_choice("classes.semantics", _EFFECTS, fields["semantics"]),
+        dedup_scope=api.DedupScope(fields.get("group") or "all"),
+        dedup_window=fields.get("dedupWindowNs") or 0,
+        streamed=bool(fields.get("streamed")),
     )
 
 
-def read_settings(facts: Fields) -> api.Settings:
-    """Read the settings; unknown keys are ignored and null counts as absent."""
-    family = facts.get("familyInfo") or {}
-    ceilings = facts.get("ceilings") or {}
-    rules = facts.get("rules") or {}
-    kinds: list[str] = facts.get("kinds") or []
+def read_settings(fields: Fields) -> api.Settings:
+    """Read the settings; unknown keys are ignored, and null counts as absent."""
+    family = fields.get("familyInfo") or {}
+    ceilings = fields.get("ceilings") or {}
+    rules = fields.get("rules") or {}
+    kinds: list[str] = fields.get("kinds") or []
     origin = -1 if family.get("originKind") is None else family["originKind"]
-    aside = family.get("mode") == "aside"
+    has_origin = family.get("mode") == "aside"
     optional = {
         "subscribe_within": rules.get("askWithinNs"),
         "cold_capacity": rules.get("coldShare"),
@@ -71,15 +71,15 @@
         "requests_per_connection": ceilings.get("streamsPerConn"),
     }
     return api.Settings(
-        classes=tuple(_request_class(entry) for entry in facts["classes"]),
+        classes=tuple(_request_class(entry) for entry in fields["classes"]),
         tenants=tuple(
             api.Tenant(entry["name"], entry["portion"], entry.get("quotaPerS") or 0.0)
-            for entry in facts.get("tenants") or ()
+            for entry in fields.get("tenants") or ()
         ),
-        routers=facts.get("balancers") or 1,
-        origin_kind=kinds[origin] if aside and 0 <= origin < len(kinds) else None,
-        weighted=facts.get("weightKind") in _SIZED_WEIGHTS,
-        must_subscribe=facts.get("membershipMode") == "subscribe",
-        load_fields=tuple((facts.get("feedback") or {}).get("fields") or ()),
+        routers=fields.get("balancers") or 1,
+        origin_kind=kinds[origin] if has_origin and 0 <= origin < len(kinds) else None,
+        weighted=fields.get("weightKind") in _SIZED_WEIGHTS,
+        must_subscribe=fields.get("membershipMode") == "subscribe",
+        load_fields=tuple((fields.get("feedback") or {}).get("fields") or ()),
         **{key: value for key, value in optional.items() if value is not None},
     )
--- a/pebblepass/decisions/single_flight.py
+++ b/pebblepass/decisions/single_flight.py
@@ -10,7 +10,7 @@
 class SingleFlight:
     """The keys that are being fetched, each with the reads that wait for its fetch.
 
-    Inputs: the key of a read. Reason: the origin is slow, and one fetch fills the cache for all of them.
+    Inputs: the key of a read. Reason: the origin is slow, and one fetch fills the cache for all these reads.
     Reads without a key and writes are never merged.
     """
 
@@ -21,12 +21,12 @@
         return len(self._flights)
 
     def lead(self, request: Request, key: str) -> None:
-        """Let later reads of this key wait for this request's fetch."""
+        """Open the key's flight: later reads of this key wait for this request's fetch."""
         self._flights.setdefault(key, [])
         request.leads_flight = True
 
     def join(self, request: Request) -> bool:
-        """Add a read to its key's flight; return whether there is one."""
+        """Add a read to its key's flight, if there is one; return whether it was added."""
         flight = None if request.key is None else self._flights.get(request.key)
         if flight is None or request.is_write:
             return False
--- a/pebblepass/decisions/slot_table.py
+++ b/pebblepass/decisions/slot_table.py
@@ -11,8 +11,8 @@
 from pebblepass.decisions.health import Node
 
 SLOTS = 8192  # far more than servers, so that one slot is a small fraction of a server's load
-DEPTH = 8  # servers ranked for a slot: more than a request has attempts, with some to skip
-HASH_MASK = (1 << 64) - 1  # of a 64-bit hash
+DEPTH = 8  # servers ranked for a slot: more than a request's attempts, so that some may be skipped
+HASH_MASK = (1 << 64) - 1  # 64 bits
 
 
 class SlotTable:
@@ -26,14 +26,14 @@
         self.nodes: dict[str, Node] = {}
         self._settings = settings
         self.scored_rankings: dict[int, list[tuple[float, Node]]] = {}
-        """Scores and servers by slot, the best first, while warm-up does not count."""
+        """Scores, without warm-up, and servers by slot, the best first."""
         self.steady_rankings: dict[int, list[Node]] = {}
-        """The servers alone, by slot; filled while no server is warming up."""
+        """The servers only, by slot; filled while no server is warming up."""
         self.cold_until = 0
         self._single: list[Node] = []
 
     def update(self, ready: list[api.Server], left: list[str]) -> None:
-        """Add or replace ready servers and remove those that left; unaffected rankings stay cached."""
+        """Add or replace ready servers and remove those in `left`; unaffected rankings stay cached."""
         changed = [e for e in ready if e.id not in self.nodes or self.nodes[e.id].entry != e]
         removed = {*left, *(entry.id for entry in changed)}
         self.steady_rankings.clear()
@@ -60,18 +60,18 @@
         return -node.weight / math.log(((mixed ^ mixed >> 32) + 1) / (HASH_MASK + 2))
 
     def warm_up_fraction(self, node: Node, now: int) -> float:
-        """Return the fraction (0 to 1) of its full capacity that a server has by the time since its start."""
-        age = max(now - node.entry.started, 0)  # clocks differ: a start may lie ahead
+        """Return the fraction of its full capacity, 0 to 1, that a server has reached since its start."""
+        age = max(now - node.entry.started, 0)  # clocks differ: the start may lie in the future
         cold, cold_time = self._settings.cold_capacity, self._settings.warm_up_time
         warm = not node.entry.started or age >= cold_time
         return 1.0 if warm else cold + (1 - cold) * age / cold_time
 
     def rank(self, slot: int, now: int, depth: int = DEPTH) -> Sequence[Node]:
-        """Return at least `depth` servers of a slot (or all), best first.
+        """Return at least `depth` servers of a slot (all, if there are fewer), the best first.
 
         Scores are multiplied by the warm-up fraction while any server is warming up.
         """
-        if len(self.nodes) <= 1:  # the origin's table: nothing to rank
+        if len(self.nodes) <= 1:  # such as the origin's table: nothing to rank
             return self._single
         cached = self.steady_rankings.get(slot, ())
         if len(cached) >= min(depth, len(self.nodes)) and now >= self.cold_until:
@@ -81,7 +81,7 @@
             scored = ((self._score(slot, node), node) for node in self.nodes.values())
             scores = self.scored_rankings[slot] = nlargest(2 * depth, scored, key=itemgetter(0))
         if now < self.cold_until:
-            ramped = [(score * self.warm_up_fraction(node, now), node) for score, node in scores]
-            return [node for _, node in sorted(ramped, key=itemgetter(0), reverse=True)]
+            warm_up_scores = [(score * self.warm_up_fraction(node, now), node) for score, node in scores]
+            return [node for _, node in sorted(warm_up_scores, key=itemgetter(0), reverse=True)]
         ranked = self.steady_rankings[slot] = [node for _, node in scores]
         return ranked
--- a/pebblepass/decisions/state_transfer.py
+++ b/pebblepass/decisions/state_transfer.py
@@ -1,4 +1,4 @@
-"""Transfer of what a router has measured to another one that starts."""
+"""Transfer of a router's measured state to a router that starts."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
     def export_state(self, now: int) -> api.RouterState:
         """Return what this router has measured until `now` (nanoseconds)."""
-        nodes = self._caches.nodes.values()  # the origin has no health of its own
+        nodes = self._caches.nodes.values()  # the origin has no health record
         suppressors = self._tenants.suppressors.items()
         slots, tenants = self._slot_popularity.hottest(), self._tenants.usage.hottest()
         return api.RouterState(
@@ -49,16 +49,16 @@
             cache_latency_deviation=answers.deviation,
         )
 
-    def import_state(self, known: api.RouterState) -> None:
-        """Take over another router's state by its weight; servers and tenants unknown here are left out."""
-        for node in known.servers:
+    def import_state(self, imported: api.RouterState) -> None:
+        """Import another router's state by its weight; servers and tenants unknown here are ignored."""
+        for node in imported.servers:
             if node.server in self._caches.nodes:
                 self._caches.nodes[node.server].import_state(node)
-        for limit in known.limits:
+        for limit in imported.limits:
             if limit.tenant in self._tenants.suppressors:
-                self._tenants.suppressors[limit.tenant].import_state(limit, known.weight)
-        self._slot_popularity.import_counts(known.slot_counts, known.weight)
-        self._tenants.usage.import_counts(known.tenant_counts, known.weight)
-        origin, weight = known.origin, known.weight
+                self._tenants.suppressors[limit.tenant].import_state(limit, imported.weight)
+        self._slot_popularity.import_counts(imported.slot_counts, imported.weight)
+        self._tenants.usage.import_counts(imported.tenant_counts, imported.weight)
+        origin, weight = imported.origin, imported.weight
         self._origin_limits.import_state(origin, weight)
         self._cache_latency.import_estimate(origin.cache_latency_mean, origin.cache_latency_deviation, weight)
--- a/pebblepass/decisions/suppressor.py
+++ b/pebblepass/decisions/suppressor.py
@@ -17,11 +17,11 @@
 from pebblepass.decisions.interface import NS_PER_S
 
 HARD_LIMIT_FACTOR = 1.5  # of the soft limit
-PROBABILITY_TTL_NS = NS_PER_S // 10  # for which an admission probability is cached
-WINDOW_CALLS = 8  # that a window should hold at the cap
+PROBABILITY_TTL_NS = NS_PER_S // 10  # time for which an admission probability is cached
+WINDOW_CALLS = 8  # calls that a window should hold at the cap
 MIN_WINDOW_S, MAX_WINDOW_S = 5.0, 20.0
 DEFAULT_LIMIT = 1000.0  # calls a second of all routers together, where no quota is configured
-MIN_WEIGHT = 0.001  # of a tenant without one, for its overuse
+MIN_WEIGHT = 0.001  # stands for a weight of 0 when overuse is computed
 LIMIT_DECREASE = 0.7  # factor on the rate in use
 LIMIT_RECOVERY_S = 15.0  # from 0 to the cap
 
@@ -39,9 +39,9 @@
 class Suppressor:
     """A tenant's rate limiter: sliding-window counts, three regimes, and a limit tuned by AIMD.
 
-    Under the soft limit every fetch is admitted, over the hard limit none, and some in between. Inputs: the
-    calls in the window, the limit, and how good the tenant's and all others' fetches are. Reason: a tenant
-    that overuses the origin must not slow down the others, and its retries must not lock it out.
+    Under the soft limit every fetch is admitted, over the hard limit none, and in between some. Inputs: the
+    calls in the window, the limit, and the outcomes of all tenants' fetches. Reason: a tenant that overuses
+    the origin must not slow down the others, and its own retries must not lock it out.
     """
 
     def __init__(self, tenant: api.Tenant, routers: int, rng: random.Random) -> None:
@@ -60,7 +60,7 @@
         self.hard_factor = HARD_LIMIT_FACTOR
         self.configured_limit = ConfiguredLimit(self.weight, self.cap, self.window_s)
         self.has_quota, self._leased = tenant.quota_per_s > 0, False
-        self._carried_over, self._carried_over_at = 0.0, 0  # excess of the limit before its lease shrank
+        self._carried_over, self._carried_over_at = 0.0, 0  # excess of the limit from before the lease shrank
         self._limit_before_floor: float | None = None  # None: the floor does not apply
         self._rng = rng
         self._probability, self._probability_until = 1.0, 0
@@ -87,11 +87,11 @@
             self.cap = min(full_cap, self.configured_limit.cap * policy.floor_fraction) + (lease or 0.0)
         self.min_limit = min(1 / self.window_s, self.cap)
         previous = self.limit + self._carry_over(now)
-        if leased:  # a lease that changes is no evidence about the origin: the limit keeps its fraction
+        if leased:  # a change of lease says nothing about the origin: the limit keeps its fraction
             self.limit, self._limit_before_floor = min(used_fraction, 1.0) * self.cap, None
         else:
             self._limit_without_lease(used_fraction, full_cap, at_floor=lease is None)
-        # Calls in the window from before a lease shrank were allowed then, and are not charged now.
+        # Calls in the window from before the lease shrank were within the limit, and are not held against it.
         self._carried_over = max(previous - self.limit, 0.0) if leased and lease else 0.0
         self._carried_over_at = now
         self._leased = leased
@@ -112,17 +112,17 @@
         return cap
 
     def _limit_without_lease(self, used_fraction: float, full_cap: float, at_floor: bool) -> None:
-        """Set the limit; the one from before the floor applies again after it.
+        """Set the limit; the limit from before the floor applies again after it.
 
-        The floor is no evidence about the origin.
+        The floor says nothing about the origin.
         """
-        tuned = self.limit if self._limit_before_floor is None else self._limit_before_floor
+        tuned_limit = self.limit if self._limit_before_floor is None else self._limit_before_floor
         if self._leased:
-            tuned = used_fraction * full_cap
-        self.limit, self._limit_before_floor = min(tuned, self.cap), tuned if at_floor else None
+            tuned_limit = used_fraction * full_cap
+        self.limit, self._limit_before_floor = min(tuned_limit, self.cap), tuned_limit if at_floor else None
 
     def _carry_over(self, now: int) -> float:
-        """Return what remains of the excess; it decays with a time constant of half a window."""
+        """Return what remains of the carried-over excess; it decays with a time constant of half a window."""
         if not self._carried_over:
             return 0.0
         return self._carried_over * math.exp((self._carried_over_at - now) / NS_PER_S * 2 / self.window_s)
@@ -143,13 +143,13 @@
         counts: dict[int, list[int]] = {}
         for at, declined in self._calls:
             counts.setdefault(at // PROBABILITY_TTL_NS, [0, 0])[declined] += 1
-        calls = tuple((step * PROBABILITY_TTL_NS, each[0], each[1]) for step, each in counts.items())
+        calls = tuple((step * PROBABILITY_TTL_NS, count[0], count[1]) for step, count in counts.items())
         return api.LimitState(tenant, self.limit, calls)
 
-    def import_state(self, known: api.LimitState, weight: float) -> None:
+    def import_state(self, imported: api.LimitState, weight: float) -> None:
         """Move the limit towards another router's by `weight` (0 to 1), and add its calls to the window."""
-        self.limit += (min(max(known.limit, self.min_limit), self.cap) - self.limit) * weight
-        calls = [(at, bool(i)) for at, *counts in known.calls for i in (0, 1) for _ in range(counts[i])]
+        self.limit += (min(max(imported.limit, self.min_limit), self.cap) - self.limit) * weight
+        calls = [(at, bool(i)) for at, *counts in imported.calls for i in (0, 1) for _ in range(counts[i])]
         self._calls = deque(sorted([*calls, *self._calls]))
         self.declined = sum(declined for _, declined in self._calls)
 
@@ -159,26 +159,28 @@
             self.declined -= self._calls.popleft()[1]
         return len(self._calls) - self.declined
 
-    def admit(self, now: int, again: bool = False) -> bool:
-        """Decide on one fetch, and count it; a retry (`again`) is not counted as demand."""
+    def admit(self, now: int, is_retry: bool = False) -> bool:
+        """Decide on one fetch, and count it; a retry is not counted as demand."""
         accepted, soft = self.accepted(now), self.window_s * (self.limit + self._carry_over(now))
-        over = len(self._calls) >= soft * self.hard_factor
-        allowed = not (over and accepted >= soft)
-        if allowed and self._calls and (over or accepted >= soft):
+        over_hard_limit = len(self._calls) >= soft * self.hard_factor
+        allowed = not (over_hard_limit and accepted >= soft)
+        if allowed and self._calls and (over_hard_limit or accepted >= soft):
             # Departure from the source (docs/design/decisions.md): while fewer calls than the soft limit were
-            # admitted, the probability applies over the hard limit too. Declined retries would keep a tenant
-            # there for good.
+            # admitted, the probability applies over the hard limit too. Otherwise a tenant's declined retries
+            # would keep it over the hard limit for good.
             allowed = self._rng.random() < self.admission_probability(now)
         self.record_call(now, declined=not allowed)
-        self.demand -= again
+        self.demand -= is_retry
         return allowed
 
     def admission_probability(self, now: int) -> float:
         """Return the probability between the limits: rate limit / perceived rate, at most 1, cached."""
         if now >= self._probability_until:
             self._probability_until = now + PROBABILITY_TTL_NS
-            last = sum(1 for _ in takewhile(lambda call: call[0] > now - NS_PER_S, reversed(self._calls)))
-            self._probability = min(1.0, self.limit / max(len(self._calls) / self.window_s, last))
+            last_second = sum(
+                1 for _ in takewhile(lambda call: call[0] > now - NS_PER_S, reversed(self._calls))
+            )
+            self._probability = min(1.0, self.limit / max(len(self._calls) / self.window_s, last_second))
         return self._probability
 
     def increase_limit(self, now: int) -> None:
--- a/pebblepass/decisions/tenants.py
+++ b/pebblepass/decisions/tenants.py
@@ -16,16 +16,16 @@
         tenants = (*settings.tenants, api.Tenant("", 1.0))
         self.suppressors = {tenant.name: Suppressor(tenant, settings.routers, rng) for tenant in tenants}
         self.usage = Popularity()
-        """Requests lately by tenant name, as the clients state it."""
+        """Recent requests by tenant name, as stated by the clients."""
 
     def suppressor(self, tenant: str | None) -> Suppressor:
         """Return the rate limiter of a tenant."""
         return self.suppressors.get(tenant or "", self.suppressors[""])
 
     def limits(self) -> dict[str, float]:
-        """Return each configured tenant's present limit in fetches a second."""
+        """Return each configured tenant's current limit in fetches a second."""
         return {name: suppressor.limit for name, suppressor in self.suppressors.items() if name}
 
     def demand(self) -> dict[str, int]:
-        """Return each configured tenant's fetches and writes so far, with refused ones, without retries."""
+        """Return each configured tenant's fetches and writes so far (see Suppressor.demand)."""
         return {name: suppressor.demand for name, suppressor in self.suppressors.items() if name}
--- a/pebblepass/decisions/timeouts.py
+++ b/pebblepass/decisions/timeouts.py
@@ -7,7 +7,7 @@
 
 TIMEOUT_DEVIATIONS = 6  # deviations above the mean latency
 MIN_TIMEOUT_FRACTION, MAX_TIMEOUT_FRACTION = 0.125, 0.95  # of the latency target
-SLOW_SERVER_FRACTION = 0.8  # of the latency target: slower servers have no timeout but the client's deadline
+SLOW_SERVER_FRACTION = 0.8  # of the latency target; slower servers get no timeout but the client's deadline
 
 
 def expected_latency(overall: LatencyEstimate, node: Node) -> tuple[float, float]:
@@ -18,16 +18,16 @@
 
 
 class AttemptTimeouts:
-    """Timeouts of first attempts, in nanoseconds, that may be repeated without harm.
+    """Timeouts, in nanoseconds, of first attempts that may be repeated without harm.
 
     Inputs: the latencies of the server and of all servers, the class's latency target, and the event loop's
-    lag. Reason: a lost attempt is repeated while the answer can still be within the target.
+    lag. Reason: a lost attempt is repeated early enough for the answer to be within the target.
     """
 
     def __init__(self, cache_latency: LatencyEstimate, fetch_latency: LatencyEstimate) -> None:
         self._cache_latency, self._fetch_latency = cache_latency, fetch_latency
         self.loop_lag = 0
-        """Nanoseconds that this router's event loop runs late: an answer may lie unread for so long."""
+        """Nanoseconds that this router's event loop runs late: an answer may wait unread for that long."""
 
     def timeout(self, request: Request, node: Node) -> int:
         """Return the timeout of an attempt that starts now; 0: only the client's deadline ends it."""
@@ -35,10 +35,10 @@
         mean, deviation = expected_latency(
             self._fetch_latency if request.is_fetching else self._cache_latency, node
         )
-        slow = mean + deviation * TIMEOUT_DEVIATIONS / 2 > target * SLOW_SERVER_FRACTION
-        first = not request.is_refetch if request.is_fetching else request.attempts == 1
-        if slow or not first or not request.may_repeat():
+        is_slow = mean + deviation * TIMEOUT_DEVIATIONS / 2 > target * SLOW_SERVER_FRACTION
+        is_first = not request.is_refetch if request.is_fetching else request.attempts == 1
+        if is_slow or not is_first or not request.may_repeat():
             return 0
-        # The least fraction protects fast servers: their deviations are smaller than a pause of this router.
+        # The minimum protects fast servers, whose deviations are smaller than a pause of this router.
         timeout = max(mean + deviation * TIMEOUT_DEVIATIONS, target * MIN_TIMEOUT_FRACTION) + self.loop_lag
         return int(min(timeout, target * MAX_TIMEOUT_FRACTION))
--- a/tests/decisions/builders.py
+++ b/tests/decisions/builders.py
@@ -1,4 +1,4 @@
-"""Small builders and a driver that plays caches and an origin, for the tests."""
+"""Builders of settings, servers, requests and results, and a timeline of events, for the tests."""
 
 from __future__ import annotations
 
@@ -30,23 +30,23 @@
 S = 1_000 * MS
 ORIGIN = Server("origin:1", kind="origin")
 
-What = TypeVar("What")
+Item = TypeVar("Item")
 
 
-class Timeline(Generic[What]):
-    """What is to come, by its time; at one time in the order in which it was added."""
+class Timeline(Generic[Item]):
+    """A queue of future items by time; items of the same time stay in the order in which they were added."""
 
     def __init__(self) -> None:
-        self._order, self._due = count(), list[tuple[int, int, What]]()
+        self._order, self._due = count(), list[tuple[int, int, Item]]()
 
-    def add(self, when: int, what: What) -> None:
-        heappush(self._due, (when, next(self._order), what))
+    def add(self, when: int, item: Item) -> None:
+        heappush(self._due, (when, next(self._order), item))
 
-    def until(self, now: int) -> Iterator[tuple[int, What]]:
-        """What is due by then, also what is added meanwhile."""
+    def pop_until(self, now: int) -> Iterator[tuple[int, Item]]:
+        """Yield the items due until `now`, with their times, those added meanwhile included."""
         while self._due and self._due[0][0] <= now:
-            when, _, what = heappop(self._due)
-            yield when, what
+            when, _, item = heappop(self._due)
+            yield when, item
 
 
 def settings(**changes: object) -> Settings:
--- a/tests/decisions/cold_start_bounds.py
+++ b/tests/decisions/cold_start_bounds.py
@@ -9,7 +9,7 @@
 
 
 class ColdRules(NamedTuple):
-    """The settings' figures for cold servers; times in seconds."""
+    """The settings for cold servers; times in seconds."""
 
     multiple: float
     """`rules.fallMultiple`"""
@@ -21,46 +21,46 @@
     """`rules.coldNs`"""
 
     def capacity_fraction(self, age: float) -> float:
-        """The share of its capacity that a server has at this age, at least."""
+        """Return the minimum fraction of its capacity that a server has at this age."""
         return min(1.0, self.share + (1 - self.share) * max(age, 0.0) / self.time)
 
     def allowed_requests(self, age: float, capacity: float) -> float:
-        """N: requests of mean work in one window; `capacity`: what the server does warm, a second."""
+        """Return N, the requests of mean work in one window; `capacity`: of the warm server, a second."""
         return self.multiple * self.capacity_fraction(age) * capacity * self.window
 
 
 def bound(expected: float) -> float:
-    """What is put down to chance included: N + 2 x root of N + 2."""
+    """Return the bound with an allowance for random variation: N + 2 x square root of N + 2."""
     return expected + 2 * sqrt(expected) + 2
 
 
 class WindowLoad(NamedTuple):
-    """One start's heaviest windows; excesses in requests of mean work, below 0: so many under the bound."""
+    """The heaviest windows of one start; an excess is in requests of mean work, negative below the bound."""
 
     fraction: float
-    """Of the bound; above 1 the server falls over."""
+    """Of the bound; above 1 the server fails."""
     excess: float
-    """Over the bound, by what the server can do at the window's end."""
+    """Over the bound by the server's capacity at the end of the window."""
     strict_excess: float
-    """Over the bound, by what the server can do at the window's beginning, the least within it."""
+    """Over the bound by the server's capacity at the beginning of the window, its lowest in the window."""
 
 
 def heaviest_window(rules: ColdRules, capacity: float, sent: Iterable[tuple[float, float]]) -> WindowLoad:
-    """The heaviest window of what was sent, as (age of the server, work in requests of mean work), by age.
+    """Return the heaviest windows of `sent`: (age of the server, work in requests of mean work), by age.
 
-    A window is full from its first moment: at once after the start all of N may be spent.
+    The first window counts as complete: right after the start all of N may be used at once.
     """
-    inside: deque[tuple[float, float]] = deque()
-    least = bound(rules.allowed_requests(0.0, capacity))
-    work, fraction, excess, strict_excess = 0.0, 0.0, -least, -least
-    for age, each in sent:
+    in_window: deque[tuple[float, float]] = deque()
+    lowest_bound = bound(rules.allowed_requests(0.0, capacity))
+    work, fraction, excess, strict_excess = 0.0, 0.0, -lowest_bound, -lowest_bound
+    for age, request_work in sent:
         if age >= rules.time:
             break
-        inside.append((age, each))
-        work += each
-        while inside[0][0] <= age - rules.window:
-            work -= inside.popleft()[1]
-        most = bound(rules.allowed_requests(age, capacity))
-        fraction, excess = max(fraction, work / most), max(excess, work - most)
+        in_window.append((age, request_work))
+        work += request_work
+        while in_window[0][0] <= age - rules.window:
+            work -= in_window.popleft()[1]
+        age_bound = bound(rules.allowed_requests(age, capacity))
+        fraction, excess = max(fraction, work / age_bound), max(excess, work - age_bound)
         strict_excess = max(strict_excess, work - bound(rules.allowed_requests(age - rules.window, capacity)))
     return WindowLoad(fraction, excess, strict_excess)
--- a/tests/decisions/test_attempt_timeouts.py
+++ b/tests/decisions/test_attempt_timeouts.py
@@ -1,4 +1,4 @@
-"""How long an attempt may take before it counts as lost."""
+"""Timeouts after which an attempt counts as lost."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 CONFIG = settings(classes=(RequestClass("read", latency_target=LATENCY_TARGET, deadline=3 * S),))
 
 
-def answered(router: Router, latencies: list[int]) -> None:
-    """Play reads that hit, one after another."""
+def run_hits(router: Router, latencies: list[int]) -> None:
+    """Run reads that hit, one after another."""
     for number, latency in enumerate(latencies):
         send = only_send(router.handle(request(f"w{number}", number * S), number * S))
         router.handle(result_of(send, Outcome.OK, latency=latency), number * S + latency)
@@ -20,30 +20,30 @@
     return only_send(router.handle(request("q", 1000 * S), 1000 * S)).timeout
 
 
-def test_fast_servers_get_a_timeout_of_a_fraction_of_the_latency_target() -> None:
-    """Answers of 1.5 ms vary by next to nothing: six times that is less than any hiccup."""
+def test_fast_servers_get_the_minimum_timeout() -> None:
+    """Answers of 1.5 ms hardly vary; six deviations would be less than a short pause."""
     router = started(CONFIG, fleet(1))
-    answered(router, [3 * MS // 2] * 200)
+    run_hits(router, [3 * MS // 2] * 200)
     assert timeout_of(router) == LATENCY_TARGET // 8
 
 
-def test_slow_servers_get_their_mean_latency_and_six_deviations() -> None:
+def test_slow_servers_get_mean_latency_plus_six_deviations() -> None:
     router = started(CONFIG, fleet(1))
-    answered(router, [90 * MS, 110 * MS] * 100)
+    run_hits(router, [90 * MS, 110 * MS] * 100)
     assert 150 * MS < timeout_of(router) < 180 * MS
 
 
-def test_the_event_loops_lag_is_added_and_removed_again() -> None:
+def test_event_loop_lag_is_added_while_it_lasts() -> None:
     router = started(CONFIG, fleet(1))
-    answered(router, [3 * MS // 2] * 200)
+    run_hits(router, [3 * MS // 2] * 200)
     assert router.handle(EventLoopLagged(100 * MS), 900 * S) == []
     assert timeout_of(router) == LATENCY_TARGET // 8 + 100 * MS
     router.handle(EventLoopLagged(0), 1001 * S)
     assert only_send(router.handle(request("r", 1002 * S), 1002 * S)).timeout == LATENCY_TARGET // 8
 
 
-def test_the_timeout_ends_before_the_latency_target_whatever_the_event_loops_lag() -> None:
+def test_timeout_is_below_the_latency_target_whatever_the_lag() -> None:
     router = started(CONFIG, fleet(1))
-    answered(router, [3 * MS // 2] * 200)
+    run_hits(router, [3 * MS // 2] * 200)
     router.handle(EventLoopLagged(5 * S), 900 * S)
     assert timeout_of(router) == LATENCY_TARGET * 95 // 100
--- a/tests/decisions/test_fetch_queue.py
+++ b/tests/decisions/test_fetch_queue.py
@@ -1,4 +1,4 @@
-"""The queue of fetches and the single flight of a key, each by itself."""
+"""The fetch queue and single flight, without a router."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     return Request(name, key, S, is_write, READ, Suppressor(Tenant("a", 1.0), 1, random.Random(1)))
 
 
-def test_a_flight_has_one_leader_and_returns_its_waiters_oldest_first() -> None:
+def test_flight_has_one_leader_and_returns_waiters_oldest_first() -> None:
     flights = SingleFlight()
     leader, waiters = read("r0", "k"), [read(f"r{number}", "k") for number in (1, 2, 3)]
     assert not flights.join(leader)
@@ -32,7 +32,7 @@
     assert not flights.join(waiters[0])
 
 
-def test_writes_reads_without_a_key_and_other_keys_join_no_flight() -> None:
+def test_writes_and_reads_of_no_or_another_key_join_no_flight() -> None:
     flights = SingleFlight()
     flights.lead(read("r0", "k"), "k")
     assert not flights.join(read("w", "k", is_write=True))
@@ -40,7 +40,7 @@
     assert not flights.join(read("other", "l"))
 
 
-def test_a_second_lead_of_a_key_keeps_its_waiters() -> None:
+def test_leading_a_flight_again_keeps_its_waiters() -> None:
     flights = SingleFlight()
     leader, waiter = read("r0", "k"), read("r1", "k")
     flights.lead(leader, "k")
@@ -49,7 +49,7 @@
     assert list(flights.waiters(leader)) == [waiter]
 
 
-def test_the_queue_orders_by_waiters_and_then_by_age() -> None:
+def test_queue_orders_by_waiters_and_then_by_age() -> None:
     flights = SingleFlight()
     queue = FetchQueue(flights)
     queued = [read(name, name) for name in ("a", "b", "c", "d")]
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("window", [1.0, 2.5])
-def test_the_queue_is_full_by_the_window(window: float) -> None:
+def test_queue_capacity_follows_the_window(window: float) -> None:
     queue = FetchQueue(SingleFlight())
     while not queue.is_full(window):
         queue.add(read(f"r{len(queue)}", None))
--- a/tests/decisions/test_invariants.py
+++ b/tests/decisions/test_invariants.py
@@ -1,4 +1,4 @@
-"""The four rules as properties over random sequences of events."""
+"""Invariants of the decisions over random sequences of events."""
 
 from __future__ import annotations
 
@@ -33,40 +33,40 @@
 from tests.decisions.builders import MS, ORIGIN, S, settings
 
 CLASSES = {cls.name: cls for cls in settings().classes}
-FAILURES = [o for o in Outcome if o not in (Outcome.OK, Outcome.CANCELLED)]
+FAILURES = [outcome for outcome in Outcome if outcome not in (Outcome.OK, Outcome.CANCELLED)]
 
 
 @dataclass
-class Open:
-    """What the outside world knows of a request."""
+class ObservedRequest:
+    """A request as observed from outside the router."""
 
     event: RequestArrived
     sends: list[tuple[int, str]] = field(default_factory=list)
-    out: bool = False
+    in_flight: bool = False
     may_have_run: list[tuple[int, str]] = field(default_factory=list)
     closed_at: int | None = None
 
 
 class Environment:
-    """Plays clients, caches, an origin and a server list, and checks every action against the rules."""
+    """Simulates clients, caches, an origin and discovery, and checks every action against the invariants."""
 
     def __init__(self, config: Settings, seed: int) -> None:
         self.config, self.rng = config, random.Random(seed)
         self.router = Router(config, seed)
-        self.queue: list[tuple[int, int, Event]] = []
-        self.order = 0
-        self.open: dict[str, Open] = {}
+        self.events: list[tuple[int, int, Event]] = []
+        self.event_count = 0
+        self.requests_by_id: dict[str, ObservedRequest] = {}
         self.servers = {f"s{i}": Server(f"s{i}", zone=f"z{i % 2}", cell=i % 3) for i in range(5)}
         if config.origin_kind is not None:
             self.servers[ORIGIN.id] = ORIGIN
-        self.log: list[Action] = []
+        self.actions: list[Action] = []
 
-    def later(self, at: int, event: Event) -> None:
-        self.order += 1
-        heapq.heappush(self.queue, (at, self.order, event))
+    def schedule(self, at: int, event: Event) -> None:
+        self.event_count += 1
+        heapq.heappush(self.events, (at, self.event_count, event))
 
     def run(self, requests: int) -> None:
-        self.later(0, ServersChanged(ListKind.CACHED, tuple(self.servers.values())))
+        self.schedule(0, ServersChanged(ListKind.CACHED, tuple(self.servers.values())))
         for i in range(requests):
             at = self.rng.randrange(3 * S)
             cls = self.rng.choice(list(CLASSES))
@@ -78,89 +78,95 @@
                 key=self.rng.choice(["k1", "k2", "k3", None]),
                 write=cls != "read",
             )
-            self.later(at, arrived)
+            self.schedule(at, arrived)
             if self.rng.random() < 0.1:
-                self.later(at + self.rng.randrange(300) * MS, ClientDisconnected(f"r{i}"))
+                self.schedule(at + self.rng.randrange(300) * MS, ClientDisconnected(f"r{i}"))
         for _ in range(6):
-            self.later(self.rng.randrange(3 * S), ServersChanged(ListKind.DELTA, ()))
-        while self.queue:
-            now, _, event = heapq.heappop(self.queue)
-            self.deliver(event, now)
-        unanswered = [name for name, known in self.open.items() if known.closed_at is None]
+            self.schedule(self.rng.randrange(3 * S), ServersChanged(ListKind.DELTA, ()))
+        while self.events:
+            now, _, event = heapq.heappop(self.events)
+            self.process(event, now)
+        unanswered = [name for name, observed in self.requests_by_id.items() if observed.closed_at is None]
         assert not unanswered
         assert not self.router.open_requests.by_id
         assert not self.router.flights
 
-    def deliver(self, event: Event, now: int) -> None:
+    def process(self, event: Event, now: int) -> None:
         if isinstance(event, RequestArrived):
-            self.open[event.request] = Open(event)
+            self.requests_by_id[event.request] = ObservedRequest(event)
         elif isinstance(event, ClientDisconnected):
-            known = self.open[event.request]
-            known.closed_at = now if known.closed_at is None else known.closed_at
+            observed = self.requests_by_id[event.request]
+            observed.closed_at = now if observed.closed_at is None else observed.closed_at
         elif isinstance(event, AttemptEnded):
-            known = self.open[event.request]
-            known.out = False
-            if event.outcome is Outcome.OK and known.closed_at is None:
-                known.closed_at = now
+            observed = self.requests_by_id[event.request]
+            observed.in_flight = False
+            if event.outcome is Outcome.OK and observed.closed_at is None:
+                observed.closed_at = now
             event = AttemptEnded(
                 event.request,
                 event.attempt,
                 event.server,
                 event.outcome,
-                known.closed_at is not None,
+                observed.closed_at is not None,
                 event.latency,
             )
             if not event.outcome.never_ran:
-                known.may_have_run.append(known.sends[event.attempt])
+                observed.may_have_run.append(observed.sends[event.attempt])
         elif isinstance(event, ServersChanged) and event.kind is ListKind.DELTA:
-            victim = self.rng.choice(list(self.servers))
-            old = self.servers[victim]
+            server_id = self.rng.choice(list(self.servers))
+            old_entry = self.servers[server_id]
             state = self.rng.choice(list(ServerState))
-            self.servers[victim] = Server(victim, old.kind, state, 1.0, now, old.zone, old.cell)
-            event = ServersChanged(ListKind.DELTA, (self.servers[victim],))
+            self.servers[server_id] = Server(
+                server_id, old_entry.kind, state, 1.0, now, old_entry.zone, old_entry.cell
+            )
+            event = ServersChanged(ListKind.DELTA, (self.servers[server_id],))
         for action in self.router.handle(event, now):
-            self.log.append(action)
+            self.actions.append(action)
             self.check(action, now)
 
     def check(self, action: Action, now: int) -> None:
         if isinstance(action, SetTimer):
-            self.later(now + max(action.delay, 0) + 1, TimerFired(action.token))
+            self.schedule(now + max(action.delay, 0) + 1, TimerFired(action.token))
         elif isinstance(action, Reject | Fail):
-            known = self.open[action.request]
-            assert known.closed_at is None, "a second final answer"
-            assert now <= max(known.event.deadline, known.sends[0][0] if known.sends else now) + 20 * MS
-            known.closed_at = now
-            cls = CLASSES[known.event.request_class]
-            if isinstance(action, Reject) and known.may_have_run and cls.effect is not Effect.IDEMPOTENT:
+            observed = self.requests_by_id[action.request]
+            assert observed.closed_at is None, "a second final answer"
+            assert (
+                now <= max(observed.event.deadline, observed.sends[0][0] if observed.sends else now) + 20 * MS
+            )
+            observed.closed_at = now
+            cls = CLASSES[observed.event.request_class]
+            if isinstance(action, Reject) and observed.may_have_run and cls.effect is not Effect.IDEMPOTENT:
                 assert cls.effect is Effect.IDEMPOTENCY_KEY
                 assert cls.dedup_scope is DedupScope.ALL
         elif isinstance(action, Send):
             self.check_send(action, now)
 
     def check_send(self, action: Send, now: int) -> None:
-        known = self.open[action.request]
-        cls = CLASSES[known.event.request_class]
-        assert known.closed_at is None, "an attempt after the final answer"
-        assert not known.out, "two attempts at once"
-        assert len(known.sends) < self.config.max_attempts
-        assert self.servers[action.server].state is ServerState.READY, "a drain broken"
-        if known.may_have_run and cls.effect is not Effect.IDEMPOTENT:
-            first_at, first_server = known.may_have_run[0]
+        observed = self.requests_by_id[action.request]
+        cls = CLASSES[observed.event.request_class]
+        assert observed.closed_at is None, "an attempt after the final answer"
+        assert not observed.in_flight, "two attempts at once"
+        assert len(observed.sends) < self.config.max_attempts
+        assert self.servers[action.server].state is ServerState.READY, (
+            "an attempt at a server that is not ready"
+        )
+        if observed.may_have_run and cls.effect is not Effect.IDEMPOTENT:
+            first_at, first_server = observed.may_have_run[0]
             assert cls.effect is Effect.IDEMPOTENCY_KEY
             assert now - first_at < cls.dedup_window
             if cls.dedup_scope is DedupScope.ZONE:
                 assert self.servers[first_server].zone == self.servers[action.server].zone
-        known.out = True
-        attempt = len(known.sends)
-        known.sends.append((now, action.server))
-        left = known.event.deadline - now
-        time_left = min(action.timeout or left, left)
+        observed.in_flight = True
+        attempt = len(observed.sends)
+        observed.sends.append((now, action.server))
+        time_left = observed.event.deadline - now
+        attempt_time = min(action.timeout or time_left, time_left)
         latency = int(self.rng.expovariate(1.0) * 150) * MS
         outcome = Outcome.OK if self.rng.random() < 0.5 else self.rng.choice(FAILURES)
-        if latency >= time_left:
-            latency, outcome = max(time_left, 0), Outcome.TIMEOUT
-        done = AttemptEnded(action.request, attempt, action.server, outcome, False, latency)
-        self.later(now + latency, done)
+        if latency >= attempt_time:
+            latency, outcome = max(attempt_time, 0), Outcome.TIMEOUT
+        result = AttemptEnded(action.request, attempt, action.server, outcome, False, latency)
+        self.schedule(now + latency, result)
 
 
 @given(
@@ -170,7 +176,7 @@
     tenants=strategies.booleans(),
 )
 @profile(derandomize=True, max_examples=60, deadline=None)
-def test_rules_hold_and_equal_events_give_equal_actions(
+def test_invariants_hold_and_equal_events_give_equal_actions(
     seed: int, aside: bool, attempts: int, tenants: bool
 ) -> None:
     config = settings(
@@ -183,13 +189,13 @@
     first, second = Environment(config, seed), Environment(config, seed)
     first.run(60)
     second.run(60)
-    assert first.log == second.log
-    assert any(isinstance(action, Send) for action in first.log)
+    assert first.actions == second.actions
+    assert any(isinstance(action, Send) for action in first.actions)
 
 
 @given(seed=strategies.integers(0, 2**32), share=strategies.floats(0.1, 0.5))
 @profile(derandomize=True, max_examples=20, deadline=None)
-def test_a_cold_server_gets_its_fraction_of_keys_and_no_surge_on_failover(seed: int, share: float) -> None:
+def test_cold_server_gets_its_fraction_of_attempts_and_retries(seed: int, share: float) -> None:
     config = settings(cold_capacity=share, warm_up_time=10 * S, max_attempts=2)
     cold = Server("cold", started=S)
     warm = tuple(Server(f"s{i}") for i in range(9))
@@ -201,8 +207,8 @@
         for action in router.handle(event, S):
             assert isinstance(action, Send)
             sent += action.server == "cold"
-            if i % 2:  # every second request fails there and goes to the next in rank
+            if i % 2:  # every second request fails there and goes to the next server of the ranking
                 failed = AttemptEnded(f"r{i}", 0, action.server, Outcome.ERROR, False, MS)
                 retried = [a.server for a in router.handle(failed, S) if isinstance(a, Send)]
                 sent += retried.count("cold")
-    assert sent < 1500 * share / 9 * 1.6 + 10  # its ramped share of first tries and retries, with slack
+    assert sent < 1500 * share / 9 * 1.6 + 10  # its warm-up fraction of all attempts, with a margin
