--- a/pebblepass/decisions/arrivals.py
+++ b/pebblepass/decisions/arrivals.py
@@ -35,7 +35,11 @@
     ) -> None:
         self._classes = {cls.name: cls for cls in settings.classes}
         self._has_origin = settings.origin_kind is not None
-        self._open, self._tenants, self._popularity = requests.by_id, tenants, selection.slot_popularity
+        self._open_requests, self._tenants, self._popularity = (
+            requests.by_id,
+            tenants,
+            selection.slot_popularity,
+        )
         self._origin_requests, self._routing, self._rng = origin_requests, routing, rng
 
     def request_arrived(self, event: api.RequestArrived) -> None:
@@ -44,7 +48,7 @@
         cls = self._classes[event.request_class]
         request = Request(event.request, event.key, event.deadline, event.write, cls, suppressor)
         request.slot = self._rng.randrange(SLOTS) if event.key is None else crc32(event.key.encode()) % SLOTS
-        self._open[request.id] = request
+        self._open_requests[request.id] = request
         if event.retry:
             request.is_retry = True
         if request.is_write and self._has_origin:
--- a/pebblepass/decisions/attempt_results.py
+++ b/pebblepass/decisions/attempt_results.py
@@ -27,13 +27,17 @@
         completion: Completion,
         has_origin: bool,
     ) -> None:
-        self._open, self._cache_health, self._origin_requests = requests.by_id, cache_health, origin_requests
+        self._open_requests, self._cache_health, self._origin_requests = (
+            requests.by_id,
+            cache_health,
+            origin_requests,
+        )
         self._hedging, self._routing, self._completion = hedging, routing, completion
         self._has_origin = has_origin
 
     def process(self, event: api.AttemptEnded) -> None:
         """Record the end of an attempt and choose the next step; unknown requests are ignored."""
-        request = self._open.get(event.request)
+        request = self._open_requests.get(event.request)
         if request is None or request.node is None:
             return
         if request.hedge_node is not None and event.server == request.hedge_node.entry.id:
--- a/pebblepass/decisions/hot_keys.py
+++ b/pebblepass/decisions/hot_keys.py
@@ -19,7 +19,7 @@
         self.total = 0.0
 
     def add(self, slot: int | str, requests: int = 1) -> float:
-        """Count requests of this slot, and return its previous fraction of all requests."""
+        """Count requests of this slot or tenant; return its previous fraction of all requests."""
         count = self._counts.get(slot, 0.0)
         fraction = count / self.total if self.total > 1.0 else count
         self._counts[slot] = count + requests
@@ -30,7 +30,7 @@
         return fraction
 
     def hottest(self) -> list[tuple[int | str, float]]:
-        """Return the slots with the highest counts, each with its count."""
+        """Return the slots or tenants with the highest counts, each with its count."""
         return nlargest(EXPORTED_COUNTS, self._counts.items(), key=itemgetter(1))
 
     def import_counts(self, counts: Sequence[tuple[int | str, float]], weight: float) -> None:
--- a/pebblepass/decisions/interface/events.py
+++ b/pebblepass/decisions/interface/events.py
@@ -12,7 +12,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt or a health check ended."""
+    """The outcome of an attempt or a health check."""
 
     OK = "ok"
     MISS = "miss"
@@ -108,7 +108,7 @@
     requests: list[str]
     server: str
     latency: int
-    """One key's share of the time that all took."""
+    """The time taken for all keys, divided among them."""
 
 
 class HedgeDue(Struct, frozen=True):
--- a/pebblepass/decisions/interface/state.py
+++ b/pebblepass/decisions/interface/state.py
@@ -1,4 +1,4 @@
-"""What a router has measured, in the form in which another router imports it."""
+"""The measured state that one router exports and another imports."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 
 class RouterState(Struct, frozen=True):
-    """What a router has measured, for a router that starts."""
+    """The measured state of a router, for a router that starts."""
 
     servers: tuple[ServerHealth, ...]
     limits: tuple[LimitState, ...]
--- a/pebblepass/decisions/settings.py
+++ b/pebblepass/decisions/settings.py
@@ -57,7 +57,7 @@
     rules = fields.get("rules") or {}
     kinds: list[str] = fields.get("kinds") or []
     origin = -1 if family.get("originKind") is None else family["originKind"]
-    has_origin = family.get("mode") == "aside"
+    is_cache_aside = family.get("mode") == "aside"
     optional = {
         "subscribe_within": rules.get("askWithinNs"),
         "cold_capacity": rules.get("coldShare"),
@@ -77,7 +77,7 @@
             for entry in fields.get("tenants") or ()
         ),
         routers=fields.get("balancers") or 1,
-        origin_kind=kinds[origin] if has_origin and 0 <= origin < len(kinds) else None,
+        origin_kind=kinds[origin] if is_cache_aside and 0 <= origin < len(kinds) else None,
         weighted=fields.get("weightKind") in _SIZED_WEIGHTS,
         must_subscribe=fields.get("membershipMode") == "subscribe",
         load_fields=tuple((fields.get("feedback") or {}).get("fields") or ()),
--- a/pebblepass/decisions/slot_table.py
+++ b/pebblepass/decisions/slot_table.py
@@ -32,10 +32,10 @@
         self.cold_until = 0
         self._single: list[Node] = []
 
-    def update(self, ready: list[api.Server], left: list[str]) -> None:
-        """Add or replace ready servers and remove those in `left`; unaffected rankings stay cached."""
+    def update(self, ready: list[api.Server], removed_ids: list[str]) -> None:
+        """Add or replace ready servers and remove `removed_ids`; unaffected rankings stay cached."""
         changed = [e for e in ready if e.id not in self.nodes or self.nodes[e.id].entry != e]
-        removed = {*left, *(entry.id for entry in changed)}
+        removed = {*removed_ids, *(entry.id for entry in changed)}
         self.steady_rankings.clear()
         for server_id in removed:
             self.nodes.pop(server_id, None)
--- a/pebblepass/decisions/subscription.py
+++ b/pebblepass/decisions/subscription.py
@@ -25,7 +25,7 @@
     """
 
     def __init__(self, settings: api.Settings, context: EventContext, rng: random.Random) -> None:
-        self._must_subscribe, self._within = settings.must_subscribe, settings.subscribe_within
+        self._must_subscribe, self._subscribe_within = settings.must_subscribe, settings.subscribe_within
         self._context, self._rng = context, rng
         self._timer_set, self._failures = False, 0
 
@@ -39,7 +39,7 @@
             self._timer_set = True
             self._failures += kind is ListKind.FAILED
             shortest, longest = SUBSCRIBE_BACKOFF_NS[min(self._failures, len(SUBSCRIBE_BACKOFF_NS) - 1)]
-            longest = min(self._within // 2, longest)
+            longest = min(self._subscribe_within // 2, longest)
             delay = self._rng.randint(min(shortest, longest), longest)
             self._context.actions.append(api.SetTimer(delay, SUBSCRIBE_TIMER))
 
--- a/pebblepass/multi_get/batch.py
+++ b/pebblepass/multi_get/batch.py
@@ -30,7 +30,7 @@
 
 
 class StallCheck(NamedTuple, Generic[Item]):
-    """What a check for head-of-line blocking found."""
+    """The result of a check for head-of-line blocking."""
 
     retry_after: int
     """Nanoseconds until the next check; 0: the batch is stalled."""
