--- a/pebblepass/decisions/completion.py
+++ b/pebblepass/decisions/completion.py
@@ -44,7 +44,7 @@
     def give_up(self, request: Request, reason: Reason) -> None:
         """Give a final answer without a result: reject if a retry is harmless, else fail.
 
-        The Retry-After (nanoseconds) is drawn at random, so that clients do not retry in step.
+        The Retry-After (nanoseconds) is random, so that clients do not retry at the same time.
         """
         if request.may_reject():
             wait = int(self._rng.uniform(0.5, 1.0) * self._max_retry_after)
--- a/pebblepass/decisions/interface/settings.py
+++ b/pebblepass/decisions/interface/settings.py
@@ -103,7 +103,7 @@
     load_fields: tuple[str, ...] = ()
     """The names of the values in a load report, in order."""
     may_hedge: bool = False
-    """Whether a hedged second attempt may run beside the first one."""
+    """Whether a hedged second attempt may run in parallel with the first one."""
     requests_per_connection: int = 1
     """Requests that one connection to a cache server may carry at a time."""
 
--- a/pebblepass/decisions/interface/state.py
+++ b/pebblepass/decisions/interface/state.py
@@ -10,7 +10,7 @@
 
     server: str
     started: int
-    """The server's start, as listed; the record is void after a restart."""
+    """The server's start, as listed; the record no longer applies after a restart."""
     last_outcome_at: int
     """When an attempt at it last gave evidence of its health."""
     weight: float
--- a/pebblepass/decisions/server_list.py
+++ b/pebblepass/decisions/server_list.py
@@ -64,7 +64,7 @@
         return [server_id for server_id, node in nodes if node.is_avoided(now) or not node.may_connect(now)]
 
     def _without_cordoned(self, ready: list[api.Server], event: api.ServersChanged) -> list[api.Server]:
-        """Keep the ready servers that are cordoned aside, and return the others."""
+        """Store the ready servers that are cordoned separately, and return the others."""
         cordoned_ids = self._policy.cordoned
         if event.kind is not ListKind.DELTA:
             self._cordoned.clear()
