--- a/pebblepass/consensus/commands.py
+++ b/pebblepass/consensus/commands.py
@@ -1,4 +1,4 @@
-"""`pebblepass policy`: propose, withdraw, and what a fleet holds, requested from any one router."""
+"""The `pebblepass policy` commands: propose, withdraw, status and history, through any router of a fleet."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 
 EXIT_REFUSED, EXIT_USAGE, EXIT_OPEN = 1, 2, 3
 EXIT_CODES = {"in force": 0, "refused": EXIT_REFUSED}
-TIMEOUT_S = 40.0  # a router answers within 30
+TIMEOUT_S = 40.0  # a router answers within 30 s
 NOT_FOUND = 404
 
 
 class NoAnswerError(Exception):
-    """The router gave no answer: it, or the way to it, is at fault. The text is one line."""
+    """The router could not be reached or sent an invalid response. The message is one line."""
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """A router's answer."""
+    """A router's response."""
 
     status: int
-    """Of HTTP."""
+    """The HTTP status."""
     content: Any
-    """The decoded JSON; None: the router has no such call."""
+    """The decoded JSON; None: the router does not know the call."""
 
 
 def request(router: str, method: str, call: str, body: bytes = b"") -> Answer:
-    """Make one call of a router's control address; raises NoAnswerError, or ValueError for the address."""
+    """Call a router's control address. Raises NoAnswerError, or ValueError for an invalid address."""
     host, port = parse_address("--router", router)
     connection = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
     try:
@@ -75,7 +75,7 @@
 
 @click.group()
 def policy() -> None:
-    """What all routers of a fleet hold alike."""
+    """The policy that all routers of a fleet share."""
 
 
 def _exit_with_verdict(verdict: dict[str, Any], as_json: bool) -> NoReturn:
@@ -92,7 +92,7 @@
 @policy.command()
 @click.argument("file", type=click.Path(path_type=Path))
 @_router
-@click.option("--change", help="The id of the change; the same one asked again is the same change.")
+@click.option("--change", help="The id of the change; proposing it again does not repeat the change.")
 @_json
 def propose(file: Path, router: str, change: str | None, as_json: bool) -> None:
     """Propose the policy in FILE. Exit code 0: in force; 1: refused; 2: wrong usage; 3: open."""
@@ -110,10 +110,10 @@
 @policy.command()
 @click.argument("change")
 @_router
-@click.option("--who", default="", help="Who withdraws it.")
+@click.option("--who", default="", help="The person who withdraws it.")
 @_json
 def withdraw(change: str, router: str, who: str, as_json: bool) -> None:
-    """Withdraw CHANGE, if it is not decided yet. Exit codes as with `propose`."""
+    """Withdraw CHANGE, if it is not decided yet. The exit codes are those of `propose`."""
     answer = _request_or_exit(router, "POST", f"withdraw/{change}", who.encode())
     _exit_with_verdict(answer.content, as_json)
 
@@ -122,23 +122,23 @@
 @_router
 @_json
 def status(router: str, as_json: bool) -> None:
-    """What a router holds, and the others as it sees them."""
+    """Show a router's version and lease, and its view of the other routers."""
     report = _request_or_exit(router, "GET", "status").content
     if as_json:
         _echo_json(report)
         return
     lease = f"in force for {report['lease_ms']} ms"
     if not report["in_force"]:
-        lease = "not in force here: at the floor"
+        lease = "not in force here: limited to the floors"
     click.echo(f"{report['router']}: version {report['version']}, {lease}")
     _echo_quota_leases(report.get("shares", {}))
     if report["problem"]:
-        click.echo(f"it can't be used here: {report['problem']}")
+        click.echo(f"this router can't use the version: {report['problem']}")
     if report["open"]:
         click.echo(f"open: change {report['open']}")
     click.echo(f"voters: {', '.join(report['voters'])}; {report['needed']} decide")
     for name, row in report["routers"].items():
-        age = "" if row.get("age_ms", 0) <= 0 else f", heard {row['age_ms']} ms ago"
+        age = "" if row.get("age_ms", 0) <= 0 else f", last heartbeat {row['age_ms']} ms ago"
         click.echo(f"{name}: {row.get('state', 'unknown')}, under version {row['version']}{age}")
 
 
@@ -147,14 +147,14 @@
         return
     rates = ", ".join(f"{name} {rate:.4g} a second" for name, rate in report["per_s"].items())
     reason = f"; {report['why']}" if report["why"] else ""
-    click.echo(f"beyond its floors: {rates or 'nothing'}{reason}")
+    click.echo(f"in addition to its floors: {rates or 'nothing'}{reason}")
 
 
 @policy.command()
 @_router
 @_json
 def history(router: str, as_json: bool) -> None:
-    """The last versions, the newest first: who, why, and what changed."""
+    """Show the latest versions, newest first: their author, reason and changes."""
     rows = _request_or_exit(router, "GET", "history").content
     if as_json:
         _echo_json(rows)
--- a/pebblepass/consensus/errors.py
+++ b/pebblepass/consensus/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the consensus rules; the text for operators is made in `reports`."""
+"""Errors of the consensus rules. `texts` has the lines for operators."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
     ALREADY_DECIDED = auto()
     """The change to withdraw is decided; the subject is its id."""
     NO_DIFFERENCE = auto()
-    """The proposal equals what is in force."""
+    """The proposal equals the decided version."""
 
 
 class ProposalRejectedError(Exception):
-    """A proposal can't become a version: the proposal is at fault, not the fleet."""
+    """A proposal can't become a version because the proposal itself is invalid."""
 
     def __init__(self, reason: RejectionReason, subject: str = "", version: int = 0) -> None:
         super().__init__(reason, subject, version)
--- a/pebblepass/consensus/proposals.py
+++ b/pebblepass/consensus/proposals.py
@@ -1,14 +1,16 @@
-"""Proposals of operators: each is answered, forwarded to a voter, or begun as a change. No I/O, no clock.
+"""Operators' proposals: each is answered, forwarded to a voter, or begun as a change. No I/O, no clock.
 
-| event | guard | what follows |
+A router that can't vote forwards proposals; a voter handles them. The first row that applies counts.
+
+| at | guard | result |
 | --- | --- | --- |
-| proposal | its change has a final verdict, or is decided | the same verdict |
-| proposal | this router has no vote; a voter is alive | forwarded to a voter |
-| proposal | this router has no vote; none is alive, or it was forwarded here | refused |
-| proposal | it withdraws the change under way, which can't have been accepted | that change is refused |
-| proposal | another change is under way, not decided | refused |
-| proposal | it can't become a version, or there is no quorum | refused |
-| proposal | otherwise | begun as a change |
+| any router | the change has a final verdict, or is decided | the same verdict again |
+| no voter | no voter is alive, or another router forwarded the proposal here | refused |
+| no voter | otherwise | forwarded to a live voter |
+| voter | it withdraws the change in progress, which no voter can have accepted | that change is refused |
+| voter | another change is in progress and not decided | refused |
+| voter | it can't become a version, or there is no quorum | refused |
+| voter | otherwise | begun as a change |
 """
 
 from __future__ import annotations
@@ -28,7 +30,7 @@
 
 
 class Proposals:
-    """Takes proposals, and makes values of them."""
+    """Handles proposals, and makes values of those that become changes."""
 
     def __init__(
         self,
@@ -45,7 +47,7 @@
         self._proposer, self._verdicts, self._outbox, self._rng = proposer, verdicts, outbox, rng
 
     def propose(self, proposal: m.Proposal) -> None:
-        """Take a proposal."""
+        """Handle a proposal."""
         final = self._verdicts.final(proposal.change_id)
         version = self._learner.version_of(proposal.change_id)
         if final is not None:
@@ -72,7 +74,7 @@
             return
         change = self._proposer.change
         if change is not None and change.phase is not Phase.DECIDED:
-            reason = f"another change is under way: {change.value.change_id}"
+            reason = f"another change is in progress: {change.value.change_id}"
             self._verdicts.refuse(proposal.change_id, reason)
             return
         if change is not None:
@@ -92,7 +94,7 @@
         self._proposer.begin(value, takeover=False)
 
     def _withdraw(self, proposal: m.Proposal) -> bool:
-        """Withdraw the change under way, if that is proposed and still possible."""
+        """Withdraw the change in progress, if the proposal asks for that and it is still possible."""
         change = self._proposer.change
         if change is None or change.may_be_accepted:
             return False
@@ -104,7 +106,7 @@
         return True
 
     def _value(self, proposal: m.Proposal) -> m.Value:
-        """Return the next version with a proposal's changes; raises ProposalRejectedError."""
+        """Return the value that a proposal makes the next version; raises ProposalRejectedError."""
         decided = self._learner.decided
         if self._learner.is_forming:
             raise ProposalRejectedError(RejectionReason.NOT_FORMED)
@@ -131,7 +133,7 @@
         return voters
 
     def _voter_disk(self, name: str, members: dict[str, str]) -> str:
-        """Return the disk with which a router becomes, or stays, a voter; raises ProposalRejectedError."""
+        """Return the id of the disk with which a router is to vote; raises ProposalRejectedError."""
         disk_id = self._learner.voters.get(name) or self._peers.disk_id(name)
         if name == self._name:
             disk_id = self._disk.disk_id
--- a/pebblepass/consensus/proposer.py
+++ b/pebblepass/consensus/proposer.py
@@ -1,6 +1,6 @@
-"""The proposer: carries one change from the policy checks to its verdict. No I/O, no clock.
+"""The proposer: takes one change from the policy checks to its verdict. No I/O, no clock.
 
-The states, events and guards of a change are in the table of `change`.
+`change` has the table of a change's states.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from pebblepass.consensus.setup import RandomSource, ReplicaSetup
 from pebblepass.consensus.verdicts import Verdicts
 
-SETTLE_NS = 1_000_000_000  # nanoseconds beyond a lease in which a change ends, either way
-ANSWER_FRACTION = 0.5  # fraction of a lease in which live routers have to answer
-RETRY_DIVISOR = 8  # part of a lease within which a rejected round is repeated
+CONCLUSION_MARGIN_NS = 1_000_000_000  # nanoseconds after a lease's end within which a change is concluded
+ANSWER_FRACTION = 0.5  # fraction of a lease within which live routers have to answer
+RETRY_DIVISOR = 8  # a rejected round is repeated within a lease divided by this
 
 
 class Proposer:
-    """The change under way at this voter, if there is one."""
+    """Proposes the change in progress at this voter, if there is one."""
 
     def __init__(
         self,
@@ -45,11 +45,11 @@
 
     @property
     def conclusion_ns(self) -> int:
-        """Nanoseconds in which a change ends, either way."""
-        return self._terms.granter_duration + SETTLE_NS
+        """The time within which a change gets its verdict, in nanoseconds."""
+        return self._terms.granter_duration + CONCLUSION_MARGIN_NS
 
     def begin(self, value: m.Value, takeover: bool) -> None:
-        """Begin to propose a value; `takeover`: it was found accepted here."""
+        """Begin to propose a value; `takeover`: this voter has accepted it from another proposer."""
         now = self._outbox.now
         self.change = Change(value, self._learner.voters, now, now + self.conclusion_ns, takeover)
         event = "takeover" if takeover else "proposed"
@@ -57,7 +57,7 @@
         self._leave_waiting(self.change)
 
     def resume(self) -> None:
-        """Continue a change that waits for an older version to be closed."""
+        """Continue a change that waits for the version before the decided one to be closed."""
         if self.change is not None and self.change.phase is Phase.WAITING:
             self._leave_waiting(self.change)
 
@@ -77,7 +77,7 @@
         self._outbox.send_all(change.check_requested, m.PolicyCheck(change.value))
 
     def checked(self, sender: m.Sender, result: m.PolicyCheckResult) -> None:
-        """Take a router's check of the policy."""
+        """Handle the result of a policy check."""
         change = self.change
         if change is None or change.phase is not Phase.CHECKING:
             return
@@ -98,9 +98,9 @@
         self._outbox.send_all(self._learner.voters, prepare)
 
     def new_ballot(self, number: int) -> m.Ballot:
-        """Return a ballot that no other proposer, and no other run of this one, has.
+        """Return a ballot that no other proposer, and no other run of this process, uses.
 
-        Danger: without the run of the process, one that forgot a round would begin another with its ballot.
+        Danger: without the run's id, a process that lost its state could reuse the ballot of an older round.
         """
         return m.Ballot(number, f"{self._name}.{self._boot_id}")
 
@@ -108,7 +108,7 @@
         return int(self._terms.duration * ANSWER_FRACTION * self._rng.uniform(0.5, 1.0))
 
     def promised(self, sender: m.Sender, promise: m.Promise) -> None:
-        """Count a promise; with a quorum, send the value to be accepted."""
+        """Count a promise; with a quorum, send the value for acceptance."""
         change = self.change
         if change is None or change.phase is not Phase.PREPARING or promise.version != change.value.version:
             return
@@ -125,7 +125,7 @@
         self._outbox.send_all(self._learner.voters, accept)
 
     def accepted(self, sender: m.Sender, message: m.Accepted) -> m.Value | None:
-        """Count an acceptance; return the value if it is decided by it."""
+        """Count an acceptance; return the value if this acceptance decides it."""
         change = self.change
         if change is None or change.phase is not Phase.ACCEPTING or message.version != change.value.version:
             return None
@@ -136,7 +136,7 @@
         return value
 
     def rejected(self, message: m.Rejected) -> None:
-        """Repeat the round, with a higher ballot, after a random delay."""
+        """Schedule a further round with a higher ballot after a random delay."""
         change = self.change
         if change is None or message.ballot != change.round.ballot:
             return
@@ -148,7 +148,7 @@
             change.due = self._outbox.now + delay
 
     def version_decided(self) -> None:
-        """Find out what the decided version means for the change under way."""
+        """Update the change in progress after a version was decided."""
         change, decided = self.change, self._learner.decided
         if change is None or change.phase is Phase.DECIDED or decided.version < change.value.version:
             return
@@ -159,7 +159,7 @@
             timeout = self._terms.granter_duration + self._terms.renewal_interval
             change.due = change.deadline = self._outbox.now + timeout
         elif other is None and change.may_be_accepted:
-            # Danger: it may have been decided, and more after it, while this router received nothing.
+            # Danger: while this router received nothing, this change and later ones may have been decided.
             self.change = None
             if not change.takeover:
                 lines = (texts.version_missed(version),)
@@ -180,7 +180,7 @@
             self.conclude()
 
     def conclude(self) -> None:
-        """Report how the decided change stands, and end it."""
+        """End the decided change, and report which routers lease its version."""
         change = self.change
         assert change is not None
         value, now = change.value, self._outbox.now
@@ -192,7 +192,7 @@
             f"checked by {', '.join(checked)}",
             f"decided: version {value.version}, by {change.round.needed} of "
             f"{len(value.previous_voters)} voters",
-            f"in force at {', '.join(in_force) or 'nobody yet'} after {elapsed_ms:.0f} ms",
+            f"in force at {', '.join(in_force) or 'no router yet'} after {elapsed_ms:.0f} ms",
         ]
         for name in members:
             if self._leased_version(name) < value.version:
@@ -219,7 +219,7 @@
             self._verdicts.refuse(value.change_id, reason, value.version)
 
     def tick(self) -> None:
-        """Continue a change whose timer has run out."""
+        """Continue a change whose phase has timed out."""
         change = self.change
         if change is None or self._outbox.now < change.due:
             return
@@ -245,7 +245,7 @@
             self.conclude()
         elif not change.may_be_accepted:
             if change.phase is Phase.WAITING:
-                self.refuse("the version before is not closed yet")
+                self.refuse("the version before the decided one is not closed yet")
             else:
                 self.refuse(self.too_few_voters(change.round.missing()))
         else:
@@ -262,5 +262,5 @@
         self._verdicts.conclude(m.Verdict(value.change_id, "open", value.version, (line,)))
 
     def too_few_voters(self, missing: list[str]) -> str:
-        """Return that there is no quorum, for operators."""
+        """Return the line for operators that says which voters are missing for a quorum."""
         return texts.too_few_voters(missing, self._learner.quorum_size, len(self._learner.voters))
--- a/pebblepass/consensus/reports.py
+++ b/pebblepass/consensus/reports.py
@@ -1,4 +1,4 @@
-"""Reports to operators: a replica's status, its quota leases and its history. The keys are an interface."""
+"""Reports to operators: a replica's status, quota leases and history. Operators' tools rely on the keys."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def status(replica: Replica, now: int) -> dict[str, object]:
-    """Report on this router, and on the others as it sees them."""
+    """Return the report on this router, and its view of the others."""
     learner, open_value = replica.learner, replica.acceptor.value
     return {
         "router": replica.name,
@@ -46,7 +46,7 @@
 
 
 def quota_leases(replica: Replica, now: int) -> dict[str, object]:
-    """Report what this router may fetch beyond its floors, of which voters, and why it is no more."""
+    """Return the report on this router's quota leases, by voter, and why some may be missing."""
     if not replica.decided.policy.store.uses_leases:
         return {"on": False}
     client, server = replica.lease_client, replica.lease_server
@@ -73,7 +73,7 @@
 
 
 def history(replica: Replica) -> list[dict[str, object]]:
-    """Report the versions in the history, the newest first, each with its difference to the one before."""
+    """Return the report on past versions, newest first, each with its difference to the previous one."""
     values, rows = list(replica.learner.history), []
     for index, value in enumerate(values):
         before = values[index - 1].policy if index else Policy()
--- a/pebblepass/consensus/verdicts.py
+++ b/pebblepass/consensus/verdicts.py
@@ -1,13 +1,13 @@
-"""The outcomes of proposals, and whom they are sent to. No I/O, no clock.
+"""The verdicts on proposals, and the routers to which they are sent. No I/O, no clock.
 
 | state of a proposal | event | guard | next |
 | --- | --- | --- | --- |
-| made here | forward | this router has no vote | forwarded, until a deadline |
-| forwarded | answered | - | concluded here |
-| forwarded | clock | the deadline | concluded here as open |
+| made here | forward | this router can't vote | forwarded, until a deadline |
+| forwarded | answer | - | concluded here |
+| forwarded | deadline | - | concluded here as open |
 | made here | conclude | - | concluded here |
-| received from another router | conclude | - | concluded there |
-| concluded, not open | proposed again | - | concluded as before |
+| received from another router | conclude | - | concluded at that router |
+| concluded, not open | proposed again | - | concluded with the same verdict |
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
 
 
 class Verdicts:
-    """The verdicts on proposals that came through this router."""
+    """The verdicts on proposals that this router handles or forwards."""
 
     def __init__(self, outbox: Outbox) -> None:
         self._outbox = outbox
         self._final: dict[str, m.Verdict] = {}
-        self._origins: dict[str, str] = {}  # change: the router that forwarded it here
-        self._forwarded_until: dict[str, int] = {}  # change: until when the voter may answer
+        self._origins: dict[str, str] = {}  # by change id: the router that forwarded the proposal here
+        self._forwarded_until: dict[str, int] = {}  # by change id: until when the voter may answer
 
     def final(self, change_id: str) -> m.Verdict | None:
-        """Return the verdict on an earlier proposal; None: it is not known, or open."""
+        """Return the final verdict on a proposal; None: there is none, or it is no longer remembered."""
         return self._final.get(change_id)
 
     def received_from(self, change_id: str, router: str) -> None:
-        """A router has forwarded a proposal here."""
+        """Record that a router has forwarded a proposal here."""
         self._origins[change_id] = router
 
     def is_received(self, change_id: str) -> bool:
@@ -46,16 +46,16 @@
         self._outbox.send(voter, m.ForwardedProposal(proposal))
 
     def answered(self, verdict: m.Verdict) -> None:
-        """The voter has answered a forwarded proposal."""
+        """Handle a voter's answer to a forwarded proposal."""
         if self._forwarded_until.pop(verdict.change_id, None) is not None:
             self._outbox.emit(ProposalConcluded(verdict))
 
     def expire(self) -> None:
-        """Conclude the forwarded proposals that were not answered in time."""
+        """Conclude forwarded proposals whose deadline has passed as open."""
         for change_id, until in list(self._forwarded_until.items()):
             if self._outbox.now >= until:
                 del self._forwarded_until[change_id]
-                line = "open: the voter that it was passed on to has not answered; ask for its status"
+                line = "open: the voter to which it was forwarded has not answered; check the status"
                 self.conclude(m.Verdict(change_id, "open", 0, (line,)))
 
     def refuse(self, change_id: str, reason: str, version: int = 0) -> None:
@@ -63,7 +63,7 @@
         self.conclude(m.Verdict(change_id, "refused", version, (f"refused: {reason}",)))
 
     def conclude(self, verdict: m.Verdict) -> None:
-        """Send a verdict to whoever proposed the change."""
+        """Send a verdict to the router at which the change was proposed."""
         if verdict.state != "open":
             if len(self._final) > REMEMBERED_VERDICTS:
                 del self._final[next(iter(self._final))]
--- a/tests/consensus/test_proposals.py
+++ b/tests/consensus/test_proposals.py
@@ -68,13 +68,16 @@
 @pytest.mark.parametrize(
     ("proposal", "line"),
     [
-        (m.Proposal("c", "ana", "", voters=("r0", "r9")), "r9 can't be a voter: it was never heard"),
+        (
+            m.Proposal("c", "ana", "", voters=("r0", "r9")),
+            "r9 can't be a voter: no message from it has arrived",
+        ),
         (m.Proposal("c", "ana", "", voters=("r0", "r3")), "r3 can't be a voter: it keeps no disk"),
         (m.Proposal("c", "ana", "", removed_members=("r0", "r1", "r2")), "no voter would be left"),
         (m.Proposal("c", "ana", "", Policy()), "nothing would change"),
         (
             m.Proposal("w", "ana", "", withdrawn_change_id="c1"),
-            "c1 is decided already, as version 1",
+            "c1 is already decided, as version 1",
         ),
     ],
 )
@@ -88,7 +91,7 @@
 
 def test_before_the_fleet_has_formed_nothing_can_be_proposed() -> None:
     bench = Bench(decided=setup().genesis)
-    line = "refused: the fleet has not formed yet: each of its voters has to be up once"
+    line = "refused: the fleet has not formed yet: all of its voters have to be up at the same time once"
     assert bench.verdicts(PROPOSAL) == [("refused", (line,))]
 
 
@@ -99,7 +102,7 @@
 
 def test_a_router_without_a_vote_forwards_to_a_live_voter_or_refuses() -> None:
     bench = Bench(disk_id="another")
-    line = "refused: no voter is heard: r0, r1, r2"
+    line = "refused: no voter can be reached: r0, r1, r2"
     assert bench.verdicts(PROPOSAL) == [("refused", (line,))]
     bench.hear("r2")
     other = replace(PROPOSAL, change_id="other")
@@ -121,7 +124,7 @@
     bench.hear("r1", "r2")
     bench.propose(PROPOSAL)
     other = replace(PROPOSAL, change_id="other")
-    assert bench.verdicts(other) == [("refused", ("refused: another change is under way: c",))]
+    assert bench.verdicts(other) == [("refused", ("refused: another change is in progress: c",))]
     withdrawal = m.Proposal("w", "eva", "", withdrawn_change_id="c")
     assert bench.verdicts(withdrawal) == [
         ("refused", ("refused: withdrawn by eva",)),
--- a/tests/consensus/test_proposer.py
+++ b/tests/consensus/test_proposer.py
@@ -102,7 +102,7 @@
 def test_a_change_that_still_waits_at_its_deadline_is_refused() -> None:
     bench = Bench(value(2), closed=0)
     bench.wait(bench.change.deadline)
-    assert bench.verdicts()[-1].lines == ("refused: the version before is not closed yet",)
+    assert bench.verdicts()[-1].lines == ("refused: the version before the decided one is not closed yet",)
 
 
 def test_a_problem_at_any_router_refuses_the_change() -> None:
