--- a/pebblepass/consensus/acceptor.py
+++ b/pebblepass/consensus/acceptor.py
@@ -1,16 +1,16 @@
-"""A voter's promises: the rounds in which it votes, and the value that it has accepted. No I/O, no clock.
+"""The acceptor: the ballot that a voter has promised, and the value that it has accepted. No I/O, no clock.
 
-A promise is announced only once it is on the disk: each method returns the record to write, and the answer
-that may be sent once it is synced. In memory a promise holds from when it is made.
+Each method returns an answer and the record that must be synced to disk before the answer is sent. The state
+in memory changes immediately.
 
-Which requests reach it is up to `voter`.
+`voter` decides which requests reach the acceptor.
 
 | state | event | guard | next |
 | --- | --- | --- | --- |
-| promised a | prepare(b) | b > a | promised b; report what was accepted |
-| promised a | prepare(b) | b <= a | promised a; reject, and report a |
+| promised a | prepare(b) | b > a | promised b; the answer has the accepted value, if any |
+| promised a | prepare(b) | b <= a | promised a; the request is rejected with a's number |
 | promised a | accept(b, v) | b >= a | promised b, accepted v |
-| promised a | accept(b, v) | b < a | promised a; reject, and report a |
+| promised a | accept(b, v) | b < a | promised a; the request is rejected with a's number |
 | any | the version is decided | - | nothing promised or accepted, for the next version |
 """
 
@@ -32,18 +32,18 @@
 )
 from pebblepass.consensus.records import AcceptRecord, PromiseRecord
 
-TAKEOVER_DELAY = 0.25  # fraction of a lease until another voter proposes an accepted value
+TAKEOVER_DELAY = 0.25  # fraction of a lease; shortest wait before another voter proposes an accepted value
 
 
 class Vote(Struct, frozen=True):
-    """A voter's answer, and the record that must be synced before it is sent."""
+    """A voter's answer, and the record that must be synced before the answer is sent."""
 
     answer: Promise | Accepted | Rejected
     record: PromiseRecord | AcceptRecord | None = None
 
 
 class Acceptor:
-    """The promise and the accepted value for the one version that is open."""
+    """The promise and the accepted value for the open version, which is the one after the decided version."""
 
     def __init__(self, now: int) -> None:
         self.promised: Ballot = NO_BALLOT
@@ -52,7 +52,7 @@
         self._last_progress_at = now
 
     def restore(self, promised: Ballot, accepted: Ballot | None, value: Value | None) -> None:
-        """Restore what a record holds."""
+        """Restore the state from a record of the log."""
         self.promised, self.accepted, self.value = promised, accepted, value
 
     def prepare(self, request: Prepare) -> Vote:
@@ -74,18 +74,18 @@
         return Vote(Accepted(request.version, request.ballot), record)
 
     def reset(self) -> None:
-        """Open the next version: the one that was open has been decided."""
+        """Clear the state for the next version, after the open one has been decided."""
         self.promised, self.accepted, self.value = NO_BALLOT, None, None
 
     def version_decided(self, now: int) -> None:
-        """Open the next version, and note the time of its decision."""
+        """Clear the state for the next version, and record when the open one was decided."""
         self.reset()
         self._last_progress_at = now
 
     def takeover_at(self, name: str, voters: Mapping[str, str], lease_ns: int) -> int | None:
-        """When this voter proposes the accepted value, if its proposer does not; None: there is none.
+        """Return when this voter takes over the accepted value from its proposer; None: nothing is accepted.
 
-        The voters' delays differ, in the order of their names, so that they do not compete.
+        The delay grows with the position of the voter's name, so that the voters do not compete.
         """
         if self.value is None:
             return None
@@ -95,5 +95,5 @@
 
 
 def quorum(voters: Mapping[str, str], forming: bool) -> int:
-    """Return how many voters decide: a majority, or all where they form the fleet."""
+    """Return how many votes decide a version: a majority, or all of them to form the fleet."""
     return len(voters) if forming else len(voters) // 2 + 1
--- a/pebblepass/consensus/demand.py
+++ b/pebblepass/consensus/demand.py
@@ -1,4 +1,4 @@
-"""A router's demand by namespace, estimated from counts that only grow. No I/O, no clock."""
+"""A router's demand by namespace, estimated from counters that only increase. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from pebblepass.consensus.quota_allocator import Rates
 
 NS_PER_S = 1_000_000_000
-LEAST_INTERVAL = NS_PER_S // 100  # between two samples
-FAST_S, SLOW_S = 2.0, 8.0  # time constants: one to detect a step of the demand, one with less noise
-STEP_DEVIATIONS = 2.0  # standard deviations of a count by which the two differ after a step
+MIN_SAMPLE_INTERVAL_NS = NS_PER_S // 100
+FAST_S, SLOW_S = 2.0, 8.0  # time constants: the fast average detects a step, the slow one has less noise
+STEP_DEVIATIONS = 2.0  # the averages differ by this many standard deviations of a count after a step
 
 
 class _Rate:
-    """One namespace's demand: a slow average, and a fast one that detects a step."""
+    """One namespace's demand: a slow moving average, and a fast one that detects a step."""
 
     def __init__(self) -> None:
         self.fast = self.slow = 0.0
         self._age = 0.0
 
     def add(self, count: int, seconds: float) -> None:
-        """Add a sample: so many fetches in this time."""
+        """Add a sample of `count` fetches within `seconds`."""
         self._age += seconds
         rate = count / seconds
-        plain = seconds / self._age  # a plain average as long as it is younger than its time constant
+        plain = seconds / self._age  # an arithmetic mean until the age exceeds the time constant
         self.fast += (rate - self.fast) * max(plain, 1 - math.exp(-seconds / FAST_S))
         self.slow += (rate - self.slow) * max(plain, 1 - math.exp(-seconds / SLOW_S))
         deviation = math.sqrt(max(self.fast, self.slow) / (2 * FAST_S))
@@ -41,8 +41,8 @@
         self._sampled_at: int | None = None
 
     def update(self, counts: Mapping[str, int], now: int) -> Rates:
-        """Sample the counts and return the rates; those that are 0 are left out."""
-        if self._sampled_at is not None and now - self._sampled_at < LEAST_INTERVAL:
+        """Sample the counts and return the rates above 0."""
+        if self._sampled_at is not None and now - self._sampled_at < MIN_SAMPLE_INTERVAL_NS:
             return self.rates()
         for name, count in counts.items():
             if self._sampled_at is not None:
--- a/pebblepass/consensus/disk_identity.py
+++ b/pebblepass/consensus/disk_identity.py
@@ -1,20 +1,20 @@
-"""Disk identity: starts from a voter's disk are counted, so that a stale copy of a disk is found. No I/O.
+"""Disk identity: detects voters whose disk was replaced or restored from an older copy. No I/O, no clock.
 
-A voter's promises are on its disk. A disk that was replaced, or restored from an older copy, has lost some.
-Each disk has an id, and the other voters remember how often, and by which run of a process, it was started
-from. A start counts once a quorum has confirmed it.
+A voter's promises are on its disk. A disk that was replaced, or restored from an older copy, lacks some of
+them. So each disk has an id and counts the process starts from it, and the other voters remember the count
+and the latest run. A voter may vote once a quorum has confirmed its start.
 
 | state of this disk | event | guard | next |
 | --- | --- | --- | --- |
 | started | confirmed by a voter | less than a quorum | started |
-| started | confirmed by a voter | a quorum | confirmed: it may vote |
-| any | reported as stale | of this run | started, with a new disk id: it is to be admitted anew |
+| started | confirmed by a voter | a quorum | confirmed: the router may vote |
+| any | reported as stale | the report is about this run | started, with a new disk id that has to rejoin |
 
 | state of another voter's disk | event | guard | next |
 | --- | --- | --- | --- |
 | any | message | another disk id, a later start, or the same run | known start |
 | known start | message | fewer starts, or as many by another run | stale: reported, and granted no lease |
-| known start | message | another run, and less synced than was known | stale likewise |
+| known start | message | another run, and an older durable version | stale: reported, and granted no lease |
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class _DurableVersion(Struct, frozen=True):
-    """The latest decided version that was known to be synced on a disk, at one run of its process."""
+    """The latest decided version that one run of a process has reported as synced to its disk."""
 
     disk_id: str = ""
     boot_id: str = ""
@@ -42,7 +42,7 @@
 
 
 class DiskIdentity:
-    """The identity of this router's disk, and the known starts from the other voters' disks."""
+    """The identity of this router's disk, and the latest known starts from the other voters' disks."""
 
     def __init__(self, name: str, boot_id: str, new_disk_id: str, outbox: Outbox) -> None:
         self._name, self._boot_id, self._outbox = name, boot_id, outbox
@@ -52,7 +52,7 @@
         self._confirming_voters: set[str] = set()
 
     def restore(self, disk_id: str, start_count: int) -> None:
-        """Restore the identity that a record holds."""
+        """Restore the identity from a record of the log."""
         self.disk_id, self.start_count = disk_id, start_count
 
     def start(self) -> None:
@@ -62,24 +62,24 @@
             self._outbox.write_start(StartRecord(self.disk_id, self.start_count))
 
     def can_vote(self, voters: Mapping[str, str]) -> bool:
-        """Whether this router is a voter, on the disk with which it became one."""
+        """Whether this router is a voter and uses the disk with which it became one."""
         expected = voters.get(self._name)
         return expected is not None and bool(self.disk_id) and expected in ("", self.disk_id)
 
     def confirm(self, voter: str) -> None:
-        """A voter knows of this start."""
+        """Record that a voter knows of this start."""
         self._confirming_voters.add(voter)
 
     def is_confirmed(self, voters: Iterable[str], needed: int) -> bool:
-        """Whether as many voters know of this start as would notice a later one from the same disk."""
+        """Whether a quorum knows of this start, so that a start from an older copy would be detected."""
         return len(self._confirming_voters.intersection(voters)) + 1 >= needed
 
     def record_peer(self, sender: m.Sender, version: int) -> None:
-        """Take the start of another voter that a message carries; `version`: decided here, for the log."""
+        """Record the start of another voter from a message; `version`: the decided one, for the log."""
         start = DiskStart(sender.disk_id, sender.start_count, sender.boot_id)
         if self.is_stale(sender):
             known = self.peer_starts[sender.name].start_count
-            cause = f"start {sender.start_count}, and {known} were seen"
+            cause = f"start {sender.start_count}, but start {known} is known"
             self._outbox.note("older disk", version, sender.name, cause)
             self._outbox.send(sender.name, m.StaleDisk(sender.boot_id, known), sender.boot_id)
         elif self.peer_starts.get(sender.name) != start:
@@ -106,16 +106,16 @@
         is_other_run = known.disk_id == start.disk_id and known.boot_id != sender.boot_id
         if is_other_run and sender.durable_version < known.version:
             return True  # the disk lacks a version that it had synced before
-        # Danger: a copy from before the last start counts that start anew, and comes to the same number.
+        # Danger: a copy made before the last start repeats that start with the same number.
         is_repeated = sender.start_count == start.start_count and sender.boot_id != start.boot_id
         return sender.start_count < start.start_count or is_repeated
 
     def reported_stale(self, report: m.StaleDisk, version: int) -> None:
-        """Another voter reports that this disk is an older copy; `version`: decided here, for the log."""
-        # A message to the run before may arrive late.
+        """Handle a report that this disk is an older copy; `version`: the decided one, for the log."""
+        # A report about an earlier run may arrive late.
         if report.boot_id == self._boot_id and self.disk_id:
             self.disk_id = f"{self._name}.{self._boot_id}.{report.start_count}"
             self.start_count = 1
-            cause = "it may have forgotten promises: to be taken in anew"
+            cause = "the disk may lack promises; this router has to rejoin with a new disk id"
             self._outbox.note("older disk", version, self._name, cause)
             self._outbox.write_start(StartRecord(self.disk_id, self.start_count))
--- a/pebblepass/consensus/learner.py
+++ b/pebblepass/consensus/learner.py
@@ -1,9 +1,9 @@
-"""The learner: the decided version, its history, and what other routers lack. No I/O, no clock.
+"""The learner: the decided version, its history, and announcements to other routers. No I/O, no clock.
 
 | state of version v | event | guard | next |
 | --- | --- | --- | --- |
-| unknown | learn(v) | v is above the decided version | decided, its record being written |
-| unknown, decided | learn(v) | v is not above the decided version | as before |
+| unknown | learn(v) | v is newer than the decided version | decided; its record is being written |
+| unknown, decided | learn(v) | v is not newer than the decided version | unchanged |
 | decided | written | its record is synced | durable |
 | decided, durable | learn(w) | w > v | in the history |
 """
@@ -22,9 +22,9 @@
 from pebblepass.consensus.records import DecisionRecord
 
 HISTORY_VERSIONS = 32
-REPEATS_PER_LEASE = 4  # how often the same is announced to a router at most
+REPEATS_PER_LEASE = 4  # at most this many announcements of a version to one router within a lease
 REMEMBERED_ANNOUNCEMENTS = 4096
-NEVER = -(1 << 62)
+NEVER = -(1 << 62)  # a time before any that the clock returns
 
 
 class _Announcement(Struct, frozen=True):
@@ -39,14 +39,14 @@
 
 
 class Learner:
-    """The versions that were decided."""
+    """The decided versions."""
 
     def __init__(self, name: str, genesis: m.Value, check: Check, outbox: Outbox) -> None:
         self._name, self._check, self._outbox = name, check, outbox
         self.decided = genesis
         self.history: deque[m.Value] = deque(maxlen=HISTORY_VERSIONS)
         self.decided_changes: dict[int, str] = {}
-        """Change by version, of decided versions; of some, nothing else may be known."""
+        """The change id of each decided version, including versions whose values this router has missed."""
         self.durable_version = 0
         """The latest decided version that is synced to the disk."""
         self.problem = ""
@@ -56,12 +56,12 @@
 
     @property
     def version(self) -> int:
-        """The decided version."""
+        """The number of the decided version."""
         return self.decided.version
 
     @property
     def voters(self) -> dict[str, str]:
-        """Those that decide the next version: disk id by router name."""
+        """The voters on the next version: disk id by router name."""
         return self.decided.fleet.voters
 
     @property
@@ -83,11 +83,11 @@
         return [name for name in self.voters if name != self._name]
 
     def version_of(self, change_id: str) -> int:
-        """Return the version that a change was decided as; 0: it is not known to be decided."""
+        """Return the version as which a change was decided; 0: it is not known to be decided."""
         return next((version for version, change in self.decided_changes.items() if change == change_id), 0)
 
     def known_changes(self) -> tuple[m.DecidedChange, ...]:
-        """Return the decided versions with their changes."""
+        """Return the known decided versions with their change ids."""
         return tuple(
             m.DecidedChange(version, change_id) for version, change_id in self.decided_changes.items()
         )
@@ -101,17 +101,17 @@
     def restore_history(
         self, decided: m.Value, history: Iterable[m.Value], changes: Iterable[m.DecidedChange]
     ) -> None:
-        """Restore the versions that a snapshot holds."""
+        """Restore the versions from a snapshot."""
         self.decided = decided
         self.history.extend(history)
         self.decided_changes = {change.version: change.change_id for change in changes}
 
     def restored(self) -> None:
-        """Finish the recovery: all that was restored is on the disk."""
+        """Finish the recovery: everything restored is durable."""
         self.durable_version = self.decided.version
 
     def learn(self, value: m.Value, changes: Iterable[m.DecidedChange], keeps_disk: bool) -> None:
-        """Take a decided version that is newer than the one known, and write it where there is a disk."""
+        """Adopt a newer decided version, and write its record if the router keeps a disk."""
         self.decided_changes.update({change.version: change.change_id for change in changes})
         self.decided_changes[value.version] = value.change_id
         for version in sorted(self.decided_changes)[:-HISTORY_VERSIONS]:
@@ -125,12 +125,12 @@
             self.durable_version = value.version
 
     def written(self) -> None:
-        """Note which decided versions are synced now."""
+        """Update the durable version after a sync."""
         while self._pending_writes and self._outbox.is_synced(self._pending_writes[0].token):
             self.durable_version = self._pending_writes.popleft().version
 
     def check_decided(self, before: m.Value) -> None:
-        """Check whether this router can use the decided version, after the one before."""
+        """Check whether this router can use the decided version; `before`: the previous one."""
         self.problem = self._check(before.policy, self.decided.policy)
         if self.problem:
             self._outbox.note("unusable", self.version, self._name, self.problem)
@@ -142,14 +142,15 @@
         return m.PolicyCheckResult(value.version, value.change_id, problem)
 
     def announcement(self) -> m.VersionDecided:
-        """Return what a router that is behind lacks."""
+        """Return the message that brings a router up to date."""
         changes = sorted(self.known_changes(), key=lambda change: change.version)
         return m.VersionDecided(self.decided, tuple(changes))
 
     def catch_up(self, sender: m.Sender, interval_ns: int) -> None:
-        """Announce the decided version to a sender that is behind; request that of one that is ahead.
+        """Announce the decided version to a sender that is behind; send a heartbeat to one that is ahead.
 
-        The same is sent to one run of a process once an interval at most.
+        The heartbeat makes that sender announce its own version. Each run of a process is sent this at most
+        once an interval for the same decided version.
         """
         if sender.decided_version == self.version:
             return
--- a/pebblepass/consensus/lease_client.py
+++ b/pebblepass/consensus/lease_client.py
@@ -1,11 +1,13 @@
-"""A router's part in leases: it requests them, and activates the policy while they hold. No I/O, no clock.
+"""The client side of leases: requests them, and activates the policy while they are valid. No I/O, no clock.
+
+A router without a lease is "at the floor": it admits only its floor of each quota.
 
 | state | event | guard | next |
 | --- | --- | --- | --- |
 | at the floor | grant | a quorum's grants on the decided version are valid | in force |
-| at the floor, in force | version decided | - | at the floor, renewing at once |
-| in force | grant, clock | the quorum's grants end at another time | in force, until then |
-| in force | clock | the grants have expired | at the floor (the router compares its own clock) |
+| at the floor, in force | version decided | - | at the floor; the leases are renewed immediately |
+| in force | grant, timeout | the quorum's grants expire at another time | in force until that time |
+| in force | expiry | - | at the floor; the router checks its clock before each event |
 | any | version decided | the policy can't be used here | at the floor |
 """
 
@@ -24,11 +26,11 @@
 from pebblepass.consensus.quota_leases import NO_QUOTA, Quota, QuotaLeaseHolder
 from pebblepass.consensus.setup import RandomSource, ReplicaSetup
 
-LEAST_RENEWAL, MOST_RENEWAL = 0.8, 1.0  # fractions of the renewal interval; keeps routers out of step
+MIN_RENEWAL, MAX_RENEWAL = 0.8, 1.0  # fractions of the renewal interval; the jitter spreads the requests
 
 
 class _Release(Struct, frozen=True):
-    """A message that frees what exceeds a router's new quota lease."""
+    """A message that releases the part of a quota lease by which its replacement is smaller."""
 
     name: str
     boot_id: str
@@ -36,7 +38,7 @@
 
 
 class LeaseClient:
-    """Holds leases and quota leases on the decided version."""
+    """The leases and quota leases that a router holds on the decided version."""
 
     def __init__(
         self,
@@ -60,19 +62,19 @@
         self._last_leased_version = 0
 
     def may_admit(self, now: int) -> bool:
-        """Whether it holds a lease on the decided version, and can use it."""
+        """Whether the router holds a lease on the decided version and can use that version."""
         return now < self.until and not self._learner.problem
 
     def leased_version(self, now: int) -> int:
-        """Return the version that it holds a lease on; 0: none."""
+        """Return the version that the router holds a lease on; 0: none."""
         return self._learner.version if self.may_admit(now) else 0
 
     def current_quota(self, now: int) -> Quota:
-        """Return what it may fetch beyond its floors."""
+        """Return what the router may fetch in addition to its floors."""
         return self.quota_holder.total(now) if self.may_admit(now) else NO_QUOTA
 
     def begin(self) -> None:
-        """Begin the version that has just been decided, and release all on the one before."""
+        """Begin the version that has just been decided, and release the leases on the previous one."""
         self._holder.begin(self._learner.version)
         self.quota_holder.begin()
         self._releases.clear()
@@ -80,10 +82,10 @@
         self.until = 0
 
     def renew(self) -> None:
-        """Request the leases, or send a heartbeat where there is no version to lease."""
+        """Request leases from the voters, or send them a heartbeat if there is no version to lease."""
         now, learner = self._outbox.now, self._learner
         interval = self._setup.terms.renewal_interval
-        self.renew_at = now + int(interval * self._rng.uniform(LEAST_RENEWAL, MOST_RENEWAL))
+        self.renew_at = now + int(interval * self._rng.uniform(MIN_RENEWAL, MAX_RENEWAL))
         if learner.version < 1 or self._setup.name not in learner.decided.fleet.members:
             self._outbox.send_all(learner.other_voters(), m.Heartbeat())
             return
@@ -91,13 +93,13 @@
         demand = m.NO_RATES
         if learner.decided.policy.store.uses_leases:
             demand = self.demand.update(self._setup.demand_counts(), now)
-        # The voters of the version before get it too: it releases what they granted.
+        # The request also goes to the previous version's voters, where it releases the older leases.
         for name in dict.fromkeys([*learner.voters, *learner.decided.previous_voters]):
             applied = self.quota_holder.applied_sequence(name)
             self._outbox.send(name, m.LeaseRequest(sequence, learner.version, applied, demand))
 
     def granted(self, sender: m.Sender, grant: m.LeaseGrant) -> None:
-        """Take a grant of a voter, if it is on the disk with which it became one."""
+        """Handle a grant; it counts only from a voter that uses the disk with which it became one."""
         if sender.disk_id == self._learner.voters.get(sender.name):
             self.count_grant(sender.name, grant)
             self._quota_granted(sender, grant)
@@ -117,9 +119,9 @@
             self._releases.append(_Release(sender.name, sender.boot_id, message))
 
     def refresh(self, first_leased: Callable[[], None]) -> None:
-        """Activate the policy, if what the router may admit under has changed.
+        """Activate the policy if the lease or the quota leases have changed.
 
-        `first_leased` is called before, where it is the first lease on the decided version.
+        `first_leased` is called before the first activation of a decided version.
         """
         now, learner = self._outbox.now, self._learner
         until = self._holder.until(learner.voters, learner.quorum_size) if learner.version else 0
@@ -148,10 +150,10 @@
             self._outbox.note(event, self._learner.version, cause=amounts)
 
     def send_releases(self) -> bool:
-        """Free what exceeds the new quota leases; return whether there was any.
+        """Release the parts by which quota leases became smaller; return whether there were any.
 
-        Danger: to be called after the policy is activated. Freed before, another router could get what this
-        one still admits by.
+        Danger: call this only after the policy is activated. If released before, a voter could grant to
+        another router what this one still uses.
         """
         releases, self._releases = self._releases, []
         for release in releases:
@@ -159,6 +161,6 @@
         return bool(releases)
 
     def due(self, now: int) -> int:
-        """When the leases are renewed or a quota lease is left out."""
+        """Return when the leases are to be renewed or a quota lease stops counting."""
         expiry = self.quota_holder.due(now)
         return self.renew_at if expiry is None else min(self.renew_at, expiry)
--- a/pebblepass/consensus/lease_server.py
+++ b/pebblepass/consensus/lease_server.py
@@ -1,14 +1,15 @@
-"""A voter's part in leases: it grants them, and finds out when a version is closed. No I/O, no clock.
+"""The server side of leases, at a voter: grants them, and detects when a version is closed. No I/O, no clock.
+
+A version is released at one voter when no lease that this voter granted on it is valid any more. It is closed
+when no router can hold a lease on it any more. A voter grants leases on the decided version once that version
+is on its disk and the previous one is closed.
 
 | state of version v at this router | event | guard | next |
 | --- | --- | --- | --- |
 | granting | v + 1 is decided and durable | a lease on v granted here is valid | releasing |
-| granting, releasing | v + 1 is durable | no lease granted here on v is valid | released, announced |
-| released | released at other voters | a quorum of the voters of v | closed, announced |
+| granting, releasing | v + 1 is durable | no lease on v granted here is valid | released, announced |
+| released | another voter reports v released | a quorum of the voters of v have | closed, announced |
 | any | another router reports v closed | - | closed |
-
-Released is said of this voter, closed of the whole fleet. A voter grants the decided version once it is on
-its disk and the one before is closed.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 class LeaseServer:
-    """Grants leases and quota leases on the decided version."""
+    """The leases and quota leases that a voter grants on the decided version."""
 
     def __init__(
         self,
@@ -38,22 +39,22 @@
         allocator: QuotaAllocator,
         restarted: bool,
     ) -> None:
-        """`restarted`: an earlier process on this disk may have granted leases."""
+        """`restarted`: an earlier process on this disk may have granted leases that are not known here."""
         self._setup, self._learner, self._disk = setup, learner, disk
         self._peers, self._outbox = peers, outbox
         self.granter = LeaseGranter(setup.terms, outbox.now, restarted)
         self.allocator = allocator
         self.released_version = 0
-        """No lease granted here on this version or an older one is valid any more."""
+        """No lease that this voter granted on this version or an older one is valid any more."""
         self.closed_version = 0
         """No router can hold a lease on this version or an older one any more."""
 
     def restore_closed(self, version: int) -> None:
-        """Restore what a record holds."""
+        """Restore the closed version from a record of the log."""
         self.closed_version = version
 
     def request(self, sender: m.Sender, request: m.LeaseRequest) -> None:
-        """Take a request of a member; one that was started from a stale disk gets no lease."""
+        """Handle a member's lease request; a member that was started from a stale disk gets no lease."""
         if sender.name not in self._learner.decided.fleet.members or self._disk.is_stale(sender):
             return
         process, now = ProcessId(sender.name, sender.boot_id), self._outbox.now
@@ -65,12 +66,12 @@
         self.grant()
 
     def quota_lease_applied(self, sender: m.Sender, message: m.QuotaLeaseApplied) -> None:
-        """A router has applied a smaller quota lease."""
+        """Handle the message that a router has applied a smaller quota lease."""
         process = ProcessId(sender.name, sender.boot_id)
         self.allocator.applied(process, message.version, message.sequence, self._outbox.now)
 
     def grant(self) -> None:
-        """Grant what waits, if the decided version is on the disk and the one before it is closed."""
+        """Grant the waiting requests, if the decided version is durable and the previous one is closed."""
         version = self._learner.version
         if version < 1 or not self._disk.can_vote(self._learner.voters):
             return
@@ -97,7 +98,7 @@
         self._outbox.send(process.name, grant, process.boot_id)
 
     def settle(self) -> None:
-        """Find out what is released, what is closed and what may be granted now."""
+        """Update the released and closed versions, announce changes, and grant what has become possible."""
         target = self._learner.durable_version - 1
         if self.released_version < target and self.granter.is_released(target, self._outbox.now):
             self.released_version = target
@@ -108,29 +109,29 @@
             released = sum(
                 1 for name, disk_id in before.items() if self.has_released(name, disk_id, version - 1)
             )
-            # Version 0 is the state before the fleet forms: nobody holds a lease on it.
+            # Version 0, before the fleet forms, has no leases.
             if released >= quorum(before, False) or version == 1:
                 self.close(version - 1)
                 self._announce()
         self.grant()
 
     def close(self, version: int) -> None:
-        """Note that a version is closed."""
+        """Record that a version is closed."""
         self.closed_version = version
         if self._disk.disk_id:
-            # The voters of that version may have left for good when this router restarts.
+            # After a restart the voters of that version may have left the fleet and can't be asked again.
             self._outbox.write(ClosedRecord(version))
         self._outbox.note("closed", version)
 
     def has_released(self, name: str, disk_id: str, version: int) -> bool:
-        """Whether a voter, on this disk, has no valid lease on a version any more."""
+        """Whether a voter with this disk has reported that it released a version."""
         if name == self._setup.name:
             return self._disk.disk_id == disk_id and self.released_version >= version
         state = self._peers.state(name)
         return state is not None and state.disk_id == disk_id and state.released_version >= version
 
     def next_release(self, now: int) -> int | None:
-        """When the leases on the version before end; None: they have, or nothing is known to end."""
+        """Return when the last lease on the previous version expires; None: no expiry is pending."""
         if self.released_version >= self._learner.durable_version - 1:
             return None
         return self.granter.last_expiry(self._learner.durable_version - 1, now)
--- a/pebblepass/consensus/membership.py
+++ b/pebblepass/consensus/membership.py
@@ -1,10 +1,10 @@
-"""Changes of the fleet that routers propose themselves: it forms, and a voter rejoins with another disk.
+"""Changes of the fleet that routers propose without an operator: forming it, and a voter's new disk.
 
 | state of the fleet | event | guard | next |
 | --- | --- | --- | --- |
-| not formed | heartbeat interval | all voters are alive, with disks; this is the first by name | forming |
-| formed | heartbeat interval | this voter has another disk than the fleet knows | rejoin requested |
-| formed | rejoin request | a voter with another disk; nothing is under way here | its new disk proposed |
+| not formed | heartbeat due | all voters are alive and have disks; this voter's name sorts first | forming |
+| formed | heartbeat due | this voter's disk is not the one that the fleet knows | rejoin requested |
+| formed | rejoin request | a voter with another disk; no change is in progress here | new disk proposed |
 
 No I/O, no clock.
 """
@@ -21,11 +21,11 @@
 from pebblepass.consensus.proposer import Proposer
 from pebblepass.consensus.setup import ReplicaSetup
 
-AUTHOR = "pebblepass"  # of changes that routers propose themselves
+AUTHOR = "pebblepass"  # of changes that routers propose without an operator
 
 
 class Membership:
-    """Proposes changes of the fleet without an operator."""
+    """Proposes changes of the fleet that need no operator."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         self._proposed_count = 0
 
     def tick(self) -> None:
-        """Form the fleet, or rejoin it with another disk; to be called with each heartbeat."""
+        """Form the fleet, or request to rejoin with another disk. Called with each heartbeat."""
         name, disk_id = self._setup.name, self._disk.disk_id
         if self._learner.is_forming:
             self._form()
@@ -50,11 +50,11 @@
             self._outbox.send_all(self._learner.other_voters(), m.Rejoin())
 
     def _form(self) -> None:
-        """Propose the fleet once all its voters are alive; the first of them by name does."""
+        """Propose the fleet once all its voters are alive. Only the voter whose name sorts first does so."""
         name, voters = self._setup.name, self._learner.voters
         if min(voters, default="") != name or self._proposer.change is not None:
             return
-        # In this order: it is part of the version's encoded form.
+        # The order of the voters is part of the encoded version.
         disks = {other: self._peers.disk_id(other) for other in self._learner.other_voters()}
         disks[name] = self._disk.disk_id
         if not all(disks.values()):
@@ -65,7 +65,7 @@
             self._propose("form", "form", fleet, "")
 
     def rejoin_requested(self, sender: m.Sender) -> None:
-        """Propose the new disk of a voter, which votes again once that is decided."""
+        """Propose the new disk of a voter, which may vote again once this is decided."""
         known = self._learner.voters.get(sender.name)
         if not self._disk.can_vote(self._learner.voters) or known is None or known == sender.disk_id:
             return
@@ -78,9 +78,9 @@
         reason = f"{sender.name} has come back with another disk"
         self._propose(f"join.{sender.name}", "members", fleet, reason)
 
-    def _propose(self, what: str, kind: m.Kind, fleet: m.Fleet, reason: str) -> None:
-        self._proposed_count += 1  # a further attempt is another change
-        change_id = f"{what}.{self._setup.name}.{self._setup.boot_id}.{self._proposed_count}"
+    def _propose(self, change_prefix: str, kind: m.Kind, fleet: m.Fleet, reason: str) -> None:
+        self._proposed_count += 1  # each attempt is a change of its own
+        change_id = f"{change_prefix}.{self._setup.name}.{self._setup.boot_id}.{self._proposed_count}"
         decided = self._learner.decided
         value = next_version(
             decided, change_id, kind, decided.policy, fleet, AUTHOR, reason, self._setup.name
--- a/pebblepass/consensus/quota_allocator.py
+++ b/pebblepass/consensus/quota_allocator.py
@@ -1,21 +1,23 @@
 """A voter's quota leases: how it splits its part of each quota among the routers. No I/O, no clock.
 
-A policy with quota leases splits each namespace's quota: the floors of all routers are set aside, and of the
-rest each of V voters owns 1/V, its part, and grants it without the others. No quorum is needed for the sum:
-whatever the others do, a voter never has more granted than its part. A router's lease request carries its
-demand and the sequence of the grant of this voter that it has applied last; the answer carries its lease.
+With quota leases, each namespace's quota is split as follows. The floors of all routers are reserved. Of the
+rest, each of V voters owns 1/V, its part, and grants leases on it without asking the other voters. A voter
+never grants more than its part, so the sum over all voters stays within the quota without a quorum. A lease
+request carries the router's demand and the sequence of the grant that it applied last; the answer carries its
+quota lease.
 
-What a router may hold of a voter, as that voter sees it; "outstanding" is the sum of it over all routers:
+A grant's answer may be lost, so a voter does not know which of its recent grants a router applies. It counts
+the largest of them. The sum over all routers is "outstanding".
 
-| held | event | guard | next |
+| grants that a router may apply | event | guard | next |
 | --- | --- | --- | --- |
-| nothing | request, version in force | not quiet, some of the part is not outstanding | grant k |
-| grants j..k, the largest counts | request | some of the part is free besides | grants j..k+1 |
-| grants j..k | request or message that i was applied | j <= i <= k | grants i..k |
-| grants j..k | clock | j has expired | grants j+1..k |
-| grants j..k | request on a later version | - | nothing: the router has released them |
-| any | the voter begins a later version | the one before is closed | nothing: no lease on it is valid |
-| any | the voter restarts | - | not known: quiet until all that it may have granted has expired |
+| none | request on the version in force | leases of an earlier process have expired | k |
+| j..k | request | - | j..k+1; the new grant is limited to what is not outstanding |
+| j..k | request or message: the router applied i | j <= i <= k | i..k |
+| j..k | expiry of j | - | j+1..k |
+| j..k | request on a later version | - | none: the router has released them |
+| any | the voter begins a later version | the previous version is closed | none: no lease on it is valid |
+| any | the voter restarts | - | unknown; it grants nothing until all earlier grants have expired |
 """
 
 from __future__ import annotations
@@ -32,18 +34,18 @@
 Rates = tuple[tuple[str, float], ...]
 """Fetches a second by namespace."""
 
-SPLITS_PER_RENEWAL = 4  # how often the split is computed anew between two requests of a router
-RESERVE = 1 / 16  # fraction of a part that stays free, for a router whose demand has just risen
-NEVER = -(1 << 62)
+SPLITS_PER_RENEWAL = 4  # at most this many times the split is computed between two requests of a router
+RESERVE = 1 / 16  # fraction of a part that the split leaves free, for a router whose demand has just risen
+NEVER = -(1 << 62)  # a time before any that the clock returns
 
 
 class QuotaPool(Struct, frozen=True):
-    """One namespace's quota, in fetches a second of all routers together."""
+    """One namespace's quota, in fetches a second."""
 
     shared: float
-    """What leases split: the quota beyond the floors."""
+    """The quota without the floors, of all routers together. Leases split this."""
     floor: float
-    """What each router may fetch without a lease."""
+    """The rate at which each router may fetch without a lease."""
 
 
 class _Grant(Struct, frozen=True):
@@ -53,7 +55,7 @@
 
 
 class _Client:
-    """One run of a router, as a voter sees it."""
+    """The state that a voter keeps for one run of a router."""
 
     def __init__(self) -> None:
         self.demand: dict[str, float] = {}
@@ -63,13 +65,13 @@
 
 
 class QuotaAllocator:
-    """A voter's quota leases on one version."""
+    """The quota leases that a voter grants on one version."""
 
     def __init__(self, terms: LeaseTerms, now: int, restarted: bool) -> None:
         """`restarted`: an earlier process on this disk may have granted leases that are not known here."""
         self._terms = terms
         self.earlier_leases_expire_at = now + terms.granter_duration if restarted else now
-        """From then on no lease that an earlier process granted is valid."""
+        """When every lease that an earlier process may have granted has expired."""
         self.version = 0
         self._parts: dict[str, float] = {}
         self._floors: dict[str, float] = {}
@@ -80,7 +82,7 @@
         self._split_at = NEVER
 
     def begin(self, version: int, pools: Mapping[str, QuotaPool], voters: int) -> None:
-        """Begin to grant on this version; no lease on an older one is valid any more."""
+        """Begin to grant leases on this version. No lease on an older one may be valid any more."""
         if version == self.version:
             return
         self.version, self._voters = version, voters
@@ -101,7 +103,7 @@
         demand: Iterable[tuple[str, float]],
         now: int,
     ) -> None:
-        """Take a new request: the router's demand, and the grant of this voter that it has applied last."""
+        """Record a request: the router's demand, and the sequence of the grant that it applied last."""
         client = self._clients.setdefault(process, _Client())
         client.demand, client.requested_at = dict(demand), now
         if version > self.version:
@@ -110,7 +112,7 @@
         self.applied(process, version, applied_sequence, now)
 
     def applied(self, process: ProcessId, version: int, applied_sequence: int, now: int) -> None:
-        """A router has applied a grant: those before it are over."""
+        """Record that a router has applied a grant, and drop the grants before it."""
         client = self._clients.get(process)
         if client is not None and version == self.version:
             client.grants = [
@@ -121,7 +123,7 @@
             self._recount(client)
 
     def grant(self, process: ProcessId, sequence: int, now: int) -> Rates:
-        """Return a router's quota lease, to answer its request with."""
+        """Grant and return a router's quota lease, in answer to its request."""
         client = self._clients.get(process)
         if client is None or now < self.earlier_leases_expire_at or not self._parts:
             return ()
@@ -137,11 +139,11 @@
         return tuple(amounts.items())
 
     def outstanding(self, name: str) -> float:
-        """Return what routers may hold of this voter's part of a namespace's quota, in fetches a second."""
+        """Return how much of this voter's part of a quota routers may be using, in fetches a second."""
         return self._outstanding.get(name, 0.0)
 
     def report(self) -> dict[str, object]:
-        """Report each namespace's part, and how much of it is outstanding, to operators."""
+        """Return the report to operators: each namespace's part, and how much of it is outstanding."""
         rows = {
             name: {"part_per_s": round(part, 4), "out_per_s": round(self.outstanding(name), 4)}
             for name, part in self._parts.items()
@@ -157,7 +159,7 @@
         client.outstanding = outstanding
 
     def _split(self, now: int) -> None:
-        """Drop what has expired, and compute each router's target."""
+        """Drop expired grants, and compute each router's target."""
         self._split_at = now
         for process, client in list(self._clients.items()):
             if client.grants and client.grants[0].expires_at <= now:
@@ -166,7 +168,7 @@
             if not client.grants and now - client.requested_at > self._terms.granter_duration:
                 del self._clients[process]
         for name, part in self._parts.items():
-            # Summed anew: the differences of many small numbers would drift.
+            # Recomputed in full: adding many small differences accumulates rounding errors.
             self._outstanding[name] = math.fsum(
                 client.outstanding.get(name, 0.0) for client in self._clients.values()
             )
@@ -177,10 +179,10 @@
 
 
 def allocate(demand: Mapping[Key, float], total: float, floor: float) -> dict[Key, float]:
-    """Split `total` by demand; each has `floor` besides. All are in fetches a second.
+    """Split `total` by demand among routers that each have `floor` in addition. All are in fetches a second.
 
-    Where it suffices, the surplus goes by the square root of the demand, as the deviation of counts does;
-    where it does not, the split is max-min fair: nobody gets more than another one that demands more.
+    If `total` covers the demand, each router gets its demand plus a surplus in proportion to the square root
+    of its demand, like the standard deviation of a count. If it does not, the split is max-min fair.
     """
     needs = {key: max(rate - floor, 0.0) for key, rate in demand.items()}
     if math.fsum(needs.values()) >= total:
@@ -189,7 +191,7 @@
     pairs = [(rate - floor, math.sqrt(rate)) for rate in demand.values() if rate > 0]
     height, count = 0.0, -1
     while pairs and len(pairs) != count:
-        # Each round drops those whose floor suffices at this height, which lowers it for the others.
+        # Each pass drops routers whose floor covers their demand and surplus. That lowers the surplus factor.
         count = len(pairs)
         height = (total - math.fsum(need for need, _ in pairs)) / math.fsum(root for _, root in pairs)
         pairs = [(need, root) for need, root in pairs if need + height * root > 0]
@@ -197,11 +199,11 @@
 
 
 def _water_level(needs: list[float], total: float) -> float:
-    """Return the level up to which all needs are met when `total` is used up; `needs` ascend."""
-    left = total
+    """Return the largest share in a max-min fair split of `total` (water-filling); `needs` ascend."""
+    remaining = total
     for index, need in enumerate(needs):
-        level = left / (len(needs) - index)
+        level = remaining / (len(needs) - index)
         if need >= level:
             return level
-        left -= need
+        remaining -= need
     return math.inf
--- a/pebblepass/consensus/quota_leases.py
+++ b/pebblepass/consensus/quota_leases.py
@@ -1,17 +1,17 @@
-"""A router's quota leases, granted by several voters. No I/O, no clock.
+"""A router's quota leases, which several voters grant. No I/O, no clock.
 
-What a router holds of a voter:
+The lease that a router holds from one voter:
 
-| held | event | guard | next |
+| state | event | guard | next |
 | --- | --- | --- | --- |
-| any | grant k | on its version, k is later than what it has applied | lease k for `holder_duration` |
-| any | another grant | - | as before |
-| lease k | clock | it has expired | nothing |
-| lease k | another version is decided | - | nothing |
-
-The router compares its clock before each event (`PolicyChanged.leases_until`), and counts from when it sent
-the request, less the drift; the voter from when it grants it, plus the drift: so the router's lease always
-expires first.
+| any | grant k | for the decided version, and newer than the last applied grant | lease k |
+| any | another grant | - | unchanged |
+| lease k | expiry, `holder_duration` after the request was sent | - | none |
+| lease k | another version is decided | - | none |
+
+The router checks its clock before each event (`PolicyChanged.leases_until`). Its lease runs from when the
+request was sent and is shortened by the clock drift; the voter's runs from when it is granted and is extended
+by the drift. So the router's lease always expires first.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from pebblepass.consensus.leases import LeaseTerms
 from pebblepass.consensus.quota_allocator import Rates
 
-SIGNIFICANT_LOSS = 1 / 16  # fraction of a quota lease; a router that loses more reports the new one at once
-EXPIRY_MARGIN = 1 / 8  # fraction of a lease; one that expires so soon is dropped before the others are
+SIGNIFICANT_LOSS = 1 / 16  # fraction of a quota lease; a larger reduction is reported to the voter at once
+EXPIRY_MARGIN = 1 / 8  # fraction of a lease; with less time left, a lease no longer counts
 
 
 class _Lease(Struct, frozen=True):
@@ -32,7 +32,7 @@
 
 
 class Quota(Struct, frozen=True):
-    """What a router may fetch beyond its floors, and until when."""
+    """What a router may fetch in addition to its floors, and until when."""
 
     rates: Rates = ()
     until: int = 0
@@ -43,20 +43,20 @@
 
 
 class QuotaLeaseHolder:
-    """A router's quota leases on one version."""
+    """The quota leases that a router holds on one version."""
 
     def __init__(self, terms: LeaseTerms) -> None:
         self._terms = terms
         self._leases: dict[str, _Lease] = {}  # by voter
 
     def begin(self) -> None:
-        """Begin another version, and release all that was granted on the one before."""
+        """Begin another version, and release all leases on the previous one."""
         self._leases.clear()
 
     def granted(self, voter: str, sequence: int, requested_at: int, rates: Rates) -> bool:
-        """Take a voter's grant on this version; return whether that took a significant part away.
+        """Record a voter's grant on this version; return whether it reduces the lease significantly.
 
-        Danger: an older grant that arrives late may be one that its voter counts as over.
+        Danger: grants that arrive out of order are ignored, as the voter may count them as replaced.
         """
         before = self._leases.get(voter)
         if before is not None and sequence <= before.sequence:
@@ -68,11 +68,11 @@
         )
 
     def applied_sequence(self, voter: str) -> int:
-        """Return the request whose grant of this voter was applied last; 0: none."""
+        """Return the sequence of this voter's grant that was applied last; 0: none."""
         return self._leases[voter].sequence if voter in self._leases else 0
 
     def total(self, now: int) -> Quota:
-        """Sum up the leases; those that expire soon are left out."""
+        """Return the sum of the leases, without those that expire soon."""
         earliest = now + int(self._terms.holder_duration * EXPIRY_MARGIN)
         valid = [lease for lease in self._leases.values() if lease.expires_at > earliest]
         total: dict[str, float] = {}
@@ -82,17 +82,17 @@
         return Quota(tuple(sorted(total.items())), min((lease.expires_at for lease in valid), default=0))
 
     def due(self, now: int) -> int | None:
-        """When the next lease is left out; None: there is none."""
+        """Return when the next lease stops counting; None: there is none."""
         margin = int(self._terms.holder_duration * EXPIRY_MARGIN)
         times = (lease.expires_at - margin for lease in self._leases.values())
         return min((time for time in times if time > now), default=None)
 
     def granting_voters(self, now: int) -> set[str]:
-        """Return the voters of which it holds a lease."""
+        """Return the voters from which the router holds a lease."""
         return {voter for voter, lease in self._leases.items() if lease.expires_at > now and lease.rates}
 
     def report(self, now: int) -> dict[str, object]:
-        """Report what it holds of each voter, and for how long, to operators."""
+        """Return the report to operators: the lease from each voter, and for how long it is valid."""
         return {
             voter: {
                 "grant": lease.sequence,
--- a/pebblepass/consensus/voter.py
+++ b/pebblepass/consensus/voter.py
@@ -1,13 +1,13 @@
-"""A voter's part in rounds: whether it may vote, and when its vote may be sent. No I/O, no clock.
+"""The voter: decides whether this router may vote, and when its vote is sent. No I/O, no clock.
 
-| event | guard | what follows |
+| event | guard | result |
 | --- | --- | --- |
 | prepare, accept | not for the version after the decided one | ignored |
-| prepare, accept | no voter, or its start is not confirmed by a quorum | ignored |
+| prepare, accept | not a voter, or no quorum has confirmed this start | ignored |
 | prepare, accept | the version before the decided one is not closed | rejected: a lease on it may be valid |
-| accept | it forms another fleet than this router's file names | ignored |
-| prepare, accept | otherwise | the acceptor votes; sent once its record is synced |
-| time | an accepted value's proposer sends nothing more | takeover by this voter |
+| accept | it would form a fleet with other voters than this router's file names | ignored |
+| prepare, accept | otherwise | the acceptor votes; the vote is sent once its record is synced |
+| timeout | the proposer of an accepted value has stopped sending | this voter takes over the value |
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Voter:
-    """Votes in the rounds of other proposers and its own."""
+    """Votes in rounds, those of this router's own proposer included."""
 
     def __init__(
         self,
@@ -39,12 +39,12 @@
 
     @property
     def can_vote(self) -> bool:
-        """Whether this router is a voter, on the disk with which it became one."""
+        """Whether this router is a voter and uses the disk with which it became one."""
         return self._disk.can_vote(self._learner.voters)
 
     @property
     def is_confirmed(self) -> bool:
-        """Whether a quorum knows of this start: before that it must not vote."""
+        """Whether a quorum knows of this start; until then this router must not vote."""
         return self._disk.is_confirmed(self._learner.voters, self._learner.quorum_size)
 
     def vote(self, sender: m.Sender, request: m.Prepare | m.Accept) -> None:
@@ -66,14 +66,14 @@
     def _acceptors_vote(self, request: m.Prepare | m.Accept) -> Vote | None:
         if isinstance(request, m.Prepare):
             return self._acceptor.prepare(request)
-        # Another disk than the value names may accept it: all others remember what this one has lost.
+        # The value may name another disk for this voter: forming needs all votes, and the others remember.
         voters = request.value.fleet.voters
         if self._learner.is_forming and voters.keys() != self._learner.voters.keys():
-            return None  # it would form another fleet than this router's file names
+            return None  # it would form a fleet with other voters than this router's file names
         return self._acceptor.accept(request, self._outbox.now)
 
     def takeover_at(self) -> int | None:
-        """When this voter proposes an accepted value itself; None: there is none, or it has no vote."""
+        """Return when this voter takes over an accepted value; None: there is none, or it can't vote."""
         if not self.can_vote:
             return None
         return self._acceptor.takeover_at(self._name, self._learner.voters, self._lease_ns)
