--- a/pebblepass/consensus/__init__.py
+++ b/pebblepass/consensus/__init__.py
@@ -1,6 +1,8 @@
-"""Consensus: a change of policy, decided once by a quorum and in force everywhere or nowhere.
+"""Consensus on the policy of a fleet: a quorum of voters decides each version once.
 
-The rules do no I/O and read no clock.
-`replica` dispatches events to the parts; `service` is the shell with links, disk and timers.
-docs/design/agreement.md has the claims, with their numbers, and the tables of states.
+Routers admit requests under a version only while a quorum leases it to them. No two routers ever admit under
+two different versions at the same time.
+
+The rules do no I/O and read no clock. `replica` dispatches events to its components; `service` runs a replica
+with links, a disk and timers. docs/design/agreement.md states the guarantees and has the state tables.
 """
--- a/pebblepass/consensus/liveness.py
+++ b/pebblepass/consensus/liveness.py
@@ -1,4 +1,4 @@
-"""Queries about routers without a heartbeat: whether another router still has theirs. No I/O, no clock."""
+"""Queries to other voters about routers whose heartbeats no longer arrive here. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -10,13 +10,16 @@
 
 
 class LivenessQueries:
-    """Queries the other voters, and answers their queries."""
+    """Sends liveness queries to the other voters, and answers theirs."""
 
     def __init__(self, learner: Learner, voter: Voter, peers: PeerTable, outbox: Outbox) -> None:
         self._learner, self._voter, self._peers, self._outbox = learner, voter, peers, outbox
 
     def tick(self) -> None:
-        """Query the other voters about routers without a heartbeat; a voter does for all members."""
+        """Query the other voters about routers without a heartbeat.
+
+        A voter queries about all members, another router about the voters only.
+        """
         voters = self._learner.other_voters()
         names = self._learner.peers() if self._voter.can_vote else voters
         for missing in self._peers.detector.to_query(names, self._outbox.now):
@@ -24,10 +27,10 @@
             self._outbox.send_all(others, m.LivenessQuery(missing))
 
     def queried(self, sender: m.Sender, query: m.LivenessQuery) -> None:
-        """Answer a query."""
+        """Answer another router's query."""
         age = self._peers.detector.age(query.name, self._outbox.now)
         self._outbox.send(sender.name, m.LivenessReport(query.name, age), sender.boot_id)
 
     def reported(self, report: m.LivenessReport) -> None:
-        """Take another router's answer."""
+        """Record the answer to a query."""
         self._peers.detector.reported(report.name, report.age_ns, self._outbox.now)
--- a/pebblepass/consensus/messages.py
+++ b/pebblepass/consensus/messages.py
@@ -1,7 +1,7 @@
-"""Messages between the routers of a fleet, and the values that they agree on. No I/O.
+"""Messages between the routers of a fleet, and the values on which they reach consensus. No I/O.
 
-The encoded names and tags are the wire form: defined here once, by `rename` and `tag`, and pinned by the
-frozen bytes in `tests/compatibility`. Records of the log are in `records`.
+`rename` and `tag` define the names on the wire, which the frozen bytes in `tests/compatibility` pin. The
+records of the log are in `records`.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 
 class Ballot(msgspec.Struct, frozen=True, order=True, array_like=True, forbid_unknown_fields=True):
-    """Identifies a round; the higher one takes precedence. Encoded as an array."""
+    """Identifies a round of voting; a higher ballot takes precedence. Encoded as an array."""
 
     number: int
     proposer: str
-    """The run of a process that began the round."""
+    """The router and the run of its process that began the round."""
 
 
 NO_BALLOT = Ballot(0, "")
@@ -29,13 +29,13 @@
     """The members and the voters of a fleet."""
 
     members: dict[str, str]
-    """Address by router name, where the other routers reach it."""
+    """Address by router name, at which the other routers reach it."""
     voters: dict[str, str]
     """Disk id by router name; the id is empty before the fleet has formed."""
 
 
 class DecidedChange(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """A decided version, and the change that it came from. Encoded as an array."""
+    """A decided version and the id of its change. Encoded as an array."""
 
     version: int
     change_id: str
@@ -55,16 +55,16 @@
         "proposer": "by",
     },
 ):
-    """One version in full: the value that a quorum decides once."""
+    """A complete version: the value that a quorum decides once."""
 
     version: int
     change_id: str
-    """The change that it came from."""
+    """The change that produced the version."""
     kind: Kind
     policy: Policy
     fleet: Fleet
     previous_voters: dict[str, str]
-    """The voters of the version before, who decide this one: disk id by router name."""
+    """The voters of the previous version, which decide this one: disk id by router name."""
     author: str = ""
     reason: str = ""
     proposer: str = ""
@@ -94,9 +94,9 @@
     """Address by router name."""
     removed_members: tuple[str, ...] = ()
     voters: tuple[str, ...] = ()
-    """The voters from then on; empty: as before."""
+    """The voters on later versions; empty: unchanged."""
     withdrawn_change_id: str = ""
-    """A change that must end without coming into force; empty: none."""
+    """The id of a change to withdraw before it is decided; empty: none."""
 
 
 class Verdict(msgspec.Struct, frozen=True, rename={"change_id": "change"}):
@@ -129,20 +129,20 @@
     boot_id: str
     """Identifies one run of the process."""
     disk_id: str
-    """Identifies its disk; empty: it keeps none."""
+    """Identifies the router's disk; empty: it keeps none."""
     start_count: int
     """How often a process has been started from this disk."""
     decided_version: int
     durable_version: int
-    """The latest decided version that is synced to its disk."""
+    """The latest decided version that is synced to the router's disk."""
     released_version: int
     """No lease that this router granted on this version or an older one is valid any more."""
     closed_version: int
     """No router can hold a lease on this version or an older one any more."""
     leased_version: int
-    """The version that it holds a lease on; 0: none."""
+    """The version that the router holds a lease on; 0: none."""
     start_confirmed: bool
-    """Whether enough voters know of this start for it to vote."""
+    """Whether a quorum knows of this start, so that the router may vote."""
 
 
 PerSecond = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
@@ -160,14 +160,14 @@
     omit_defaults=True,
     rename={"sequence": "seq", "applied_sequence": "applied"},
 ):
-    """Request a lease on a version, and release all leases on older ones."""
+    """Requests a lease on a version, and releases all leases on older ones."""
 
     sequence: int
     version: int
     applied_sequence: int = 0
-    """With quota leases: the request whose grant of this voter the router has applied last; 0: none."""
+    """With quota leases: the sequence of the receiver's grant that the router applied last; 0: none."""
     demand: Rates = ()
-    """With quota leases: the fetches a second that the router would make."""
+    """With quota leases: the fetches a second for which the router has requests."""
 
 
 class LeaseGrant(
@@ -177,49 +177,49 @@
     omit_defaults=True,
     rename={"sequence": "seq", "boot_id": "boot", "quota_leases": "shares"},
 ):
-    """Grant a lease; it runs from when the request was sent."""
+    """Grants a lease, which runs from when the request was sent."""
 
     sequence: int
     version: int
     boot_id: str
-    """The run of the process that requested it: during an upgrade there are two of one name."""
+    """The run of the process that requested it: during an upgrade two processes share a name."""
     quota_leases: Rates = ()
-    """Of this voter's part of the quotas, for as long as the lease."""
+    """Leases of this voter's part of the quotas, valid as long as the lease."""
 
 
 class QuotaLeaseApplied(msgspec.Struct, frozen=True, tag="applied", rename={"sequence": "seq"}):
-    """A router has applied a quota lease that is much smaller than the one before, which is free now."""
+    """The sender has applied a much smaller quota lease and releases the rest of the previous one."""
 
     sequence: int
     version: int
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag="state"):
-    """The sender's state alone."""
+    """Carries only the sender's state."""
 
 
 class StartConfirmed(msgspec.Struct, frozen=True, tag="welcome", rename={"boot_id": "boot"}):
-    """The sender knows of this start, and that it was not from a stale copy of the disk."""
+    """The sender knows of this start, and that it was not from an older copy of the disk."""
 
     boot_id: str
 
 
 class VersionDecided(msgspec.Struct, frozen=True, tag="learn", rename={"decided_changes": "past"}):
-    """Announce a decided version."""
+    """Announces a decided version."""
 
     value: Value
     decided_changes: tuple[DecidedChange, ...] = ()
-    """The versions decided before it, as far as they are known."""
+    """The decided versions that the sender knows, with their change ids."""
 
 
 class PolicyCheck(msgspec.Struct, frozen=True, tag="check"):
-    """Query whether a router can use this value's policy."""
+    """Asks whether a router can use this value's policy."""
 
     value: Value
 
 
 class PolicyCheckResult(msgspec.Struct, frozen=True, tag="checked", rename={"change_id": "change"}):
-    """Answer a policy check."""
+    """Answers a policy check."""
 
     version: int
     change_id: str
@@ -228,14 +228,14 @@
 
 
 class Prepare(msgspec.Struct, frozen=True, tag="prepare"):
-    """Begin a round: promise to vote in no lower one, and report what has been accepted."""
+    """Begins a round: asks a voter to promise that it will not vote in a lower one."""
 
     version: int
     ballot: Ballot
 
 
 class Promise(msgspec.Struct, frozen=True, tag="promise"):
-    """A promise, synced to the voter's disk."""
+    """A voter's promise, synced to its disk, with the value that it has accepted."""
 
     version: int
     ballot: Ballot
@@ -245,7 +245,7 @@
 
 
 class Accept(msgspec.Struct, frozen=True, tag="accept"):
-    """Propose this value to a voter for acceptance."""
+    """Asks a voter to accept this value."""
 
     version: int
     ballot: Ballot
@@ -253,28 +253,28 @@
 
 
 class Accepted(msgspec.Struct, frozen=True, tag="accepted"):
-    """An acceptance, synced to the voter's disk."""
+    """A voter's acceptance, synced to its disk."""
 
     version: int
     ballot: Ballot
 
 
 class Rejected(msgspec.Struct, frozen=True, tag="rejected", rename={"promised_number": "promised"}):
-    """A higher round has been promised, or the version before is not closed yet."""
+    """A higher ballot has been promised, or the version before the decided one is not closed yet."""
 
     version: int
     ballot: Ballot
     """The ballot that is rejected."""
     promised_number: int
-    """The number of the round that takes precedence."""
+    """The number of the ballot that was promised."""
 
 
 class Rejoin(msgspec.Struct, frozen=True, tag="join"):
-    """A voter has another disk than the fleet knows, and requests to be admitted with it."""
+    """A voter's disk is not the one that the fleet knows; requests to admit the voter with its new disk."""
 
 
 class StaleDisk(msgspec.Struct, frozen=True, tag="stale", rename={"boot_id": "boot", "start_count": "boots"}):
-    """The disk from which this run was started is an older copy and may lack promises."""
+    """Reports to a run of a router that its disk is an older copy, which may lack promises."""
 
     boot_id: str
     start_count: int
@@ -293,13 +293,13 @@
 
 
 class LivenessQuery(msgspec.Struct, frozen=True, tag="ask"):
-    """Query when a router's last heartbeat arrived."""
+    """Asks when a router's last heartbeat arrived."""
 
     name: str
 
 
 class LivenessReport(msgspec.Struct, frozen=True, tag="heard", rename={"age_ns": "age"}):
-    """Report when a router's last heartbeat arrived."""
+    """Reports when a router's last heartbeat arrived."""
 
     name: str
     age_ns: int
@@ -342,14 +342,14 @@
 
 
 def read_message(data: bytes) -> Message:
-    """Decode a message; raises ValueError with a message of one line."""
+    """Decode a message; raises ValueError with a one-line text."""
     message = _message_decoder.decode(data)
     if isinstance(message.body, LeaseRequest | LeaseGrant):
         body = message.body
         rates = body.demand if isinstance(body, LeaseRequest) else body.quota_leases
-        # Danger: a NaN is neither above nor below a bound, and would spoil every sum that it enters.
+        # Danger: a NaN passes the bounds of the type and turns every sum that contains it into NaN.
         if any(math.isnan(rate) for _, rate in rates):
-            raise ValueError("a rate that is no number")
+            raise ValueError("a rate is not a number")
     return message
 
 
--- a/pebblepass/consensus/metrics.py
+++ b/pebblepass/consensus/metrics.py
@@ -1,4 +1,4 @@
-"""A router's part in its fleet as OpenMetrics, by prometheus_client; only a scrape costs anything."""
+"""Consensus metrics of a router in the OpenMetrics format. They are collected only when scraped."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FleetMetrics(Struct, frozen=True):
-    """The metrics as they stand."""
+    """The current values of the metrics."""
 
     version: int
     in_force: bool
@@ -21,8 +21,9 @@
     """Other routers that are alive."""
     steps: Mapping[str, int]
     work: Mapping[str, int]
-    """Messages, writes and failed writes."""
+    """Counts of messages, writes and failed writes."""
     links_closed: Mapping[str, int]
+    """Links closed and messages dropped, by cause."""
 
 
 class _Collector:
@@ -49,7 +50,7 @@
 
 
 def exposition(metrics: FleetMetrics) -> bytes:
-    """Return the page for a scrape."""
+    """Return the response to a scrape."""
     registry = CollectorRegistry()
     registry.register(_Collector(metrics))
     page: bytes = generate_latest(registry)  # type: ignore[no-untyped-call]
--- a/pebblepass/consensus/outbox.py
+++ b/pebblepass/consensus/outbox.py
@@ -1,10 +1,10 @@
-"""The actions of the event that a replica handles, and what waits for a write. No I/O, no clock.
+"""The outbox collects the actions of one event, and the messages that wait for a sync. No I/O, no clock.
 
 | state of a message | event | guard | next |
 | --- | --- | --- | --- |
-| new | send | to this router itself | looped back, handled before the event ends |
-| new | send | this start is synced | sent |
-| new | send | this start is not synced yet | dropped; the sender repeats what matters |
+| new | send | addressed to this router | looped back, and handled before the event ends |
+| new | send | the record of this start is synced | sent |
+| new | send | the record of this start is not synced yet | dropped; important messages are repeated |
 | new | send after a write | - | waiting |
 | waiting | written | its record is synced | sent |
 """
@@ -23,7 +23,7 @@
     """Collects actions. `now` is the time of the event, in nanoseconds of the router's clock."""
 
     def __init__(self, name: str, sender: Callable[[], m.Sender], now: int) -> None:
-        """`sender`: the state that a message carries, as it stands when the message is sent."""
+        """`sender` returns the current state, which every message carries."""
         self.name, self.now = name, now
         self._sender = sender
         self._actions: list[Action] = []
@@ -40,7 +40,7 @@
         return self._actions
 
     def next_loopback(self) -> m.Message | None:
-        """Take the next message to this router itself; None: there is none."""
+        """Remove and return the next message to this router itself; None: there is none."""
         return self._loopback.popleft() if self._loopback else None
 
     def emit(self, action: Action) -> None:
@@ -48,7 +48,7 @@
         self._actions.append(action)
 
     def note(self, event: str, version: int, peer: str = "", cause: str = "") -> None:
-        """Add a step of a change, for the log."""
+        """Add a step of a change, to be logged and counted."""
         self._actions.append(ChangeStep(event, version, peer, cause))
 
     def send(self, to: str, body: m.Body, boot_id: str = "") -> None:
@@ -57,8 +57,8 @@
         if to == self.name:
             self._loopback.append(message)
         elif self._synced_token >= self._start_token:
-            # Danger: a start that is announced before it is synced is counted twice after a power loss, and
-            # the second one would be taken for a start from an older copy of the disk.
+            # Danger: if a start is announced before its record is synced, the start after a power loss has
+            # the same number, and other voters would take its disk for an older copy.
             self._actions.append(Send(to, message, boot_id))
 
     def send_all(self, names: Iterable[str], body: m.Body) -> None:
@@ -67,24 +67,24 @@
             self.send(name, body)
 
     def write(self, record: Record) -> int:
-        """Write a record, and return the token with which its sync is reported."""
+        """Write a record; return the token that `synced` receives once it is synced."""
         self._last_token += 1
         self._actions.append(Write(self._last_token, (record,)))
         return self._last_token
 
     def write_start(self, record: Record) -> None:
-        """Write the record of this start: nothing is sent to other routers before it is synced."""
+        """Write the record of this start. Nothing is sent to other routers until it is synced."""
         self._start_token = self.write(record)
 
     def send_after_write(self, record: Record, to: str, body: m.Body) -> None:
-        """Write a record, and send the message once it is synced.
+        """Write a record, and send the message once the record is synced.
 
-        Danger: what is sent before it is synced is a promise that a power loss takes back.
+        Danger: a promise that is sent before its record is synced is forgotten after a power loss.
         """
         self._waiting.append((self.write(record), to, body))
 
     def synced(self, token: int) -> bool:
-        """All writes up to this token are synced; return whether that of this start is among them."""
+        """Record that all writes up to this token are synced; return whether this start's has just been."""
         start_synced = self._synced_token < self._start_token <= token
         self._synced_token = max(self._synced_token, token)
         return start_synced
--- a/pebblepass/consensus/peer_table.py
+++ b/pebblepass/consensus/peer_table.py
@@ -1,4 +1,4 @@
-"""The other routers: their last heartbeat and the state that it carried. No I/O, no clock."""
+"""The other routers: their liveness and the state in their last message. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class PeerTable:
-    """The other routers by name, with the failure detector."""
+    """The last reported states of the other routers by name, with the failure detector."""
 
     def __init__(self, heartbeat_interval: int, now: int) -> None:
         """`heartbeat_interval`: nanoseconds."""
@@ -15,16 +15,16 @@
         self._states: dict[str, m.Sender] = {}
 
     def record(self, sender: m.Sender, now: int) -> None:
-        """Take the state that a message carries."""
+        """Record the state in a message, which also counts as a heartbeat."""
         self.detector.heartbeat(sender.name, now)
         self._states[sender.name] = sender
 
     def state(self, name: str) -> m.Sender | None:
-        """Return the state that a router sent last; None: nothing was received from it."""
+        """Return the last state received from a router; None: nothing was received from it."""
         return self._states.get(name)
 
     def is_alive(self, name: str, now: int) -> bool:
-        """Whether the router's heartbeats arrive."""
+        """Whether a heartbeat of the router has arrived recently."""
         return self.detector.is_alive(name, now)
 
     def alive(self, names: list[str], now: int) -> list[str]:
--- a/pebblepass/consensus/policy.py
+++ b/pebblepass/consensus/policy.py
@@ -1,6 +1,6 @@
-"""The policy that all routers of a fleet hold alike: its schema, its checks, and how two differ.
+"""The policy that all routers of a fleet share: its schema, its checks, and the difference of two policies.
 
-The keys of the file are defined here once, by `rename`; error texts name those keys.
+`rename` defines the keys of the policy file; error texts name these keys.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from pebblepass.consensus.quota_allocator import QuotaPool
 from pebblepass.decisions.interface import FleetPolicy, NamespaceLimits, Settings, Tenant
 
-ROUNDING = 1e-9  # tolerance of a sum of weights
+ROUNDING = 1e-9  # tolerance for rounding errors in a sum of weights
 
 
 class PolicyError(ValueError):
-    """A policy file can't be used: its author is at fault. The text is one line that names the key."""
+    """A policy file is invalid. The text is one line that names the key."""
 
 
 class NamespacePolicy(
@@ -27,7 +27,7 @@
     omit_defaults=True,
     rename={"weight": "portion"},
 ):
-    """`[namespaces.NAME]`: what is left out is as in the platform's settings."""
+    """`[namespaces.NAME]`: a key that is left out has the value of the platform's settings."""
 
     weight: Annotated[float, msgspec.Meta(ge=0, le=1, description="its part of the service")] | None = None
     """Fraction of the service, 0 to 1."""
@@ -44,7 +44,7 @@
     omit_defaults=True,
     rename={"uses_leases": "shares"},
 ):
-    """`[store]`: the limits of the package store; the soft limit is the rate times the window."""
+    """`[store]`: the limits of the package store. The soft limit is the rate times the window."""
 
     rate_per_s: (
         Annotated[
@@ -76,7 +76,7 @@
     store: StorePolicy = StorePolicy()
     namespaces: dict[str, NamespacePolicy] = {}
     cordoned: tuple[str, ...] = ()
-    """Servers that an operator excludes from new requests."""
+    """Servers to which no new requests are sent, by the operator's choice."""
     floor_fraction: Annotated[
         float,
         msgspec.Meta(
@@ -99,24 +99,24 @@
         "removed_members": "retire",
     },
 ):
-    """A file to propose: a policy, its author and reason, and changes of the fleet."""
+    """A policy file: a policy, its author and reason, and changes of the fleet."""
 
     author: str = ""
     reason: str = ""
     added_members: dict[str, str] = {}
-    """Routers that join the fleet: the addresses where others reach them, by name."""
+    """Routers that join the fleet: by name, the address at which the others reach them."""
     removed_members: tuple[str, ...] = ()
-    """Routers that leave the fleet for good."""
+    """Routers that leave the fleet permanently."""
     voters: tuple[str, ...] = ()
-    """The routers that decide from then on; empty: as before."""
+    """The voters on later versions; empty: unchanged."""
 
     def policy(self) -> Policy:
-        """Return the policy alone."""
+        """Return only the policy."""
         return Policy(self.store, self.namespaces, self.cordoned, self.floor_fraction)
 
 
 def read_policy(name: str, data: bytes) -> PolicyFile:
-    """Read a policy file in TOML, in full or not at all; raises PolicyError."""
+    """Parse a policy file in TOML; raises PolicyError."""
     try:
         return msgspec.toml.decode(data, type=PolicyFile)
     except msgspec.ValidationError as error:
@@ -128,23 +128,23 @@
 
 
 Check = Callable[[Policy, Policy], str]
-"""Checks whether a router can use a policy, after the one before: empty, or why not in one line."""
+"""Checks whether a router can replace the first policy by the second: empty, or why not in one line."""
 
 
 class PolicyChecker:
-    """Checks policies against the platform's settings."""
+    """Checks policies against the platform's settings and the previous policy."""
 
     def __init__(self, settings: Settings) -> None:
         self._tenants = {tenant.name: tenant for tenant in settings.tenants}
         self._routers = settings.routers
 
     def check(self, before: Policy, after: Policy) -> str:
-        """See Check."""
+        """Return why a router can't replace `before` by `after`, in one line; empty: it can."""
         return next(self._problems(before, after), "")
 
     def _problems(self, before: Policy, after: Policy) -> Iterator[str]:
         if after.floor_fraction < before.floor_fraction:
-            # Danger: a partitioned router holds the floor that it knows, and would admit more than the rest.
+            # Danger: a partitioned router keeps the floor of its version, and would admit more than the rest.
             floors = f"{after.floor_fraction:g} is under {before.floor_fraction:g}"
             yield f"floor_share: {floors}; it can only rise"
         yield from self._namespace_problems(after)
@@ -175,9 +175,10 @@
                 yield f"store.rate_per_s: {rate:g} leaves {name} under its floor; {least:g} would do"
 
     def pools(self, policy: Policy, members: int) -> dict[str, QuotaPool]:
-        """Return what leases split of each quota, and each router's floor; `members`: of the fleet.
+        """Return the quota that leases split and each router's floor, by namespace.
 
-        The floors are set aside for every router, those that are down or partitioned among them.
+        `members`: the number of routers in the fleet. Floors are reserved for all of them, including routers
+        that are down or partitioned.
         """
         if not policy.store.uses_leases:
             return {}
@@ -204,7 +205,7 @@
 
 
 def fleet_policy(version: int, policy: Policy) -> FleetPolicy:
-    """Return a policy in the terms of the decision module."""
+    """Convert a policy to the type that the decision module uses."""
     namespaces = tuple(
         NamespaceLimits(name, namespace.weight, namespace.quota_per_s)
         for name, namespace in sorted(policy.namespaces.items())
@@ -223,7 +224,7 @@
 
 
 def difference(before: Policy, after: Policy) -> list[str]:
-    """Return each key in which two policies differ, in one line."""
+    """Return a line for each key in which two policies differ."""
     old, new = dict(_flatten(msgspec.to_builtins(before))), dict(_flatten(msgspec.to_builtins(after)))
     names = dict.fromkeys([*old, *new])
     return [
--- a/pebblepass/consensus/records.py
+++ b/pebblepass/consensus/records.py
@@ -1,7 +1,6 @@
-"""Durable records of a router's consensus log. No I/O.
+"""Records of a router's consensus log. No I/O.
 
-The encoded names and tags are the form on disk: defined here once, by `rename` and `tag`, and pinned by the
-frozen bytes in `tests/compatibility`.
+`rename` and `tag` define the names on disk, which the frozen bytes in `tests/compatibility` pin.
 """
 
 from __future__ import annotations
@@ -28,7 +27,7 @@
 
 
 class AcceptRecord(msgspec.Struct, frozen=True, tag="took"):
-    """A value accepted for the version after the decided one."""
+    """A value that was accepted for the version after the decided one."""
 
     version: int
     ballot: Ballot
@@ -81,7 +80,7 @@
         "decided_changes": "past",
     },
 ):
-    """All that the log holds, in one record."""
+    """The complete state, in one record that replaces all before it."""
 
     disk_id: str
     start_count: int
@@ -110,5 +109,5 @@
 
 
 def read_record(data: bytes) -> Record:
-    """Decode a record; raises ValueError with a message of one line."""
+    """Decode a record; raises ValueError with a one-line text."""
     return _record_decoder.decode(data)
--- a/pebblepass/consensus/recovery.py
+++ b/pebblepass/consensus/recovery.py
@@ -1,8 +1,8 @@
-"""Recovery of a replica's state from the records of its log, and the snapshot that replaces them. No I/O.
+"""Recovers a replica's state from the records of its log, and takes the snapshots that replace them. No I/O.
 
-| record | what it restores |
+| record | restored state |
 | --- | --- |
-| snapshot | all |
+| snapshot | everything |
 | start, peer start | disk identity |
 | promise, accept | acceptor |
 | decision | learner; the acceptor opens the next version |
@@ -30,7 +30,7 @@
 
 
 class Recovery:
-    """Restores the parts of a replica that are durable, and takes snapshots of them."""
+    """Restores the durable state of a replica, and takes snapshots of it."""
 
     def __init__(
         self, learner: Learner, acceptor: Acceptor, disk: DiskIdentity, lease_server: LeaseServer
@@ -39,7 +39,7 @@
         self._disk, self._lease_server = disk, lease_server
 
     def restore(self, record: Record) -> None:
-        """Restore the state that a record holds; records are restored in the order of the log."""
+        """Restore the state from a record. Records are restored in the order of the log."""
         match record:
             case SnapshotRecord():
                 self._restore_snapshot(record)
@@ -66,7 +66,7 @@
         self._lease_server.restore_closed(record.closed_version)
 
     def snapshot(self) -> SnapshotRecord:
-        """Return all that the log has to hold, in one record."""
+        """Return the complete durable state, in one record."""
         learner, acceptor = self._learner, self._acceptor
         return SnapshotRecord(
             self._disk.disk_id,
--- a/pebblepass/consensus/replica.py
+++ b/pebblepass/consensus/replica.py
@@ -1,13 +1,13 @@
-"""A router's replica: takes events and the time, dispatches to its parts, returns actions. No I/O, no clock.
+"""A router's replica: dispatches events to its components and returns actions. No I/O, no clock.
 
-| event | parts, in order |
+| event | components, in order |
 | --- | --- |
 | start | disk identity |
-| message | peers, disk identity, catch-up; the part that its body names; leases; the change under way |
-| written | learner, waiting messages, leases, the change under way |
+| message | peers, disk identity, catch-up; the component for the body; leases; the change in progress |
+| written | learner, waiting messages, leases, the change in progress |
 | proposal | proposals |
-| tick | renewal, liveness queries, verdicts, membership; the change under way or a takeover; leases |
-| any | messages to itself; activation of the policy; releases of quota leases |
+| tick | renewal, liveness queries, verdicts, membership; the change in progress or a takeover; leases |
+| any | then messages to itself, activation of the policy, releases of quota leases |
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class Replica:
-    """One router's replica. Begin with `start`, then call the method of each event, and `tick` by `due`."""
+    """One router's replica. Call `start` first, then the method for each event, and `tick` at `due`."""
 
     outbox_class = Outbox
     disk_identity_class = DiskIdentity
@@ -48,7 +48,7 @@
     quota_allocator_class = QuotaAllocator
     quota_holder_class = QuotaLeaseHolder
     recovery_class = Recovery
-    """The parts; fault injection replaces one by a mutant."""
+    """The classes of the components. Fault injection replaces one by a mutant."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         now: int,
         rng: RandomSource | None = None,
     ) -> None:
-        """`records`: what its disk holds; None: nothing, or there is no disk."""
+        """`records`: of the log on its disk; None: there is no log yet, or no disk."""
         self.setup, self.name = setup, setup.name
         self._outbox = self.outbox_class(setup.name, self._sender, now)
         self.learner = Learner(setup.name, setup.genesis, setup.check, self._outbox)
@@ -122,35 +122,35 @@
 
     @property
     def can_vote(self) -> bool:
-        """Whether this router is a voter, on the disk with which it became one."""
+        """Whether this router is a voter and uses the disk with which it became one."""
         return self._voter.can_vote
 
     def may_admit(self, now: int) -> bool:
-        """Whether it holds a lease on the decided version."""
+        """Whether the router holds a lease on the decided version and can use that version."""
         return self.lease_client.may_admit(now)
 
     def snapshot(self) -> SnapshotRecord:
-        """Return all that the log has to hold, in one record."""
+        """Return the complete durable state, in one record."""
         return self._recovery.snapshot()
 
     # Events
 
     def start(self, now: int) -> list[Action]:
-        """Begin; what was restored from the disk counts from when this start is synced to it."""
+        """Start the replica. It sends nothing to other routers until the record of this start is synced."""
         self._outbox.begin(now)
-        # It holds no lease: until it has one it admits what the floor lets through, as all without one.
+        # Without a lease the router admits only its floors.
         self._outbox.emit(PolicyActivated(self.decided, 0))
         self.disk.start()
         return self._finish()
 
     def received(self, message: m.Message, now: int) -> list[Action]:
-        """Take a message from another router of the fleet."""
+        """Handle a message from another router of the fleet."""
         self._outbox.begin(now)
         self._take(message)
         return self._finish()
 
     def written(self, token: int, now: int) -> list[Action]:
-        """Take that all writes up to this one are synced."""
+        """Handle the sync of all writes up to this token."""
         self._outbox.begin(now)
         if self._outbox.synced(token):
             self.lease_client.renew_at = now
@@ -160,13 +160,13 @@
         return self._finish()
 
     def propose(self, proposal: m.Proposal, now: int) -> list[Action]:
-        """Take an operator's proposal."""
+        """Handle an operator's proposal."""
         self._outbox.begin(now)
         self._proposals.propose(proposal)
         return self._finish()
 
     def tick(self, now: int) -> list[Action]:
-        """Continue with what is due."""
+        """Handle everything that is due."""
         self._outbox.begin(now)
         if now >= self.lease_client.renew_at:
             self.lease_client.renew()
@@ -181,7 +181,7 @@
         return self._finish()
 
     def due(self, now: int) -> int:
-        """When `tick` has something to do, in nanoseconds of the router's clock."""
+        """Return when `tick` is to be called next, in nanoseconds of the router's clock."""
         times = [self.lease_client.due(now)]
         if self.proposer.change is not None:
             times.append(self.proposer.change.due)
@@ -237,7 +237,7 @@
         self._settle()
 
     def _update_peer(self, sender: m.Sender) -> None:
-        """Take the sender's state, which every message carries."""
+        """Record the sender's state, which every message carries."""
         now, learner = self._outbox.now, self.learner
         if not self.peers.is_alive(sender.name, now):
             self._outbox.note("heard", learner.version, sender.name)
@@ -249,7 +249,7 @@
         learner.catch_up(sender, self.setup.terms.duration // REPEATS_PER_LEASE)
 
     def _take_lease_message(self, sender: m.Sender, body: m.Body) -> bool:
-        """Dispatch messages of leases; return whether the body is one of them."""
+        """Dispatch lease messages; return whether the body is one."""
         match body:
             case m.LeaseRequest():
                 self.lease_server.request(sender, body)
@@ -263,7 +263,7 @@
         return True
 
     def _take_peer_message(self, sender: m.Sender, body: m.Body) -> bool:
-        """Dispatch messages of liveness and disks; return whether the body is one of them."""
+        """Dispatch messages about liveness and disks; return whether the body is one."""
         match body:
             case m.StartConfirmed():
                 if body.boot_id == self.setup.boot_id:
@@ -281,7 +281,7 @@
         return True
 
     def _take_round_message(self, sender: m.Sender, body: m.Body) -> bool:
-        """Dispatch requests and votes of rounds; return whether the body is one of them."""
+        """Dispatch the requests and votes of a round; return whether the body is one."""
         match body:
             case m.Prepare() | m.Accept():
                 self._voter.vote(sender, body)
@@ -296,7 +296,7 @@
         return True
 
     def _take_change_message(self, sender: m.Sender, body: m.Body) -> bool:
-        """Dispatch the other messages of changes; return whether the body is one of them."""
+        """Dispatch the other messages about changes; return whether the body is one."""
         match body:
             case m.VersionDecided():
                 self._learn(body.value, sender.name, body.decided_changes)
@@ -322,7 +322,7 @@
             self._outbox.send_all(self.learner.peers(), self.learner.announcement())
 
     def _learn(self, value: m.Value, source: str, changes: Sequence[m.DecidedChange] = ()) -> None:
-        """Take a decided version, and let each part begin it."""
+        """Adopt a decided version in every component."""
         learner, outbox = self.learner, self._outbox
         if value.version <= learner.version:
             return
@@ -337,7 +337,7 @@
         self.proposer.version_decided()
 
     def _take_over(self) -> None:
-        """Propose an accepted value whose proposer sends nothing more."""
+        """Propose an accepted value if its proposer has stopped sending."""
         takeover_at, value = self._voter.takeover_at(), self.acceptor.value
         if takeover_at is not None and value is not None and self._outbox.now >= takeover_at:
             self.proposer.begin(value, takeover=True)
--- a/pebblepass/consensus/service.py
+++ b/pebblepass/consensus/service.py
@@ -1,4 +1,4 @@
-"""The replica at work in a running router: links, the disk, timers. A thin shell without decisions."""
+"""Runs a replica in a router's process: performs its actions with links, a disk and timers."""
 
 from __future__ import annotations
 
@@ -30,19 +30,19 @@
 
 FORMAT, VERSION = "pebblepass-agreement", 1
 FILE = "agreement.log"
-WRITE_RETRY_S = 0.1  # after a write that failed
+WRITE_RETRY_S = 0.1  # delay before a failed write is retried
 PROPOSAL_TIMEOUT_S = 30.0
 
 log = logging.getLogger("pebblepass")
 
 
 class ServiceCallbacks(Struct, frozen=True):
-    """What the service calls in its router."""
+    """The callbacks of the service into its router."""
 
     policy_activated: Callable[[PolicyActivated], None]
-    """The version under which the router may admit, and until when."""
+    """Called with the version under which the router may admit requests, and until when."""
     change_step: Callable[[ChangeStep], None]
-    """A step of a change, for the log."""
+    """Called with each step of a change, to be logged and counted."""
 
 
 class OpenLog(Struct, frozen=True):
@@ -54,20 +54,20 @@
 
 
 def open_log(disk: Disk, fleet: str, name: str) -> OpenLog:
-    """Open a router's log; raises StorageError with a message of one line, or OSError."""
+    """Open a router's log; raises StorageError with a one-line text, or OSError."""
     opened = Log(disk, FILE, FileHeader(FORMAT, VERSION, f"{fleet}/{name}"))
     raw = opened.open()
     try:
         return OpenLog(opened, None if raw is None else [read_record(record) for record in raw])
     except ValueError as error:
-        raise StorageError(f"{FILE}: a record that can't be read: {' '.join(str(error).split())}") from None
+        raise StorageError(f"{FILE}: can't decode a record: {' '.join(str(error).split())}") from None
 
 
 class ConsensusService:
-    """One router's replica, on its loop."""
+    """Runs one router's replica on an event loop."""
 
     replica_class = Replica
-    """The rules; fault injection replaces them by a mutant."""
+    """The class of the replica. Fault injection replaces it by a mutant."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
         disk: OpenLog | None,
         callbacks: ServiceCallbacks,
     ) -> None:
-        """`disk`: the log and its records; None: this router keeps none."""
+        """`disk`: the log and its records; None: this router keeps no disk."""
         self._loop, self._now, self._callbacks = loop, now, callbacks
         self._log = disk.log if disk is not None else None
         records = disk.records if disk is not None else None
@@ -89,7 +89,7 @@
             loop, fleet, setup.name, setup.boot_id, self._received, self._is_member, self._expected_links
         )
         self.counts: Counter[str] = Counter()
-        """Messages, writes and failed writes."""
+        """Counts of messages, writes and failed writes."""
         self._worker = ThreadPoolExecutor(1) if self._log is not None else None
         self._pending_writes: list[Write] = []
         self._writing = False
@@ -99,13 +99,13 @@
         self._closed = False
 
     async def start(self, listen: Address | None) -> None:
-        """Listen, if this process is the one that does, and begin; raises OSError."""
+        """Start the replica, and listen at `listen` unless it is None; raises OSError."""
         if listen is not None:
             await self.links.listen(listen)
         self._carry_out(self.replica.start(self._now()))
 
     def close(self) -> None:
-        """End, after the write that is under way."""
+        """Stop, after the write in progress has finished."""
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
@@ -117,7 +117,7 @@
                 future.cancel()
 
     async def propose(self, proposal: m.Proposal) -> m.Verdict:
-        """Propose, and wait for the verdict; a proposal with the same change id is the same proposal."""
+        """Propose a change, and wait for its verdict. Proposals with the same change id share one verdict."""
         future: asyncio.Future[m.Verdict] = self._loop.create_future()
         change_id = proposal.change_id
         self._proposals.setdefault(change_id, []).append(future)
@@ -127,7 +127,7 @@
             async with asyncio.timeout(PROPOSAL_TIMEOUT_S):
                 return await future
         except TimeoutError:
-            line = f"open: no end within {PROPOSAL_TIMEOUT_S:.0f} s"
+            line = f"open: no verdict within {PROPOSAL_TIMEOUT_S:.0f} s"
             return m.Verdict(change_id, "open", 0, (line,))
         finally:
             self._forget_proposal(change_id, future)
@@ -144,7 +144,7 @@
         return name in replica.decided.fleet.members or name in replica.setup.genesis.fleet.members
 
     def _expected_links(self) -> int:
-        """Return how many routers dial this one: all others, if it is a voter."""
+        """Return how many routers dial this one: all others if it is a voter, else none."""
         fleet = self.replica.decided.fleet
         voters = fleet.voters or self.replica.setup.genesis.fleet.voters
         return len(fleet.members) - 1 if self.replica.name in voters else 0
@@ -152,7 +152,7 @@
     def _received(self, name: str, data: bytes) -> None:
         message = m.read_message(data)
         if message.sender.name != name:
-            raise ValueError(f"{name} speaks for {message.sender.name}")
+            raise ValueError(f"{name} sent a message with the sender name {message.sender.name}")
         self._carry_out(self.replica.received(message, self._now()))
 
     def _tick(self) -> None:
@@ -192,7 +192,7 @@
     def _update_links(self) -> None:
         decided = self.replica.decided
         voters = {*decided.fleet.voters, *decided.previous_voters}
-        # The router's own file takes precedence over the fleet: it may reach another by a way of its own.
+        # Addresses in the router's own file take precedence: it may reach a member at another address.
         addresses = {**decided.fleet.members, **self.replica.setup.genesis.fleet.members}
         dialled = {name: addresses[name] for name in voters if name in decided.fleet.members}
         if dialled != self._dialled:
@@ -200,7 +200,7 @@
             self.links.dial(dialled)
 
     def _write(self) -> None:
-        """Write all that is pending in one sync, in the worker; one sync is under way at a time."""
+        """Write all pending records with one sync, in the worker thread. Only one sync runs at a time."""
         if self._writing or not self._pending_writes or self._closed:
             return
         if self._log is None or self._worker is None:
@@ -211,14 +211,14 @@
         snapshot = m.encode(self.replica.snapshot()) if target.needs_snapshot else None
         records = [m.encode(record) for write in batch for record in write.records]
 
-        def work() -> None:
+        def write_and_sync() -> None:
             if snapshot is not None:
                 target.write_snapshot([snapshot])
             else:
                 target.append(records)
 
         self.counts["writes"] += 1
-        self._loop.run_in_executor(self._worker, work).add_done_callback(
+        self._loop.run_in_executor(self._worker, write_and_sync).add_done_callback(
             lambda done: self._written(batch, done)
         )
 
@@ -227,9 +227,9 @@
             return
         error = done.exception()
         if error is not None:
-            # Nothing of it was promised: it is retried, and until then this voter counts as missing.
+            # No message that depends on these records was sent: the router casts no vote before it can write.
             self.counts["failed writes"] += 1
-            log.error("fleet: %s: %s; this router promises nothing until it can write", FILE, error)
+            log.error("fleet: writing %s failed: %s; retrying, without votes until then", FILE, error)
             self._pending_writes = batch + self._pending_writes
             self._loop.call_later(WRITE_RETRY_S, self._retry_write)
             return
--- a/pebblepass/consensus/setup.py
+++ b/pebblepass/consensus/setup.py
@@ -1,4 +1,4 @@
-"""What a replica is given at its start."""
+"""The configuration of a replica."""
 
 from __future__ import annotations
 
@@ -13,36 +13,36 @@
 from pebblepass.consensus.quota_allocator import QuotaPool
 
 QuotaPools = Callable[[Policy, int], Mapping[str, QuotaPool]]
-"""The quotas that a policy splits by leases among so many members, by namespace."""
+"""Returns the quotas that leases split, by namespace, for a policy and the number of members."""
 
 
 class RandomSource(Protocol):
-    """The random draws that a replica makes."""
+    """The random number generator of a replica."""
 
     def uniform(self, a: float, b: float, /) -> float:
-        """Draw from a range."""
+        """Return a random number from `a` to `b`."""
 
     def randrange(self, stop: int, /) -> int:
-        """Draw an integer from 0 up to `stop`, exclusive."""
+        """Return a random integer from 0 up to `stop`, exclusive."""
 
 
 def no_quota_pools(_policy: Policy, _members: int) -> Mapping[str, QuotaPool]:
-    """Split no quota."""
+    """Return no quotas to split."""
     return {}
 
 
 def no_demand() -> Mapping[str, int]:
-    """Count no fetches."""
+    """Return no fetch counts."""
     return {}
 
 
 def genesis(members: dict[str, str], voters: Iterable[str]) -> m.Value:
-    """Return version 0, with which every router starts before the fleet has formed; nobody leases it."""
+    """Return version 0, with which every router starts before the fleet has formed. It is never leased."""
     return m.Value(0, "", "none", Policy(), m.Fleet(dict(members), dict.fromkeys(voters, "")), {})
 
 
 class ReplicaSetup(Struct, frozen=True):
-    """The configuration of a replica."""
+    """The parameters with which a replica is created."""
 
     name: str
     boot_id: str
@@ -51,8 +51,8 @@
     genesis: m.Value
     check: Check
     new_disk_id: str
-    """The id of its disk, where that is empty; empty: it keeps no disk, and does not vote."""
+    """The id for a disk that has none yet; empty: the router keeps no disk and does not vote."""
     seed: int = 0
     quota_pools: QuotaPools = no_quota_pools
     demand_counts: Callable[[], Mapping[str, int]] = no_demand
-    """How many fetches each namespace has requested so far."""
+    """Returns how many fetches each namespace has requested since the start of the process."""
