--- a/pebblepass/peers/__init__.py
+++ b/pebblepass/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Routers that know each other: who is alive, and the links between them."""
+"""Communication between the routers of a fleet: a failure detector, and links over TCP."""
--- a/pebblepass/peers/failure_detector.py
+++ b/pebblepass/peers/failure_detector.py
@@ -1,13 +1,15 @@
-"""Failure detector: which routers are alive, by their heartbeats and by what others report. No I/O, no clock.
+"""The failure detector: which routers are alive, by their heartbeats and by reports. No I/O, no clock.
 
-| state | what is known | until |
+Every message of a router counts as its heartbeat.
+
+| state | meaning | ends when |
 | --- | --- | --- |
-| alive | a heartbeat within three intervals | none for longer |
-| suspected | none for longer; the voters are queried | one reports a heartbeat, or two intervals passed |
-| unheard | none here, but another router has one: a link is down | a heartbeat here, or nobody has one |
-| down | none at any router that was queried | a heartbeat here |
+| alive | a heartbeat arrived here within the last three intervals | no heartbeat arrives for longer |
+| suspected | no heartbeat for longer; voters are queried | one reports a heartbeat, or two intervals passed |
+| unheard | another router has a recent heartbeat: a link is down | one arrives here, or no router has one |
+| down | no queried router has a recent heartbeat | a heartbeat arrives here |
 
-One missed heartbeat means nothing: a process that is paused or a link that is slow is not dead.
+A single missed heartbeat is ignored: a process may be paused, or a link slow.
 """
 
 from __future__ import annotations
@@ -16,12 +18,12 @@
 from enum import Enum
 
 MISSED_HEARTBEATS = 3  # intervals without a heartbeat before a router is suspected
-QUERY_INTERVALS = 2  # intervals in which those that are queried have to answer
-NEVER = -(1 << 62)
+QUERY_INTERVALS = 2  # intervals within which queried routers have to answer
+NEVER = -(1 << 62)  # a time before any that the clock returns
 
 
 class Liveness(Enum):
-    """The state of a router as far as it is known."""
+    """The state of another router, as this router sees it."""
 
     ALIVE = "alive"
     SUSPECTED = "suspected"
@@ -38,34 +40,34 @@
         self._last_heartbeat: dict[str, int] = {}
         self._queried_at: dict[str, int] = {}
         self._reported_heartbeat: dict[str, int] = {}
-        """When another router last had a heartbeat, by its report."""
+        """When a heartbeat last arrived at another router, by that router's reports."""
 
     def heartbeat(self, name: str, now: int) -> None:
-        """A router's own message has arrived."""
+        """Record that a message from a router has arrived."""
         self._last_heartbeat[name] = now
         self._queried_at.pop(name, None)
 
     def reported(self, name: str, age: int, now: int) -> None:
-        """Another router had its last heartbeat `age` nanoseconds ago; below 0: never."""
+        """Record a report on a heartbeat that is `age` nanoseconds old; below 0: there was none."""
         if age >= 0:
             self._reported_heartbeat[name] = max(self._reported_heartbeat.get(name, 0), now - age)
 
     def is_alive(self, name: str, now: int) -> bool:
-        """Whether a heartbeat has arrived here lately."""
+        """Whether a heartbeat has arrived here within the last three intervals."""
         last = self._last_heartbeat.get(name)
         return last is not None and now - last <= MISSED_HEARTBEATS * self._interval
 
     def age(self, name: str, now: int) -> int:
-        """Return nanoseconds since the last heartbeat here; -1: there was none."""
+        """Return the time since the last heartbeat here, in nanoseconds; -1: there was none."""
         return now - self._last_heartbeat[name] if name in self._last_heartbeat else -1
 
     def to_query(self, names: Iterable[str], now: int) -> list[str]:
-        """Return those of these routers that others are to be queried about now, and note the query."""
+        """Return the routers about which others are to be queried now, and record the query."""
         timeout = MISSED_HEARTBEATS * self._interval
         found = []
         for name in names:
             is_missing = not self.is_alive(name, now) and now - self._started_at > timeout
-            # Repeated: it may be back where its heartbeats don't reach this router.
+            # The query is repeated: the router may be back, with heartbeats that reach only other routers.
             if is_missing and now - self._queried_at.get(name, NEVER) > timeout:
                 self._queried_at[name] = now
                 found.append(name)
@@ -88,6 +90,6 @@
         return now - waiting_since <= QUERY_INTERVALS * self._interval
 
     def _is_long_missing(self, name: str, now: int) -> bool:
-        """Whether an earlier query has already been answered by nobody."""
+        """Whether the router is missing for so long that an earlier query must have gone unanswered."""
         missing_since = self._last_heartbeat.get(name, self._started_at)
         return now - missing_since > (2 * MISSED_HEARTBEATS + QUERY_INTERVALS) * self._interval
--- a/pebblepass/peers/links.py
+++ b/pebblepass/peers/links.py
@@ -1,17 +1,18 @@
-"""Links between the routers of a fleet: TCP, messages with a size prefix, a hello first. A thin shell.
+"""Links between the routers of a fleet: TCP connections that carry messages with a size prefix.
 
-Each router dials the voters. Answers come back on the same link, and so do a voter's messages to a router
-that it doesn't dial. What is on its way when a link is lost is lost with it: senders repeat what matters. A
-link of an unknown router, another fleet, another version or with garbage is closed and counted.
+Each router dials the voters. Both sides send a hello first. A voter answers on the same link, and also uses
+it for messages to routers that it does not dial. Messages in transit are lost when a link breaks; senders
+repeat those that are needed. A link is closed and counted if its peer is unknown, belongs to another fleet,
+speaks another version or sends invalid data.
 
 | state of a link | event | guard | next |
 | --- | --- | --- | --- |
-| connected | hello | of a member of this fleet and version | identified |
-| connected | hello, message, time | otherwise | closed |
-| connected | accepted | too many links are not identified | closed |
-| identified | message | it can be read | identified |
-| identified | message | it can't | closed |
-| any | connection lost | - | closed; dialled again after a backoff, if it was dialled |
+| connected | connection accepted | too many links are not identified | closed |
+| connected | hello | from a member of this fleet with this version | identified |
+| connected | another hello, invalid data, timeout | - | closed |
+| identified | message | it is valid | identified |
+| identified | message | it is invalid | closed |
+| any | connection lost | - | closed; dialled again after a backoff if this side dialled |
 """
 
 from __future__ import annotations
@@ -29,14 +30,14 @@
 
 from pebblepass.wire.address import Address, parse_address
 
-VERSION = 1  # of the messages between routers
-MAX_MESSAGE_BYTES = 4 << 20  # of one message
+VERSION = 1  # of the protocol between routers
+MAX_MESSAGE_BYTES = 4 << 20
 MAX_HELLO_BYTES = 1024
-MAX_QUEUED_BYTES = 1 << 20  # bytes that wait for a slow peer; what comes beyond is dropped, as a cut would
-HELLO_TIMEOUT_S = 2.0  # until a new connection has sent its hello
+MAX_QUEUED_BYTES = 1 << 20  # queued for a slow peer; further messages are dropped
+HELLO_TIMEOUT_S = 2.0  # within which a new connection must send its hello
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 2.0
-MAX_UNIDENTIFIED = 32  # connections without a hello, beyond the places of members that are not connected
-BACKLOG = 2048  # connections that wait to be accepted: after a voter's start all of a fleet dial it at once
+MAX_UNIDENTIFIED = 32  # connections without a hello, in addition to one for each member not connected
+BACKLOG = 2048  # connections waiting to be accepted: after a voter's start the whole fleet dials it at once
 
 log = logging.getLogger("pebblepass")
 
@@ -57,18 +58,18 @@
 
 
 def framed(data: bytes) -> bytes:
-    """Return a message as it is sent: its size, four bytes little-endian, and its content."""
+    """Return a message with its prefix: its size in four bytes, little-endian."""
     return _SIZE.pack(len(data)) + data
 
 
 class Link(asyncio.Protocol):
-    """One connection, dialled or accepted."""
+    """One connection, either dialled or accepted."""
 
-    def __init__(self, links: Links, expected: str = "") -> None:
-        """`expected`: the name of the router that was dialled."""
-        self._links, self.expected = links, expected
+    def __init__(self, links: Links, expected_name: str = "") -> None:
+        """`expected_name`: of the router that was dialled; empty: the connection was accepted."""
+        self._links, self.expected_name = links, expected_name
         self.name = ""
-        """The router on the other side; empty before its hello."""
+        """The name of the peer; empty before its hello."""
         self.boot_id = ""
         self._transport: asyncio.Transport | None = None
         self._buffer = b""
@@ -85,7 +86,7 @@
         connection.write(framed(_encode(hello)))
 
     def data_received(self, data: bytes) -> None:
-        """Split the received bytes into messages."""
+        """Split the received bytes into messages and handle them."""
         self._buffer += data
         while len(self._buffer) >= _SIZE.size and self._transport is not None:
             size = _SIZE.unpack_from(self._buffer)[0]
@@ -115,7 +116,9 @@
             return
         if hello.fleet != self._links.fleet or hello.version != VERSION:
             self.close(f"of fleet {hello.fleet!r}, version {hello.version}")
-        elif not self._links.is_member(hello.name) or (self.expected and hello.name != self.expected):
+        elif not self._links.is_member(hello.name) or (
+            self.expected_name and hello.name != self.expected_name
+        ):
             self.close(f"a stranger: {hello.name!r}")
         else:
             self.name, self.boot_id = hello.name, hello.boot_id
@@ -124,7 +127,7 @@
             self._links.identified(self)
 
     def send(self, message: bytes) -> bool:
-        """Send a message; return False if too much waits already, or the link is down."""
+        """Send a message; return False if the queue is full or the link is down."""
         if self._transport is None or self._transport.is_closing():
             return False
         if self._transport.get_write_buffer_size() > MAX_QUEUED_BYTES:
@@ -134,16 +137,16 @@
         return True
 
     def close(self, reason: str = "") -> None:
-        """Close the link; `reason` is counted and logged."""
+        """Close the link. A `reason` is logged, and counted up to its first colon."""
         if self._transport is not None and not self._transport.is_closing():
             if reason:
                 self._links.closed[reason.partition(":")[0]] += 1
-                peer = self.name or self.expected or "a newcomer"
+                peer = self.name or self.expected_name or "an unidentified peer"
                 log.warning("fleet: link to %s closed: %s", peer, reason)
             self._transport.abort()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Report the end of the link."""
+        """Remove the link."""
         self._transport = None
         if self._hello_timer is not None:
             self._hello_timer.cancel()
@@ -151,7 +154,7 @@
 
 
 class Links:
-    """All links of one router."""
+    """The links of one router."""
 
     def __init__(
         self,
@@ -161,16 +164,16 @@
         boot_id: str,
         receive: Callable[[str, bytes], None],
         is_member: Callable[[str], bool],
-        expected: Callable[[], int] = lambda: 0,
+        expected_links: Callable[[], int] = lambda: 0,
     ) -> None:
-        """`receive` gets each message with its sender's name, and raises ValueError where it can't be read.
+        """`receive` handles a message from the named router, and raises ValueError if it is invalid.
 
-        `expected`: how many routers keep a link to this one.
+        `expected_links` returns how many routers keep a link to this one.
         """
         self.loop, self.fleet, self.name, self.boot_id = loop, fleet, name, boot_id
-        self.receive, self.is_member, self.expected = receive, is_member, expected
+        self.receive, self.is_member, self.expected_links = receive, is_member, expected_links
         self.closed: Counter[str] = Counter()
-        """Links closed and messages dropped, by cause."""
+        """Counts of links closed and messages dropped, by cause."""
         self._dialled: dict[str, Link] = {}
         self._accepted: dict[str, Link] = {}
         self._by_run: dict[tuple[str, str], Link] = {}
@@ -180,17 +183,17 @@
         self._lost_events: dict[str, asyncio.Event] = {}
 
     async def listen(self, address: Address) -> None:
-        """Listen for links; raises OSError where the address can't be bound."""
+        """Listen for connections; raises OSError if the address can't be bound."""
         self._server = await self.loop.create_server(lambda: Link(self), *address, backlog=BACKLOG)
 
     def stop_listening(self) -> None:
-        """Stop listening: another process of this router listens from now on."""
+        """Stop listening, so that this router's next process can listen."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
     def dial(self, addresses: dict[str, str]) -> None:
-        """Keep links to these routers, by name and address, and close those to others."""
+        """Keep links to these routers, given as addresses by name, and close links to others."""
         for name in [name for name in self._dialling if name not in addresses]:
             self._dialling.pop(name).cancel()
             if name in self._dialled:
@@ -218,22 +221,22 @@
             backoff = min(backoff * 2, MAX_BACKOFF_S)
 
     def connected(self, link: Link) -> bool:
-        """Take a new connection; return False if too many are not identified yet."""
-        if link.expected:
+        """Register a new connection; return False if too many are not identified yet."""
+        if link.expected_name:
             return True
         self._unidentified.add(link)
-        # All of a fleet may connect before one hello is read: absent members have slots reserved.
-        missing = max(self.expected() - len(self._accepted), 0)
+        # The whole fleet may connect before the first hello is read: each missing member has a slot.
+        missing = max(self.expected_links() - len(self._accepted), 0)
         return len(self._unidentified) <= MAX_UNIDENTIFIED + missing
 
     def identified(self, link: Link) -> None:
-        """Take a link's hello; the newest link to a router counts."""
+        """Register a link after its hello; it replaces an older link to the same router."""
         self._unidentified.discard(link)
-        (self._dialled if link.expected else self._accepted)[link.name] = link
+        (self._dialled if link.expected_name else self._accepted)[link.name] = link
         self._by_run[link.name, link.boot_id] = link
 
     def disconnected(self, link: Link) -> None:
-        """Forget a link that is closed."""
+        """Remove a closed link."""
         self._unidentified.discard(link)
         for table in (self._dialled, self._accepted):
             if table.get(link.name) is link:
@@ -244,17 +247,17 @@
                 other = table.get(link.name)
                 if other is not None and other.boot_id == link.boot_id:
                     self._by_run[link.name, link.boot_id] = other
-        if link.expected and link.expected in self._lost_events:
-            self._lost_events[link.expected].set()
+        if link.expected_name and link.expected_name in self._lost_events:
+            self._lost_events[link.expected_name].set()
 
     def send(self, name: str, message: bytes, boot_id: str = "") -> None:
-        """Send a message, by whichever link there is; it may be lost.
+        """Send a message on a link to the router, if there is one. Delivery is not guaranteed.
 
-        `boot_id`: the run of its process that must get it; empty: the one that is dialled.
+        `boot_id`: the run of the receiver's process; empty: the one that this router is linked to.
         """
         for table in (self._dialled, self._accepted):
             link = table.get(name)
-            # Always the same one of two: on the other an older message could come after a newer one.
+            # Of two links always the same one is used: otherwise messages could arrive out of order.
             if link is not None and boot_id in ("", link.boot_id) and link.send(message):
                 return
         link = self._by_run.get((name, boot_id))
--- a/tests/peers/test_bounds.py
+++ b/tests/peers/test_bounds.py
@@ -104,7 +104,7 @@
     setup = ReplicaSetup(name, "boot", LeaseTerms(10**9, 0.1), first, lambda *_: "", "")
     told = ServiceCallbacks(lambda _: None, lambda _: None)
     service = ConsensusService(asyncio.get_running_loop(), lambda: 0, setup, "sofia", None, told)
-    expected = service.links.expected()
+    expected = service.links.expected_links()
     service.close()
     return expected
 
