--- a/pebblepass/storage/__init__.py
+++ b/pebblepass/storage/__init__.py
@@ -1,4 +1,5 @@
-"""Files that last: framed, checksummed and versioned logs, atomic replacement of files, recovery.
+"""Durable files: logs of checksummed frames with a versioned header, and atomic replacement of files.
 
-The content is opaque here. A disk is an interface, so that fault injection can lose power.
+The content of records is opaque here. A disk is an interface, so that fault injection can simulate a power
+loss.
 """
--- a/pebblepass/storage/disk.py
+++ b/pebblepass/storage/disk.py
@@ -1,8 +1,8 @@
-"""The disk as an interface, and the directory of a real one.
+"""The disk interface, and its implementation by a directory.
 
-What has been written is durable once it is synced, a name once its directory is. Nothing else is promised: a
-file that was not synced may come back in part, with whole sectors as zeros, and a name that was not synced
-may come back as it was before.
+Written data is durable once the file is synced, and a file name once the directory is synced. After a power
+loss, a file that was not synced may be incomplete or have sectors of zeros, and a renamed file may have its
+old name.
 """
 
 from __future__ import annotations
@@ -15,39 +15,39 @@
 
 
 class Disk(Protocol):
-    """Files in one directory, by name; each call raises OSError where the disk fails."""
+    """The files of one directory, by name. Each call raises OSError if the disk fails."""
 
     def read(self, name: str) -> bytes | None:
-        """Return the content of a file; None: there is none."""
+        """Return the content of a file; None: the file does not exist."""
 
     def append(self, name: str, data: bytes) -> None:
-        """Append to a file, which is created where there is none. Durable after `sync` only."""
+        """Append to a file, which is created if needed. The data is durable only after `sync`."""
 
     def truncate(self, name: str, size: int) -> None:
-        """Keep the first `size` bytes; durable after `sync`."""
+        """Keep the first `size` bytes of a file; durable after `sync`."""
 
     def create(self, name: str, data: bytes) -> None:
         """Create or overwrite a file with these bytes; durable after `sync`."""
 
     def sync(self, name: str) -> None:
-        """Return once all that was written to the file is durable."""
+        """Make all data written to the file durable."""
 
     def rename(self, name: str, target: str) -> None:
-        """Rename a file target another, atomically; durable after `sync_directory`."""
+        """Rename a file atomically, replacing `target` if it exists; durable after `sync_directory`."""
 
     def sync_directory(self) -> None:
-        """Return once all names are durable."""
+        """Make all file names durable."""
 
 
 class Directory:
-    """A real directory."""
+    """A directory of a file system; implements Disk."""
 
     def __init__(self, path: str | Path) -> None:
         self._path = Path(path)
         self._lock: int | None = None
 
     def lock(self) -> bool:
-        """Lock the directory until `unlock` or the end of the process; False: another process holds it."""
+        """Lock the directory until `unlock` or the process ends; return False if another process has it."""
         if self._lock is not None:
             return True
         descriptor = os.open(self._path / "lock", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
@@ -102,9 +102,9 @@
     def _write(self, name: str, mode: int, data: bytes) -> None:
         descriptor = os.open(self._path / name, os.O_CREAT | os.O_WRONLY | os.O_CLOEXEC | mode, 0o600)
         try:
-            left = memoryview(data)
-            while left:
-                left = left[os.write(descriptor, left) :]
+            remaining = memoryview(data)
+            while remaining:
+                remaining = remaining[os.write(descriptor, remaining) :]
         finally:
             os.close(descriptor)
 
@@ -117,13 +117,13 @@
 
 
 def replace_file(disk: Disk, name: str, data: bytes) -> None:
-    """Replace a file atomically: a reader sees the old or the new one, and the new one is durable.
+    """Replace a file atomically, so that a reader finds either the old or the new content.
 
-    Raises OSError; the old file is unchanged then.
+    Raises OSError if that fails; the old file is then unchanged.
     """
     temporary = name + ".new"
     disk.create(temporary, data)
     disk.sync(temporary)
     disk.rename(temporary, name)
-    with suppress(OSError):  # the new one is in place; without the sync it may be lost, and not torn
+    with suppress(OSError):  # the new file is in place; a power loss may only bring back the old one
         disk.sync_directory()
--- a/pebblepass/storage/frames.py
+++ b/pebblepass/storage/frames.py
@@ -1,12 +1,13 @@
-"""Frames, of which a durable file consists. No I/O.
+"""The frames of which a durable file consists. No I/O.
 
-A file is a header and frames. The header names the format, its version and the owner. A frame is its size and
-the checksum (CRC-32C) of size and content, both four bytes, little-endian, and the content. One frame is what
-is synced at once: a power loss can tear the last one only.
+The first frame of a file is its header, which names the format, its version and the owner. A frame consists
+of the content's size, the checksum (CRC-32C) of size and content, and the content. Size and checksum have
+four bytes each, little-endian. Each frame is synced before the next is written, so that a power loss can tear
+only the last one.
 
-A torn frame is cut off: it ends behind the file's end, or whole sectors of it read as zeros, as nothing of it
-was ever promised. One that is complete and does not match its checksum is damaged, and so is whatever stands
-before a complete frame: then the file is refused, since what it held may have been promised.
+A last frame that extends past the end of the file, or in which whole sectors are zeros, is torn. It is cut
+off: it was never synced, so nothing relies on it. Any other frame that does not match its checksum is
+damaged. Then the file is rejected, because the lost content may have been relied on.
 """
 
 from __future__ import annotations
@@ -16,14 +17,14 @@
 import msgspec
 from crc32c import crc32c
 
-MAX_FRAME_BYTES = 16 << 20  # a larger size is taken for damage
-SECTOR_BYTES = 512  # what a disk writes at once or not at all
+MAX_FRAME_BYTES = 16 << 20  # a frame with a larger size is taken for damaged
+SECTOR_BYTES = 512  # the unit that a disk writes atomically
 _PREFIX = struct.Struct("<II")
 _SIZE = struct.Struct("<I")
 
 
 class StorageError(ValueError):
-    """A file can't be used: its content is at fault, not the disk. The message is one line."""
+    """The content of a file is invalid. The text is one line."""
 
 
 class FileHeader(msgspec.Struct, frozen=True):
@@ -32,7 +33,7 @@
     format: str
     version: int
     owner: str
-    """Whose the file is: a fleet and a router, for example."""
+    """The owner of the file, for example a fleet and a router."""
 
 
 class Frames(msgspec.Struct, frozen=True):
@@ -40,24 +41,24 @@
 
     contents: list[bytes]
     size: int
-    """The bytes that they take; what stands behind is torn, to be truncated."""
+    """The size of the complete frames, in bytes. Any data after them is torn, and is to be truncated."""
 
 
 def encode_frame(content: bytes) -> bytes:
-    """Return one frame's bytes; raises StorageError where the content is too long."""
+    """Return the encoded frame; raises StorageError if the content is too long."""
     if len(content) > MAX_FRAME_BYTES:
-        raise StorageError(f"a record of {len(content)} bytes, of {MAX_FRAME_BYTES} at most")
+        raise StorageError(f"a frame of {len(content)} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes")
     size = _SIZE.pack(len(content))
     return size + _SIZE.pack(crc32c(content, crc32c(size))) + content
 
 
 def encode_header(header: FileHeader) -> bytes:
-    """Return the bytes with which a file begins."""
+    """Return the encoded frame of a file's header."""
     return encode_frame(msgspec.json.encode(header))
 
 
 def read_frames(data: bytes) -> Frames:
-    """Return all complete frames; raises StorageError where something before the end is damaged."""
+    """Return all complete frames; raises StorageError if the file is damaged before its end."""
     contents, offset = [], 0
     while offset < len(data):
         content = _complete_frame(data, offset)
@@ -71,21 +72,21 @@
 
 
 def check_header(content: bytes, expected: FileHeader) -> None:
-    """Check that a file is the expected one; raises StorageError."""
+    """Check a file's header; raises StorageError if it is not the expected one."""
     try:
         header = msgspec.json.decode(content, type=FileHeader)
     except (msgspec.DecodeError, UnicodeDecodeError):
-        raise StorageError("no head") from None
+        raise StorageError("the file header is invalid") from None
     if header.format != expected.format:
-        raise StorageError(f"of another form: {header.format}")
+        raise StorageError(f"the file has another format: {header.format}")
     if header.version != expected.version:
-        raise StorageError(f"of version {header.version}, this program writes {expected.version}")
+        raise StorageError(f"the file has version {header.version}, this program writes {expected.version}")
     if header.owner != expected.owner:
-        raise StorageError(f"of another owner: {header.owner}, not {expected.owner}")
+        raise StorageError(f"the file belongs to {header.owner}, not {expected.owner}")
 
 
 def _complete_frame(data: bytes, offset: int) -> bytes | None:
-    """Return the content of the frame at an offset; None: it is not complete, or its checksum differs."""
+    """Return the content of the frame at an offset; None: it is incomplete, or its checksum differs."""
     start = offset + _PREFIX.size
     if start > len(data):
         return None
@@ -98,10 +99,10 @@
 
 
 def _is_torn(data: bytes, offset: int) -> bool:
-    """Whether the frame that begins here can be the one that was being written at a power loss."""
+    """Whether the frame at an offset can be one that was being written at a power loss."""
     later_offsets = range(offset + 1, len(data) - _PREFIX.size)
     if any(_complete_frame(data, later) is not None for later in later_offsets):
-        return False  # it was synced before that was written
+        return False  # this frame was synced before the later one was written
     start = offset + _PREFIX.size
     if start > len(data) or start + _SIZE.unpack_from(data, offset)[0] > len(data):
         return True
@@ -109,7 +110,7 @@
 
 
 def _has_lost_sector(data: bytes, offset: int) -> bool:
-    """Whether a sector, or what the frame has of one, reads as zeros."""
+    """Whether a sector, or the frame's part of one, contains only zeros."""
     while offset < len(data):
         end = min((offset // SECTOR_BYTES + 1) * SECTOR_BYTES, len(data))
         if not any(data[offset:end]):
--- a/pebblepass/storage/log.py
+++ b/pebblepass/storage/log.py
@@ -1,11 +1,11 @@
-"""A durable log: records appended one after another, and now and then a snapshot that replaces them.
+"""A durable log of records. From time to time a snapshot replaces all records so far.
 
 | state | event | guard | next |
 | --- | --- | --- | --- |
-| open | append | synced | open |
+| open | append | the write and its sync succeed | open |
 | open | append | the write or its sync fails | failed |
-| failed | append | - | failed: refused |
-| open, failed | write snapshot | the new file is in place, and its name synced | open |
+| failed | append | - | failed; the append is rejected |
+| open, failed | write snapshot | the new file is in place, and its name is synced | open |
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     read_frames,
 )
 
-COMPACTION_BYTES = 64 << 10  # of records since the last snapshot: about a hundred changes
+COMPACTION_BYTES = 64 << 10  # records since the last snapshot; about a hundred changes
 _RECORD_SIZE = struct.Struct("<I")
 
 
@@ -39,13 +39,13 @@
         self._size = self._snapshot_size = 0
         self._failed = False
         self.truncated_bytes = 0
-        """Bytes of a torn tail that the last `open` has cut off."""
+        """How many bytes of a torn tail the last `open` has cut off."""
 
     def open(self) -> list[bytes] | None:
-        """Return the records since the last snapshot, which is the first; None: there is no log yet.
+        """Return the records of the last snapshot and those after it; None: there is no log yet.
 
-        A torn tail is truncated, durably. Raises StorageError with a message of one line where the log is
-        damaged or another owner's, OSError where the disk fails.
+        A torn tail is truncated and the file synced. Raises StorageError with a one-line text if the log is
+        damaged or belongs to another owner, and OSError if the disk fails.
         """
         data = self._disk.read(self._name)
         if data is None:
@@ -64,45 +64,45 @@
 
     def _records_of(self, frames: Frames) -> list[bytes]:
         if not frames.contents:
-            # The header is written in full and renamed into place: a log without one has lost it.
-            raise StorageError("no head")
+            # A new log is renamed into place with its header: a log without one has lost it.
+            raise StorageError("the file header is missing")
         check_header(frames.contents[0], self._header)
         return [record for batch in frames.contents[1:] for record in decode_batch(batch)]
 
     def write_snapshot(self, records: list[bytes]) -> None:
-        """Replace the log by one with these records; they are durable on return. Raises OSError."""
+        """Replace the log by one with these records, which are durable on return. Raises OSError."""
         data = encode_header(self._header) + encode_frame(encode_batch(records))
         replace_file(self._disk, self._name, data)
-        # Danger: a log whose name is not durable may be lost after a power loss, with all that it promised.
+        # Danger: unless the name of the new file is durable, a power loss may bring back the old log.
         self._disk.sync_directory()
         self._size = self._snapshot_size = len(data)
         self._failed = False
 
     @property
     def needs_snapshot(self) -> bool:
-        """Whether a snapshot is due: so much was appended since the last one, or a write has failed."""
+        """Whether a snapshot is due, because of the records since the last one or a failed write."""
         return self._failed or self._size - self._snapshot_size > COMPACTION_BYTES
 
     def append(self, records: list[bytes]) -> None:
-        """Append records, all or none; they are durable on return.
+        """Append records atomically; they are durable on return.
 
-        Raises OSError: then only `write_snapshot` can continue.
+        Raises OSError. After that, `append` fails until `write_snapshot` succeeds.
         """
         if self._failed:
-            raise OSError(errno.EIO, "not written since a write failed; it has to be begun anew")
+            raise OSError(errno.EIO, "an earlier write failed; the log needs a new snapshot")
         data = encode_frame(encode_batch(records))
         try:
             self._disk.append(self._name, data)
             self._disk.sync(self._name)
         except OSError:
-            # Danger: a part may be there, and what a failed sync has lost no later sync reports.
+            # Danger: the write may be incomplete, and a later sync does not report what a failed sync lost.
             self._failed = True
             raise
         self._size += len(data)
 
 
 def encode_batch(records: list[bytes]) -> bytes:
-    """Return the content of one frame: records, each after its size."""
+    """Return the content of one frame: the records, each with its size before it."""
     return b"".join(_RECORD_SIZE.pack(len(record)) + record for record in records)
 
 
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -117,9 +117,9 @@
 @pytest.mark.parametrize(
     ("head", "said"),
     [
-        (FileHeader("test-log", 2, "fleet/r0"), "of version 1, this program writes 2"),
-        (FileHeader("test-log", 1, "fleet/r1"), "of another owner: fleet/r0, not fleet/r1"),
-        (FileHeader("other", 1, "fleet/r0"), "of another form: test-log"),
+        (FileHeader("test-log", 2, "fleet/r0"), "the file has version 1, this program writes 2"),
+        (FileHeader("test-log", 1, "fleet/r1"), "the file belongs to fleet/r0, not fleet/r1"),
+        (FileHeader("other", 1, "fleet/r0"), "the file has another format: test-log"),
     ],
 )
 def test_a_foreign_log_is_refused_in_one_plain_line(head: FileHeader, said: str) -> None:
@@ -144,7 +144,7 @@
     with pytest.raises(OSError, match="No space"):
         log.append([b"second"])
     full[0] = False
-    with pytest.raises(OSError, match="begun anew"):
+    with pytest.raises(OSError, match="an earlier write failed; the log needs a new snapshot"):
         log.append([b"third"])
     assert log.needs_snapshot
     log.write_snapshot([b"all"])
