--- a/pebblepass/handover/__init__.py
+++ b/pebblepass/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Two processes act as one router in an upgrade: state and client connections move to the successor."""
+"""Upgrade without downtime: a running router hands its state and client connections to its successor."""
--- a/pebblepass/handover/channel.py
+++ b/pebblepass/handover/channel.py
@@ -1,6 +1,6 @@
-"""The channel between predecessor and successor: sequenced packets over a Unix socket.
+"""The channel between predecessor and successor: a Unix socket of type SOCK_SEQPACKET.
 
-Messages keep their bounds and order, and file descriptors travel with them.
+The socket preserves the boundaries and the order of messages, and carries file descriptors with them.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from pebblepass.handover.errors import HandoverError
 from pebblepass.handover.messages import MAX_CONNECTIONS_PER_MESSAGE, Message, decode, encode
 
-MAX_MESSAGE_BYTES = 256 << 10  # above what the connections of one message take with their partial commands
-MAX_DESCRIPTORS = 2 * MAX_CONNECTIONS_PER_MESSAGE  # received with one message
+MAX_MESSAGE_BYTES = 256 << 10  # more than a full message of connections with partial commands takes
+MAX_DESCRIPTORS = 2 * MAX_CONNECTIONS_PER_MESSAGE  # accepted with one message
 
 log = logging.getLogger("pebblepass")
 
@@ -30,7 +30,7 @@
 
 
 def _ignore(_: bool) -> None:
-    """Do nothing with the result of a send."""
+    """Ignore the result of a send."""
 
 
 class Channel:
@@ -43,7 +43,7 @@
         on_message: MessageHandler,
         on_closed: Callable[[], None],
     ) -> None:
-        """`on_message` gets each message with the sockets received; `on_closed` is called once."""
+        """`on_message` gets each message with its sockets; `on_closed` is called once, at the end."""
         self._loop, self._sock = loop, sock
         self._on_message, self._on_closed = on_message, on_closed
         self._queue: deque[_Outgoing] = deque()
@@ -57,7 +57,7 @@
         descriptors: list[int] | None = None,
         on_sent: Callable[[bool], None] = _ignore,
     ) -> None:
-        """Send a message with these descriptors; `on_sent` receives whether the kernel accepted it."""
+        """Send a message with these descriptors; `on_sent` is called with whether the kernel accepted it."""
         if self.is_closed:
             on_sent(False)
         else:
@@ -65,7 +65,7 @@
             self._write()
 
     def close(self) -> None:
-        """Close the channel; the other process notices."""
+        """Close the channel. The other process sees the end of the stream."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -87,7 +87,7 @@
             except (BlockingIOError, InterruptedError):
                 break
             except OSError as error:
-                log.warning("handover: sending failed, the channel is closed: %s", error)
+                log.warning("handover: sending a message failed, closing the channel: %s", error)
                 self.close()
                 return
             self._queue.popleft()
@@ -120,10 +120,10 @@
     def _receive(self, data: bytes, sockets: list[socket.socket], flags: int) -> None:
         try:
             if flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC):
-                raise HandoverError("a message cut short")
+                raise HandoverError("a message was truncated")
             self._on_message(decode(data), sockets)
         except HandoverError as error:
             for sock in sockets:
                 sock.close()
-            log.warning("handover: a message can't be used, the channel is closed: %s", error)
+            log.warning("handover: received an invalid message, closing the channel: %s", error)
             self.close()
--- a/pebblepass/handover/descriptor_split.py
+++ b/pebblepass/handover/descriptor_split.py
@@ -1,4 +1,4 @@
-"""How two processes split the descriptors of one router. No I/O."""
+"""How two processes share the descriptors of one router during an upgrade. No I/O."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 
 
 class ConnectionLimits(NamedTuple):
-    """How many connections of each kind a process may have."""
+    """The maximum number of connections of each kind that a process may have."""
 
     clients: int
     servers: int
 
 
 class DescriptorSplit:
-    """Limits for connections: two processes together have the descriptors of one router."""
+    """Connection limits under which two processes together use no more descriptors than one router."""
 
     def __init__(self, clients: int, servers: int, overhead: int) -> None:
-        """`clients` and `servers`: connections of a router that runs alone.
+        """`clients` and `servers`: the connection limits of a process that runs alone.
 
-        `overhead`: descriptors that a process needs beside them: its own, and those for clients that are only
-        rejected.
+        `overhead`: the descriptors that a process needs for other purposes, among them connections of clients
+        that it rejects.
         """
         self.full = ConnectionLimits(clients, servers)
-        """Limits of a process that runs alone."""
+        """The limits of a process that runs alone."""
         self.shared = ConnectionLimits(max(clients - overhead // 2, 1), max(servers - overhead // 2, 1))
-        """Limits of two processes together: the overhead of the second one is deducted."""
+        """The limits of two processes together. The overhead of the second process is deducted."""
 
     def remaining(self, clients: int, servers: int) -> ConnectionLimits:
-        """Return the successor's limits while the predecessor, which opens no more, has so many."""
+        """Return the successor's limits while the predecessor still has this many connections."""
         return ConnectionLimits(max(self.shared.clients - clients, 0), max(self.shared.servers - servers, 0))
--- a/pebblepass/handover/errors.py
+++ b/pebblepass/handover/errors.py
@@ -2,4 +2,4 @@
 
 
 class HandoverError(Exception):
-    """The other process sent what can't be used; the text is one plain line."""
+    """The other process sent invalid data. The text is one line."""
--- a/pebblepass/handover/handover.py
+++ b/pebblepass/handover/handover.py
@@ -1,4 +1,4 @@
-"""The two roles of an upgrade on sockets and timers: messages to events, actions to messages."""
+"""Runs the state machines of an upgrade: turns messages and timers into events, and performs the actions."""
 
 from __future__ import annotations
 
@@ -34,22 +34,22 @@
     SuccessorState,
 )
 
-SNAPSHOT_TIMEOUT_S = 0.5  # in which the predecessor has to send its state
-START_TIMEOUT_S = 2.0  # for all attempts to get a predecessor's state: the platform waits for 6 s
+SNAPSHOT_TIMEOUT_S = 0.5  # within which the predecessor has to send its state
+START_TIMEOUT_S = 2.0  # for all attempts to get the predecessor's state; the platform waits 6 s for a start
 CONNECT_RETRY_S = 0.25
-REPORT_INTERVAL_S = 0.02  # between two reports of the connections that the predecessor still has
-INITIAL_FRACTION = 4  # the successor begins with one in so many of the shared connections
+REPORT_INTERVAL_S = 0.02  # between two reports of the predecessor's remaining connections
+INITIAL_DIVISOR = 4  # the successor starts with the shared limits divided by this
 
 log = logging.getLogger("pebblepass")
 
 
 class Handover:
-    """This process's part: first as the successor, later as the predecessor."""
+    """The handover in this process, first in the role of successor, later of predecessor."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, folder: str, host: HandoverHost, split: DescriptorSplit
     ) -> None:
-        """`folder`: where the processes meet; `host`: the router; `split`: its descriptors."""
+        """`folder`: of the socket; `host`: the router in this process; `split`: the router's descriptors."""
         self._loop, self._host, self._split = loop, host, split
         self._listener = HandoverListener(folder)
         self._successor, self._predecessor = SuccessorMachine(), PredecessorMachine()
@@ -61,7 +61,7 @@
 
     @property
     def can_send_connections(self) -> bool:
-        """Whether a successor takes connections; never while this process is one itself."""
+        """Whether a successor accepts connections. False while this process is still a successor itself."""
         is_leaving = self._predecessor.state in (
             PredecessorState.HANDING_OVER,
             PredecessorState.SHUTTING_DOWN,
@@ -70,24 +70,24 @@
         return is_leaving and is_alone and self._channel is not None
 
     async def start(self) -> None:
-        """Connect to a predecessor and import its state; return once that is done or has failed."""
+        """Connect to a predecessor and import its state. Returns once that has succeeded or failed."""
         timeout = self._loop.call_later(START_TIMEOUT_S, self._as_successor, SuccessorEvent.TIMED_OUT)
         self._connect()
         await self._started
         timeout.cancel()
 
     def servers_known(self) -> None:
-        """Begin to serve: the servers are known."""
+        """Begin to serve clients, now that the servers are known."""
         self._as_successor(SuccessorEvent.SERVERS_KNOWN)
 
     def terminate(self) -> None:
-        """Shut down: SIGTERM has come."""
+        """Shut down after SIGTERM."""
         self._as_predecessor(PredecessorEvent.TERMINATE)
 
     def send_connections(
         self, descriptors: list[int], states: list[ConnectionState], on_sent: Callable[[bool], None]
     ) -> None:
-        """Hand clients' connections over; `on_sent` receives whether they have left, now or later."""
+        """Hand over client connections; `on_sent` is called with whether they were sent, now or later."""
         if self._channel is None:
             on_sent(False)
         else:
@@ -140,18 +140,18 @@
             case Connections():
                 self._adopt(message, sockets)
             case _:
-                raise HandoverError("a message from the wrong side")
+                raise HandoverError("unexpected kind of message from the predecessor")
 
     def _receive_chunk(self, chunk: StateChunk) -> None:
         self._snapshot += chunk.data
         if len(self._snapshot) > MAX_SNAPSHOT_BYTES:
-            raise HandoverError(f"a snapshot over {MAX_SNAPSHOT_BYTES} bytes")
+            raise HandoverError(f"the snapshot exceeds {MAX_SNAPSHOT_BYTES} bytes")
         if chunk.last:
             self._as_successor(SuccessorEvent.SNAPSHOT_RECEIVED)
 
     def _adopt(self, connections: Connections, sockets: list[socket.socket]) -> None:
         if len(sockets) != len(connections.states):
-            raise HandoverError("connections without their descriptors")
+            raise HandoverError("the numbers of connections and descriptors in a message differ")
         for sock, state in zip(sockets, connections.states, strict=True):
             self._host.adopt_connection(sock, state)
 
@@ -183,13 +183,13 @@
         try:
             self._host.import_snapshot(bytes(self._snapshot))
         except HandoverError as error:
-            log.warning("handover: the predecessor's state is not used: %s", error)
+            log.warning("handover: the predecessor's state is invalid, starting without it: %s", error)
         self._snapshot.clear()
 
     def _announce_ready(self, channel: Channel) -> None:
-        # How many connections the predecessor has is not known before its first report.
+        # The predecessor's connections are unknown until its first report.
         shared = self._split.shared
-        limits = ConnectionLimits(shared.clients // INITIAL_FRACTION, shared.servers // INITIAL_FRACTION)
+        limits = ConnectionLimits(shared.clients // INITIAL_DIVISOR, shared.servers // INITIAL_DIVISOR)
         self._host.limit_connections(limits, alone=False)
         channel.send(Ready())
 
@@ -197,7 +197,7 @@
         try:
             self._listener.open(self._loop, self._accept_successor)
         except OSError as error:
-            log.warning("handover: can't listen, the next upgrade goes without a handover: %s", error)
+            log.warning("handover: can't listen, the next upgrade will have no handover: %s", error)
 
     # As the predecessor
 
@@ -223,7 +223,7 @@
             case Ready():
                 self._as_predecessor(PredecessorEvent.SUCCESSOR_READY)
             case _:
-                raise HandoverError("a message from the wrong side")
+                raise HandoverError("unexpected kind of message from the successor")
 
     def _as_predecessor(self, event: PredecessorEvent) -> None:
         for action in self._predecessor.handle(event):
@@ -241,7 +241,7 @@
                 self._host.stop_accepting()
             case HandoverAction.HAND_OVER_CONNECTIONS:
                 self._host.hand_over_connections()
-                self._set_timer(0.0, self._report)  # once those have left
+                self._set_timer(0.0, self._report)  # after the idle connections are sent
             case HandoverAction.CLOSE_IDLE:
                 self._host.close_idle_connections()
             case HandoverAction.USE_FULL_LIMITS:
@@ -252,7 +252,7 @@
                 self._listener.close(self._loop)
 
     def _report(self) -> None:
-        """Report the connections that are left: the successor may use the rest of the descriptors."""
+        """Report the remaining connections, so that the successor may use the other descriptors."""
         if self._channel is None or not self.can_send_connections:
             return
         counts = self._host.connection_counts()
--- a/pebblepass/handover/host.py
+++ b/pebblepass/handover/host.py
@@ -1,4 +1,4 @@
-"""What the handover needs of the router in whose process it runs."""
+"""The interface of the router that takes part in a handover."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 
 
 class HandoverHost(Protocol):
-    """A router that can export and import its state and its clients' connections."""
+    """A router that can export and import its state and its client connections."""
 
     def export_snapshot(self) -> bytes:
         """Return the encoded state for a successor."""
 
     def import_snapshot(self, data: bytes) -> None:
-        """Import a predecessor's state; raises HandoverError, and then no part of it is used."""
+        """Import a predecessor's state; raises HandoverError, and then uses no part of it."""
 
     def begin_serving(self) -> None:
-        """Accept clients, for the first time or again."""
+        """Begin or resume accepting clients."""
 
     def stop_accepting(self) -> None:
-        """Accept no further clients."""
+        """Stop accepting clients."""
 
     def hand_over_connections(self) -> None:
-        """Give every connection without an open request to `Handover.send_connections`, now or once idle."""
+        """Pass every client connection to `Handover.send_connections` once it has no open request."""
 
     def close_idle_connections(self) -> None:
-        """Close every connection without an open request, now or once idle."""
+        """Close every client connection once it has no open request."""
 
     def connection_counts(self) -> ConnectionCounts:
-        """Return how many connections there are."""
+        """Return the numbers of open connections."""
 
     def limit_connections(self, limits: ConnectionLimits, alone: bool) -> None:
-        """Apply limits for connections; `alone`: and use all of a router's memory."""
+        """Apply connection limits; `alone`: whether this process may use all of the router's memory."""
 
     def adopt_connection(self, sock: socket.socket, state: ConnectionState) -> None:
-        """Serve a client's connection that was handed over."""
+        """Serve a client connection that was handed over."""
--- a/pebblepass/handover/listener.py
+++ b/pebblepass/handover/listener.py
@@ -1,4 +1,4 @@
-"""Where a successor finds its predecessor: a Unix socket in a folder that both share."""
+"""The Unix socket at which a successor connects to its predecessor, in a folder that both share."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class HandoverListener:
-    """Connects to the listening process, and becomes the listening process."""
+    """Connects to the process that listens on the socket, or listens itself."""
 
     def __init__(self, folder: str) -> None:
         self._path = str(Path(folder) / SOCKET_NAME)
         self._sock: socket.socket | None = None
 
     def connect(self) -> socket.socket | None:
-        """Return a connection to the process that listens; None: there is none."""
+        """Return a connection to the listening process; None: no process listens."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
             sock.setblocking(False)
@@ -32,17 +32,17 @@
         return sock
 
     def open(self, loop: asyncio.AbstractEventLoop, on_accept: Callable[[socket.socket], None]) -> None:
-        """Listen in place of any other process; raises OSError if the socket can't be made."""
+        """Listen in place of any other process; raises OSError if that fails."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
-            # Bound aside and moved: whoever connects in between finds the old socket or the new one.
-            aside = f"{self._path}.{os.getpid()}"
+            # Bound to a temporary path and renamed, so that there is a socket to connect to at any time.
+            temporary_path = f"{self._path}.{os.getpid()}"
             with contextlib.suppress(FileNotFoundError):
-                os.unlink(aside)
-            sock.bind(aside)
+                os.unlink(temporary_path)
+            sock.bind(temporary_path)
             sock.listen(BACKLOG)
             sock.setblocking(False)
-            os.replace(aside, self._path)
+            os.replace(temporary_path, self._path)
         except OSError:
             sock.close()
             raise
@@ -50,7 +50,7 @@
         loop.add_reader(sock.fileno(), self._accept, on_accept)
 
     def close(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Stop listening. The file stays: it may be another process's by now."""
+        """Stop listening. The file is not removed, as it may belong to another process by now."""
         if self._sock is not None:
             loop.remove_reader(self._sock.fileno())
             self._sock.close()
--- a/pebblepass/handover/messages.py
+++ b/pebblepass/handover/messages.py
@@ -1,7 +1,7 @@
-"""The messages between predecessor and successor, and their bytes. No I/O.
+"""The messages between predecessor and successor, and their encoding. No I/O.
 
-A message is one datagram of a sequenced-packet socket: a letter, and behind it JSON. A router's state may
-take several.
+A message is one packet of the socket: a letter that names its kind, followed by JSON or by a part of a
+snapshot. A snapshot may take several messages.
 """
 
 from __future__ import annotations
@@ -13,24 +13,24 @@
 
 from pebblepass.handover.errors import HandoverError
 
-VERSION = 1  # of the messages and of the snapshot; any other is rejected
-MAX_CHUNK_BYTES = 48 << 10  # of a snapshot in one message: far under what a socket's buffer takes
-MAX_PARTIAL_COMMAND = 4 << 10  # bytes of a command under way that move with its connection
+VERSION = 1  # of the messages and of the snapshot; other versions are rejected
+MAX_CHUNK_BYTES = 48 << 10  # of a snapshot in one message; far below the size of a socket buffer
+MAX_PARTIAL_COMMAND = 4 << 10  # bytes of an incomplete command that are handed over with its connection
 MAX_CONNECTIONS_PER_MESSAGE = 16
 
 Count = Annotated[int, Meta(ge=0)]
 
 
 class Hello(Struct, frozen=True):
-    """A successor has connected."""
+    """Sent by a successor when it has connected."""
 
 
 class Rejected(Struct, frozen=True):
-    """The predecessor has another successor."""
+    """The predecessor already has another successor."""
 
 
 class StateChunk(Struct, frozen=True):
-    """A part of a snapshot; `last`: no more follows."""
+    """A part of a snapshot; `last`: whether it is the last one."""
 
     data: bytes
     last: bool
@@ -48,22 +48,22 @@
 
 
 class ConnectionState(Struct, frozen=True):
-    """The state that moves with one client's connection."""
+    """The state that is handed over with one client connection."""
 
     partial_command: bytes
-    """The bytes received of a command under way."""
+    """The bytes received of an incomplete command."""
     command_age_ms: int
-    """How long ago that command, or the connection, began; milliseconds."""
+    """The time since that command, or without one the connection, began, in milliseconds."""
     has_sent_command: bool
     """Whether the client has sent a complete command before."""
     protocol: int
-    """The protocol version of the client's HELLO; 0: it has sent none."""
+    """The protocol version in the client's HELLO; 0: it has sent no HELLO."""
     client_name: bytes
     connection_number: int
 
 
 class Connections(Struct, frozen=True):
-    """Clients' connections; their descriptors travel beside, in the same order."""
+    """Client connections. Their descriptors are sent with the message, in the same order."""
 
     states: tuple[ConnectionState, ...]
 
@@ -81,7 +81,7 @@
 
 
 class _ConnectionRow(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """One connection in a message; bytes are in hexadecimal."""
+    """One connection in a message. Byte strings are encoded in hexadecimal."""
 
     partial_command: str
     command_age_ms: Count
@@ -97,7 +97,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return the bytes of one message."""
+    """Encode a message."""
     match message:
         case Hello():
             return b"H" + msgspec.json.encode(_HelloBody(VERSION))
@@ -114,11 +114,11 @@
 
 
 def decode(data: bytes) -> Message:
-    """Parse one message; raises HandoverError."""
+    """Decode a message; raises HandoverError if it is invalid."""
     try:
         return _decode(data[:1], data[1:])
     except (ValueError, RecursionError) as error:
-        raise HandoverError(f"a message that can't be read: {error}") from None
+        raise HandoverError(f"can't decode a message: {error}") from None
 
 
 def split_snapshot(snapshot: bytes) -> list[StateChunk]:
@@ -145,13 +145,13 @@
             return ConnectionCounts(counts.clients, counts.servers)
         case b"C":
             return Connections(tuple(_connection_state(row) for row in _CONNECTIONS.decode(body)))
-    raise HandoverError(f"a message of an unknown kind: {kind!r}")
+    raise HandoverError(f"unknown kind of message: {kind!r}")
 
 
 def _decode_hello(body: bytes) -> Hello:
     version = _HELLO.decode(body).version
     if version != VERSION:
-        raise HandoverError(f"a process that speaks version {version} of the handover")
+        raise HandoverError(f"the other process uses version {version} of the handover protocol")
     return Hello()
 
 
--- a/pebblepass/handover/router_snapshot.py
+++ b/pebblepass/handover/router_snapshot.py
@@ -1,7 +1,7 @@
-"""A router's state in the form in which a successor receives it. No I/O, no clock.
+"""The snapshot of a router's state that its successor receives, and its encoding. No I/O, no clock.
 
-Times travel as ages in nanoseconds, since two processes need not share a monotonic clock; only a server's
-start is in Unix milliseconds, as it is listed.
+Times are encoded as ages in nanoseconds, because the monotonic clocks of two processes may differ. Only the
+start time of a server is in Unix milliseconds, as in the endpoint list.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 from pebblepass.handover.messages import VERSION, Count
 
 MAX_SNAPSHOT_BYTES = 4 << 20
-MAX_CONNECT_REJECTIONS = 8  # a longer series is imported as this many
+MAX_CONNECT_REJECTIONS = 8  # a larger count is imported as this
 
 NonNegative = Annotated[float, Meta(ge=0)]
 Fraction = Annotated[float, Meta(ge=0, le=1)]
 
 
 class RouterSnapshot(Struct, frozen=True):
-    """All that a router passes to its successor."""
+    """The state that a router passes to its successor."""
 
     endpoint_list: dict[str, Any]
     """The endpoint list, in the discovery service's form."""
     state: RouterState
     exported_at: int
-    """When the state was exported, in nanoseconds of the holder's clock."""
+    """When the state was exported, in nanoseconds of this process's clock."""
 
 
 class _ServerRow(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
@@ -64,7 +64,7 @@
 
 class _OriginRow(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     fetch_window: float | None
-    """None: not limited."""
+    """None: unlimited."""
     write_limit: float | None
     bad_fraction: float
     fetch_latency_mean: float
@@ -92,7 +92,7 @@
 
 
 def encode_snapshot(snapshot: RouterSnapshot, unix_ms: Callable[[int], int]) -> bytes:
-    """Encode a snapshot; `unix_ms` converts a server's start to Unix milliseconds."""
+    """Encode a snapshot; `unix_ms` converts the start time of a server to Unix milliseconds."""
     state, now = snapshot.state, snapshot.exported_at
     form = _SnapshotForm(
         version=VERSION,
@@ -107,17 +107,17 @@
 
 
 def decode_snapshot(data: bytes, now: int, monotonic: Callable[[int], int]) -> RouterSnapshot:
-    """Parse a snapshot; `monotonic` converts a start in Unix milliseconds back. Raises HandoverError.
+    """Decode a snapshot; `monotonic` converts Unix milliseconds back. Raises HandoverError if it is invalid.
 
-    Times in the result are those of the reader's clock: it counts as exported `now` (nanoseconds).
+    The result has times of this process's clock, on which the export counts as `now` (nanoseconds).
     """
     try:
         version = _VERSION.decode(data).version
         if version != VERSION:
-            raise HandoverError(f"a snapshot of version {version}")
+            raise HandoverError(f"the snapshot has an unsupported version: {version}")
         form = _SNAPSHOT.decode(data)
     except (ValueError, RecursionError) as error:
-        raise HandoverError(f"a snapshot that can't be read: {error}") from None
+        raise HandoverError(f"can't decode the snapshot: {error}") from None
     state = RouterState(
         servers=tuple(_server_health(row, now, monotonic) for row in form.servers),
         limits=tuple(_limit_state(row, now) for row in form.limits),
@@ -171,7 +171,7 @@
 
 
 def _limit_state(row: _LimitRow, now: int) -> LimitState:
-    calls = tuple((now - int(each.age), each.sent, each.declined) for each in row.calls)
+    calls = tuple((now - int(entry.age), entry.sent, entry.declined) for entry in row.calls)
     return LimitState(row.tenant, row.limit, calls)
 
 
--- a/pebblepass/handover/states.py
+++ b/pebblepass/handover/states.py
@@ -1,7 +1,7 @@
-"""The two roles in an upgrade as state machines: events in, actions out. No I/O, no clock.
+"""The state machines of the two roles in an upgrade. No I/O, no clock.
 
-The predecessor runs already, the successor starts beside it. An event that a state has no row for changes
-nothing. docs/design/operations.md explains the tables.
+The predecessor is the process that already runs, the successor the one that starts beside it. An event
+without an entry for the current state is ignored. docs/design/operations.md explains the tables.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class HandoverAction(Enum):
-    """What the process has to do next."""
+    """An action for the process to perform."""
 
     SEND_SNAPSHOT = "send the router's state to the successor"
     REJECT = "reject a second successor"
@@ -24,11 +24,11 @@
     IMPORT_SNAPSHOT = "import the predecessor's state"
     BEGIN_SERVING = "accept clients, and announce that to the predecessor"
     OPEN_LISTENER = "wait for a successor"
-    CLOSE_LISTENER = "wait for no successor any longer"
+    CLOSE_LISTENER = "stop waiting for a successor"
 
 
 class PredecessorState(Enum):
-    """The states of the process that runs already."""
+    """The states of the predecessor."""
 
     ALONE = "alone"
     PAIRED = "paired"
@@ -37,7 +37,7 @@
 
 
 class PredecessorEvent(Enum):
-    """What happens to the process that runs already."""
+    """The events of the predecessor."""
 
     SUCCESSOR_CONNECTED = "a successor has connected"
     SUCCESSOR_READY = "the successor serves clients"
@@ -46,7 +46,7 @@
 
 
 class SuccessorState(Enum):
-    """The states of the process that starts."""
+    """The states of the successor."""
 
     CONNECTING = "connecting"
     STARTING = "starting"
@@ -55,7 +55,7 @@
 
 
 class SuccessorEvent(Enum):
-    """What happens to the process that starts."""
+    """The events of the successor."""
 
     NO_PREDECESSOR = "no other process listens"
     REJECTED = "the predecessor has another successor"
@@ -132,7 +132,7 @@
     ),
     (SuccessorState.STARTING, SuccessorEvent.PREDECESSOR_LOST): (SuccessorState.ALONE, _GO_ON_ALONE),
     (SuccessorState.TAKING_OVER, SuccessorEvent.PREDECESSOR_LOST): (SuccessorState.ALONE, _GO_ON_ALONE),
-    # Alone it serves as soon as it can, whether there was a predecessor or not.
+    # Without a predecessor it serves as soon as the servers are known.
     (SuccessorState.ALONE, SuccessorEvent.SERVERS_KNOWN): (
         SuccessorState.ALONE,
         (HandoverAction.BEGIN_SERVING,),
@@ -141,7 +141,7 @@
 
 
 class PredecessorMachine:
-    """The state of the process that runs already."""
+    """The state machine of the predecessor."""
 
     def __init__(self) -> None:
         self.state = PredecessorState.ALONE
@@ -153,7 +153,7 @@
 
 
 class SuccessorMachine:
-    """The state of the process that starts."""
+    """The state machine of the successor."""
 
     def __init__(self) -> None:
         self.state = SuccessorState.CONNECTING
