--- a/pebblepass/control/__init__.py
+++ b/pebblepass/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control address: readiness and counters over HTTP. The accounting pages use the same HTTP server."""
+"""The control address: readiness and counters over HTTP. `accounting` uses the same HTTP server."""
--- a/pebblepass/control/control_server.py
+++ b/pebblepass/control/control_server.py
@@ -1,4 +1,4 @@
-"""The platform's control address: `/control/ready` and `/control/counters`, one call per connection."""
+"""The platform's control address: `/control/ready` and `/control/counters`, one request per connection."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from pebblepass.wire.address import Address
 
 MAX_CONNECTIONS = 16
-# Each connection is a descriptor, and a caller may stay idle for seconds: a new one replaces it.
+# Each connection takes a descriptor, and clients may stay idle for seconds, so a new one evicts an idle one.
 LIMITS = ServerLimits(
     connections=MAX_CONNECTIONS,
     head_bytes=4 << 10,
@@ -21,25 +21,25 @@
     one_call=True,
     evict_idle=True,
 )
-MAX_POLICY_BYTES = 256 << 10  # of a policy file: 1,100 routers with long names take 106 KB
+MAX_POLICY_BYTES = 256 << 10  # a policy file with 1,100 routers that have long names takes 106 KB
 
 
 class ControlSources(Struct, frozen=True):
-    """Where the answers come from; each is called anew for each request."""
+    """The callbacks that provide the responses. They are called for each request."""
 
     ready: Callable[[], bool]
     counters: Callable[[], list[str]]
     fleet: Callable[[str, str, bytes], Awaitable[Page | None]] | None = None
-    """Answers calls of a fleet of routers by method, path and body; None: there is no such call."""
+    """Responds to a request about the fleet, given its method, path and body; None: it is no such request."""
 
 
 class ControlServer:
-    """The listener of the control address."""
+    """The HTTP server of the control address."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, sources: ControlSources, connections: int = MAX_CONNECTIONS
     ) -> None:
-        """`connections`: how many may be open at a time."""
+        """`connections`: the maximum number of open connections."""
         self._sources = sources
         body_bytes = MAX_POLICY_BYTES if sources.fleet is not None else 0
         limits = replace(LIMITS, connections=connections, body_bytes=body_bytes)
--- a/pebblepass/control/counters.py
+++ b/pebblepass/control/counters.py
@@ -1,4 +1,4 @@
-"""The platform's counters, from 0 in each process, and their StatsD form. No I/O, no clock."""
+"""The platform's counters, which start at 0 in each process, and their StatsD form. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class Counters:
-    """Final answers by class, and attempts sent, since the start of this process.
+    """Counts of final responses by request class, and of attempts sent, since the start of this process.
 
-    A streamed value is counted as an answer with its last part.
+    A streamed value is counted when its last part is sent.
     """
 
     def __init__(self, classes: Iterable[str]) -> None:
@@ -22,13 +22,13 @@
         self.errored = dict.fromkeys(names, 0)
         """Requests failed, by class."""
         self.sends = 0
-        """Attempts whose last byte was written, at cache servers and the origin.
+        """Attempts to cache servers and the origin, counted when their last byte is written.
 
         Health checks and the batches of multi-get commands are not counted.
         """
 
     def lines(self, current: int, cluster_size: int, cluster_unhealthy: int) -> list[str]:
-        """Return the counters in the StatsD form, a line each; the arguments are the present gauges."""
+        """Return the counters and gauges as StatsD lines; the arguments are the values of the gauges."""
         by_class = {"answered": self.answered, "deferred": self.deferred, "errored": self.errored}
         counters = {
             f"{name}.{request_class}": count
--- a/pebblepass/control/http_server.py
+++ b/pebblepass/control/http_server.py
@@ -1,6 +1,7 @@
 """A small HTTP/1.1 server for operators' tools, with limits on connections, sizes and idle time.
 
-The pages come from its owner: the control address and the accounting pages are served by one each.
+The control address and the accounting pages use one server each. The owner of a server provides the
+responses.
 """
 
 from __future__ import annotations
@@ -30,22 +31,22 @@
 
     connections: int
     head_bytes: int
-    """Bytes of one request without its body."""
+    """The maximum size of a request without its body, in bytes."""
     queued_requests: int
-    """Requests of one connection that wait for their answer."""
+    """The maximum number of requests of one connection that wait for their response."""
     idle_timeout_s: float
-    """Seconds in which a connection must send a complete request, the first or a further one."""
+    """The time within which a connection must send its first or next complete request, in seconds."""
     one_call: bool
-    """Whether a connection is closed after its first answer."""
+    """Whether a connection is closed after its first response."""
     evict_idle: bool
-    """Whether a new connection at the limit evicts the one that has been idle the longest; if not, the new
-    one is answered 503."""
+    """Whether a new connection at the limit evicts the one that has been idle the longest; otherwise the new
+    connection gets a 503 response."""
     body_bytes: int = 0
-    """Bytes of a request's body; 0: bodies are ignored."""
+    """The maximum size of a request's body, in bytes; 0: bodies are ignored."""
 
 
 class Page(Struct, frozen=True):
-    """One answer."""
+    """A response."""
 
     status: int
     body: bytes
@@ -53,7 +54,7 @@
 
 
 Responder = Callable[["Connection", str, str], Awaitable[Page | None]]
-"""Answers a method and a target; None: the connection has become a stream."""
+"""Responds to a request with a method and a target; None: the connection has become a stream."""
 
 
 class _PendingRequest(NamedTuple):
@@ -63,12 +64,12 @@
 
 
 class HttpServer:
-    """The listener and its connections."""
+    """The server: its listener and its connections."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, respond: Responder, limits: ServerLimits) -> None:
         self.loop, self.respond, self.limits = loop, respond, limits
         self.connections: dict[Connection, None] = {}
-        """In the order of their last answer, or of their arrival."""
+        """Ordered by the time of the last response, or of the connection if there was none."""
         self._server: asyncio.Server | None = None
 
     async def listen(self, address: Address) -> Address:
@@ -97,18 +98,18 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection of an operator's tool."""
+    """One client connection, for example of an operator's tool."""
 
     def __init__(self, server: HttpServer) -> None:
         self.body = b""
-        """The body of the request that is being answered."""
+        """The body of the current request."""
         self.on_closed: Callable[[], None] = lambda: None
-        """Called when the connection is closed; set by the owner of a stream."""
+        """Called when the connection is closed. The owner of a stream sets it."""
         self._server = server
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
         self._target = b""
-        self._request_bytes = 0  # received of the request under way
+        self._request_bytes = 0  # received so far of the current request
         self._idle_timer: asyncio.TimerHandle | None = None
         self._pending: deque[_PendingRequest] = deque()
         self._answering: asyncio.Task[None] | None = None
@@ -116,7 +117,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request waits for an answer."""
+        """Whether no request waits for a response and the connection is no stream."""
         return not self._pending and not self._is_stream and not self._is_answering
 
     def abort(self) -> None:
@@ -125,15 +126,15 @@
             self._transport.abort()
 
     def start_stream(self, head: bytes) -> None:
-        """Begin an answer without an end, with this head."""
+        """Begin a streaming response with this head."""
         if self._transport is not None:
             self._is_stream = True
             if self._idle_timer is not None:
-                self._idle_timer.cancel()  # a stream may be silent for as long as there is nothing to send
+                self._idle_timer.cancel()  # a stream may be idle while there is nothing to send
             self._transport.write(head)
 
     def push(self, data: bytes, max_unread: int) -> None:
-        """Send data on the stream; abort the connection if more than `max_unread` bytes are unread."""
+        """Send data on the stream; abort the connection if more than `max_unread` bytes are queued."""
         if self._transport is None or self._transport.is_closing():
             return
         self._transport.write(data)
@@ -141,7 +142,7 @@
             self.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register the connection, or answer 503."""
+        """Register the connection, or respond with 503 at the limit."""
         self._transport = cast(asyncio.Transport, transport)
         if self._server.admit(self):
             self._restart_idle_timer()
@@ -149,7 +150,7 @@
             self._write(Page(503, b"too many connections\n"), keep_alive=False)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Release what belongs to the connection."""
+        """Release the resources of the connection."""
         self._transport = None
         self._server.connections.pop(self, None)
         self.on_closed()
@@ -166,7 +167,7 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._write(Page(400, b"not HTTP/1.1\n"), keep_alive=False)
             return
-        # Guards the memory against a request without an end.
+        # Bounds the memory that a request of unlimited length takes.
         if self._request_bytes > self._server.limits.head_bytes + self._server.limits.body_bytes:
             self._write(Page(400, b"request too long\n"), keep_alive=False)
 
@@ -183,7 +184,7 @@
         """Called by httptools."""
         target = self._target.decode("ascii", "replace")
         self._target, self._request_bytes = b"", 0
-        # Guards the memory against a client that sends requests and reads no answer.
+        # Bounds the memory for a client that sends requests and reads no response.
         if len(self._pending) >= self._server.limits.queued_requests:
             self.abort()
             return
@@ -208,7 +209,7 @@
             self.abort()
 
     async def _answer_all(self) -> None:
-        """Answer the requests one after another, in the order of their arrival."""
+        """Respond to the pending requests, one at a time, in the order of their arrival."""
         while self._pending:
             pending = self._pending[0]
             page = await self._server.respond(self, pending.method, pending.target)
@@ -228,5 +229,5 @@
         if not keep_alive:
             self._transport.close()
         elif self in self._server.connections:
-            del self._server.connections[self]  # the one that has been idle the longest stands first
+            del self._server.connections[self]  # moves it to the end: the longest idle one comes first
             self._server.connections[self] = None
