--- a/pebblepass/discovery/__init__.py
+++ b/pebblepass/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint list: which servers there are, followed at the platform's discovery service."""
+"""Client of the platform's discovery service: watches the list of servers and keeps it up to date."""
--- a/pebblepass/discovery/call_schedule.py
+++ b/pebblepass/discovery/call_schedule.py
@@ -1,8 +1,8 @@
-"""How long each call to the discovery service waits and may take, by how earlier calls ended.
+"""The schedule of calls to the discovery service: how long each waits for a change, and its timeout.
 
-No I/O, no clock. A watch without an answer looks the same whether the service is gone or has no change to
-report. So a long wait is used only while calls are answered: after a call that timed out the next one asks
-for an immediate answer, after any other failure it waits for a short time.
+No I/O, no clock. A watch without a response looks the same whether the service is unreachable or has no
+change to report. So a long wait is used only while calls succeed. After a timeout, the next call requests an
+immediate response; after any other failure, the next call waits only for a short time.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class PlannedCall(NamedTuple):
-    """A call: its wait in seconds (None: the full list, immediately), and its timeout in seconds."""
+    """A call: its wait (None: the full list, without a wait) and its timeout, both in seconds."""
 
     wait_s: float | None
     timeout_s: float
@@ -22,28 +22,28 @@
     """Waits and timeouts of the calls to one kind of discovery service, in seconds."""
 
     min_wait_s: float
-    """The shortest wait of a watch; each wait is drawn between this and `max_wait_s`."""
+    """The shortest wait of a watch. Each wait is drawn at random between this and `max_wait_s`."""
     max_wait_s: float
     overdue_s: float
-    """How long after its wait a watch without an answer times out."""
+    """How long after the end of its wait a watch without a response times out."""
     immediate_timeouts_s: tuple[float, ...]
-    """Timeout of a call for an immediate answer, by the number of consecutive failures before it."""
+    """The timeout of a call for an immediate response, by the number of consecutive failures before it."""
     connect_timeout_s: float
-    """How long connecting may take; it counts towards the call's timeout."""
+    """How long connecting may take. This time is part of the call's timeout."""
     after_timeout: PlannedCall | None = None
-    """The watch that follows the first answer after a single timeout."""
+    """The watch after the first response that follows a single timeout."""
     after_failure: PlannedCall | None = None
-    """The watch that follows a call that failed otherwise."""
+    """The watch after a call that failed for any other reason."""
 
 
-IMMEDIATE_WAIT_S = 0.05  # the wait of a call for an immediate answer; some services read 0 as their default
+IMMEDIATE_WAIT_S = 0.05  # wait of a call for an immediate response; some services take 0 for their default
 TIMEOUT_JITTER = 0.05  # fraction of the timeout; keeps routers from polling in step
 
-# A change counts as delivered 6 s after the service has it and can be reached, whatever failed before; after
-# a first timeout 2 s after the call's wait, if that is later. Pushed lists cost nothing: three consecutive
-# calls that fail fit into 6 s. A polled service has work with each call, and may take 2 s for its answer when
-# it is busy. Danger: where more than the first calls after a failure time out before that, 200 routers keep
-# the slowest service that the simulator knows busy for good.
+# The platform expects a router to know a change 6 s after the service has it and can be reached, whatever
+# failed before. After a first timeout, it is 2 s after the end of the call's wait, if that is later. A
+# service that pushes does no work for a call, so timeouts are short: three failing calls in a row take less
+# than 6 s. Each call costs a polled service work, and a busy one may take 2 s to respond. Danger: if calls
+# after the first failures time out sooner, 200 routers overload the slowest service in the simulator forever.
 PUSH_TIMING = WatchTiming(
     min_wait_s=2.0, max_wait_s=2.0, overdue_s=0.5, immediate_timeouts_s=(1.0,), connect_timeout_s=0.4
 )
@@ -62,15 +62,15 @@
     """Plans the calls to one address of the discovery service, one after another."""
 
     def __init__(self, timing: WatchTiming, rng: random.Random) -> None:
-        """`rng` spreads the calls of routers whose watches were all ended by one change."""
+        """`rng` spreads the calls of routers whose watches end at the same change."""
         self.timing = timing
         self._rng = rng
         self._consecutive_failures = 0
-        self._immediate = False  # the next call asks for an immediate answer
-        self._short_watch: PlannedCall | None = None  # the next watch, before any with a long wait
+        self._immediate = False  # the next call requests an immediate response
+        self._short_watch: PlannedCall | None = None  # replaces the next watch with a long wait
 
     def plan(self, full: bool) -> PlannedCall:
-        """Return the next call: for the full list, or for what is newer than the list in force."""
+        """Return the next call; `full`: for the full list, otherwise for changes to the list in force."""
         timing = self.timing
         if full or self._immediate:
             last = len(timing.immediate_timeouts_s) - 1
@@ -83,16 +83,16 @@
         return PlannedCall(wait_s, wait_s + timing.overdue_s)
 
     def record_success(self) -> None:
-        """Record that the last call was answered with a list or with changes."""
+        """Record that the last call returned a list or changes."""
         if not self._immediate:
             self._short_watch = None
         self._consecutive_failures, self._immediate = 0, False
 
     def record_failure(self, timed_out: bool) -> bool:
-        """Record that the last call failed; return whether the next is due immediately, without backoff.
+        """Record that the last call failed; return whether the next one is due immediately.
 
-        It is due after a timeout: what the call missed may count as delivered by now, and the time that it
-        took is backoff enough. Any other backoff is drawn by the decision module.
+        After a timeout it is: the router may be expected to know a missed change by now, and the timeout
+        itself served as backoff. After any other failure the decision module chooses the backoff.
         """
         self._consecutive_failures += 1
         self._immediate = timed_out
@@ -100,7 +100,7 @@
             self._short_watch = self.timing.after_failure
         elif self._consecutive_failures == 1:
             self._short_watch = self.timing.after_timeout
-        else:  # an outage: a further short watch would be one more call from every router at its end
+        else:  # an outage: a short watch would add a call from every router when the service is back
             self._short_watch = None
         return timed_out
 
--- a/pebblepass/discovery/client.py
+++ b/pebblepass/discovery/client.py
@@ -1,4 +1,4 @@
-"""The client of the discovery service: the full list once, then a watch without a gap."""
+"""The client of the discovery service: fetches the full list once, then watches it without a gap."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from pebblepass.discovery.watch import Watch
 from pebblepass.wire.address import Address
 
-RETRY_DELAY_S = 0.1  # a pushed watch counts as continued if the next call comes within 0.2 s
-REJECTED_LIST_DELAY_S = 0.5  # after a list that this router could not apply: another one may do
+RETRY_DELAY_S = 0.1  # a service that pushes takes a watch for interrupted after 0.2 s without a call
+REJECTED_LIST_DELAY_S = 0.5  # after a list that could not be applied, before the next call
 
 log = logging.getLogger("pebblepass")
 
 
 class DiscoveryClient:
-    """Keeps the endpoint list up to date; a failed call leaves the list in force as it is.
+    """Keeps the endpoint list up to date. A failed call leaves the list in force unchanged.
 
-    A service that pushes is watched without pause. One that is polled is called when the decision module
-    subscribes; the watch lasts while calls succeed or time out, and any other failure ends it.
+    A service that pushes is watched all the time. A polled service is called when the decision module
+    subscribes; the watch continues while calls succeed or time out, and ends with any other failure.
     """
 
     def __init__(
@@ -34,24 +34,27 @@
         failed: Callable[[], None],
         rng: random.Random,
     ) -> None:
-        """`apply` puts a list in force; `failed` is called when a polled watch ends; `rng` is per router."""
+        """`apply` puts a list in force; `failed` is called when a polled watch ends.
+
+        `rng`: a generator with another seed in each router, so that their calls spread.
+        """
         self.generation = 0
         self._address, self._polled, self._clock = address, polled, clock
         self._apply, self._failed = apply, failed
         self._rng = rng
         self._schedule = self._new_schedule()
-        self._list_origin = address  # where the list in force, and its generation, come from
+        self._list_origin = address  # the address from which the list in force was received
         self._needs_full_list = False  # the next watch begins with the full list
         self._watch: Watch | None = None
-        self._next: Watch | None = None  # at the new address after a move, until it has been answered
+        self._next: Watch | None = None  # the watch at the new address after a move, until its first response
 
     def start(self) -> None:
-        """Begin a watch with the full list, unless `move` has begun one already."""
+        """Begin a watch with the full list, unless `move` has already begun one."""
         if self._watch is None:
             self._watch = self._begin(full=True)
 
     def subscribe(self) -> None:
-        """Begin a watch, unless one is open at the address in force."""
+        """Begin a watch, unless there is one at the current address."""
         if self._next is not None:
             return
         if self._watch is None:
@@ -60,7 +63,7 @@
             self._next = self._begin(full=True)
 
     def move(self, address: Address) -> None:
-        """Go on at another address; the watch at the old one lasts until the new one has answered."""
+        """Switch to another address. The watch at the old one continues until the new one has responded."""
         if address == self._address:
             return
         self._address = address
@@ -107,11 +110,11 @@
                 await self._poll_and_apply(watch)
             except Exception as error:
                 next_is_due = watch.failed(error)
-        # One that answers with failures is still open, and the next watch opens its own.
+        # After an error response the connection is still open, and the next watch opens another one.
         watch.close_connection()
         self._needs_full_list = self._needs_full_list or watch.needs_full_list
         if watch is self._next:
-            # Danger: the watch at the old address may last for long, and nobody else polls the new one.
+            # Danger: the watch at the old address may last long, and no other watch polls the new address.
             self._next = None
         else:
             self._watch = None
@@ -124,14 +127,14 @@
             await asyncio.sleep(REJECTED_LIST_DELAY_S)
 
     def _apply_list(self, watch: Watch, listed: EndpointList) -> bool:
-        """Put a list in force; return whether that worked: if not, the watch asks for the full list."""
+        """Put a list in force; return False if that failed, and the watch then requests the full list."""
         if watch is self._next:
             self._switch_to_next(watch)
         try:
             self._apply(listed)
         except Exception:
             log.exception(
-                "discovery: list %d of %s:%d could not be applied, the full list is requested again",
+                "discovery: list %d from %s:%d could not be applied; requesting the full list again",
                 listed.generation,
                 *watch.address,
             )
@@ -143,8 +146,8 @@
         return True
 
     def _switch_to_next(self, watch: Watch) -> None:
-        # Guards against a gap: the old address counts until the new one has answered.
+        # The old watch is closed only now, after the new address has responded, to avoid a gap.
         if self._watch is not None:
             self._watch.close()
         self._watch, self._next = watch, None
-        log.info("discovery: now at %s:%d", *watch.address)
+        log.info("discovery: switched to %s:%d", *watch.address)
--- a/pebblepass/discovery/connection.py
+++ b/pebblepass/discovery/connection.py
@@ -7,11 +7,11 @@
 
 from pebblepass.wire.http import HttpError, HttpReader, request
 
-MAX_BODY = 8 << 20  # bytes of one answer
+MAX_BODY = 8 << 20  # bytes of one response
 
 
 class Response(NamedTuple):
-    """An answer of the discovery service."""
+    """A response of the discovery service."""
 
     status: int
     body: bytes
@@ -44,11 +44,11 @@
             self._transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's own class is no subclass
+        """Store the transport."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transport is no subclass of it
 
     def data_received(self, data: bytes) -> None:
-        """Read a part of the response."""
+        """Parse a part of the response."""
         try:
             if self.read(data):
                 self._finish_response()
@@ -57,22 +57,22 @@
             self.close()
 
     def eof_received(self) -> None:
-        """Complete a response that lasts until the end of the stream."""
+        """Complete a response that ends with the stream."""
         if self.is_complete_at_eof():
             self._finish_response()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the request in flight."""
-        self._fail(ConnectionResetError("discovery closed the connection"))
+        """Fail the current request."""
+        self._fail(ConnectionResetError("the discovery service closed the connection"))
 
     def body_started(self, length: int | None) -> None:
-        """Ignore the announced length: the limit is on the bytes received."""
+        """Ignore the announced length, as the limit applies to the bytes received."""
 
     def body_received(self, data: bytes) -> None:
         """Collect a part of the body; raises HttpError beyond MAX_BODY."""
         self._body += data
         if len(self._body) > MAX_BODY:
-            raise HttpError("list too long")
+            raise HttpError("the list is too long")
 
     def _finish_response(self) -> None:
         response = Response(self.status, bytes(self._body))
--- a/pebblepass/discovery/endpoint_list.py
+++ b/pebblepass/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list in the discovery service's JSON form: parser and encoder. No I/O."""
+"""Parser and encoder of the endpoint list in the discovery service's JSON format. No I/O."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class InvalidEndpointListError(ValueError):
-    """The data is not an endpoint list; no part of it may be used."""
+    """The data is not a valid endpoint list. No part of it may be used."""
 
 
 class EndpointList(Struct, frozen=True):
-    """One answer of the discovery service: the event for the decision module and the servers' addresses."""
+    """A response of the discovery service: the event for the decision module and the servers' addresses."""
 
     generation: int
     change: ServersChanged
@@ -27,23 +27,23 @@
 
 
 class ClockOffset:
-    """Converts between Unix times and the monotonic clock by a constant difference."""
+    """Converts between Unix time and the monotonic clock by a constant offset."""
 
     def __init__(self, monotonic_ns: int, unix_ns: int) -> None:
-        """Both times, in nanoseconds, were read at the same moment."""
+        """The arguments are readings of both clocks at the same time, in nanoseconds."""
         self._offset_ns = unix_ns - monotonic_ns
 
     def monotonic(self, unix_ms: int) -> int:
-        """Return the monotonic time in nanoseconds; 0, which stands for long ago, stays 0."""
+        """Return the monotonic time in nanoseconds; 0, which means an unknown time long ago, stays 0."""
         return unix_ms * 1_000_000 - self._offset_ns if unix_ms else 0
 
     def unix_ms(self, monotonic_ns: int) -> int:
-        """Return the Unix time in milliseconds that `monotonic` converts to this time; 0 stays 0."""
+        """Return the Unix time in milliseconds for a monotonic time; 0 stays 0."""
         return (monotonic_ns + self._offset_ns) // 1_000_000 if monotonic_ns else 0
 
 
 def parse_endpoint_list(body: Any, clock: ClockOffset, kind: ListKind | None = None) -> EndpointList:
-    """Parse decoded JSON; `kind` overrides the list's own. Raises InvalidEndpointListError."""
+    """Parse decoded JSON; `kind` overrides the kind that the list names. Raises InvalidEndpointListError."""
     try:
         servers = tuple(_parse_server(entry, clock) for entry in body["instances"])
         addresses = {
@@ -63,7 +63,7 @@
 def encode_endpoint_list(
     generation: int, servers: Iterable[Server], addresses: Mapping[str, Address], clock: ClockOffset
 ) -> dict[str, Any]:
-    """Return the servers as a full list, ready for JSON; a server without an address is left out."""
+    """Return the servers as a full list, to be encoded as JSON. Servers without an address are left out."""
     return {
         "generation": generation,
         "reset": True,
--- a/pebblepass/discovery/watch.py
+++ b/pebblepass/discovery/watch.py
@@ -1,4 +1,4 @@
-"""The calls at one address of the discovery service: the full list once, then a watch for changes."""
+"""A watch at one address of the discovery service: fetches the full list once, then waits for changes."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 
 class DiscoveryError(Exception):
-    """The discovery service answered, but not with a list that can be used."""
+    """The discovery service responded without a usable list."""
 
 
 class Watch:
-    """Calls one address of the discovery service, and knows which generation of the list it is at."""
+    """Calls one address of the discovery service, and tracks the generation of the list received from it."""
 
     def __init__(
         self, address: Address, clock: ClockOffset, schedule: CallSchedule, generation: int, full: bool
     ) -> None:
-        """`generation`: the version of the list in force; `full`: begin with the full list."""
+        """`generation`: of the list in force; `full`: begin with the full list."""
         self.address, self.schedule = address, schedule
         self.needs_full_list = full
         self.task: asyncio.Task[None] | None = None
@@ -37,7 +37,7 @@
         self._connection: DiscoveryConnection | None = None
 
     async def poll(self) -> EndpointList:
-        """Make one call and return its list; raises an exception of any kind if the call failed."""
+        """Make one call and return its list; raises an exception of any type if the call failed."""
         call = self.schedule.plan(self.needs_full_list)
         try:
             async with asyncio.timeout(call.timeout_s):
@@ -51,18 +51,18 @@
         return listed
 
     def accepted(self, listed: EndpointList) -> None:
-        """Continue after this list, which is in force now."""
+        """Continue after this list, which is now in force."""
         self._generation, self.needs_full_list = listed.generation, False
 
     def rejected(self) -> None:
-        """Ask for the full list next: how much of the last one is in force is not known."""
+        """Request the full list next, because it is unknown how much of the last one was applied."""
         self.needs_full_list = True
 
     def failed(self, error: Exception) -> bool:
         """Record a failed call; return whether the next is due immediately."""
         if not self.schedule.is_failing:
             log.warning(
-                "discovery: a call to %s:%d failed, the list in force stays and the call is repeated: %s",
+                "discovery: a call to %s:%d failed; keeping the list in force and retrying: %s",
                 *self.address,
                 str(error) or type(error).__name__,
             )
@@ -92,15 +92,15 @@
             async with asyncio.timeout(self.schedule.timing.connect_timeout_s):
                 _, self._connection = await loop.create_connection(DiscoveryConnection, *self.address)
         except TimeoutError:
-            raise ConnectionError("no connection came up in time") from None
+            raise ConnectionError("connecting timed out") from None
         return self._connection
 
     def _parse(self, response: Response) -> EndpointList:
         if response.status != HTTP_OK:
-            raise DiscoveryError(f"answered {response.status}")
+            raise DiscoveryError(f"the response has status {response.status}")
         listed = parse_endpoint_list(msgspec.json.decode(response.body), self._clock)
         if listed.change.kind is ListKind.DELTA and listed.generation < self._generation:
-            # Danger: changes to a list that the service has lost would be applied to one that it never had.
+            # Danger: the service has lost the list in force, so its changes refer to a different list.
             self.needs_full_list = True
-            raise DiscoveryError(f"went back from version {self._generation} to {listed.generation}")
+            raise DiscoveryError(f"the list went back from version {self._generation} to {listed.generation}")
         return listed
