--- a/tests/consensus/parts.py
+++ b/tests/consensus/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests of a replica's parts share: a fleet of three, its messages, and an outbox."""
+"""Shared by the tests of a replica's components: a fleet of three routers, its messages, and an outbox."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 
 def sender(name: str = "r1", **changes: object) -> m.Sender:
-    """The state of another voter, at version 1, with some fields changed."""
-    facts: dict[str, object] = {
+    """Return the state of another voter, at version 1, with some fields changed."""
+    fields: dict[str, object] = {
         "name": name,
         "boot_id": f"{name}.boot",
         "disk_id": f"{name}.disk",
@@ -30,26 +30,26 @@
         "leased_version": 1,
         "start_confirmed": True,
     }
-    return m.Sender(**{**facts, **changes})  # type: ignore[arg-type]
+    return m.Sender(**{**fields, **changes})  # type: ignore[arg-type]
 
 
 def value(version: int, change_id: str = "", kind: m.Kind = "policy") -> m.Value:
-    """A version of the fleet of three."""
+    """Return a version of the fleet of three routers."""
     fleet = m.Fleet(MEMBERS, VOTERS)
     return m.Value(version, change_id or f"c{version}", kind, Policy(), fleet, VOTERS, "ana", "", "r1")
 
 
 def setup(problem: str = "") -> ReplicaSetup:
-    """The setup of r0; its check of every policy finds this problem."""
-    first = genesis(MEMBERS, NAMES)
-    return ReplicaSetup("r0", "r0.boot", TERMS, first, lambda before, after: problem, "r0.disk")
+    """Return the setup of r0, whose check of every policy reports this problem."""
+    initial = genesis(MEMBERS, NAMES)
+    return ReplicaSetup("r0", "r0.boot", TERMS, initial, lambda before, after: problem, "r0.disk")
 
 
 def outbox() -> Outbox:
-    """The outbox of r0."""
+    """Return an outbox of r0."""
     return Outbox("r0", lambda: sender("r0"), 0)
 
 
 def sent(box: Outbox) -> list[tuple[str, m.Body]]:
-    """What the current event has sent to other routers."""
-    return [(each.to, each.message.body) for each in box.finish() if isinstance(each, Send)]
+    """Return the messages that the current event has sent to other routers."""
+    return [(action.to, action.message.body) for action in box.finish() if isinstance(action, Send)]
--- a/tests/consensus/test_acceptor.py
+++ b/tests/consensus/test_acceptor.py
@@ -1,4 +1,4 @@
-"""Every edge of the acceptor's table, and the guards of a vote."""
+"""Covers every row of the acceptor's state table, and the guards of a vote."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from pebblepass.consensus.quota_allocator import QuotaAllocator
 from pebblepass.consensus.records import AcceptRecord, PromiseRecord
 from pebblepass.consensus.voter import Voter
-from tests.consensus.parts import NAMES, SECOND, TERMS, VOTERS, outbox, sender, sent, setup, value
+from tests.consensus.helpers import NAMES, SECOND, TERMS, VOTERS, outbox, sender, sent, setup, value
 
 LOW, MIDDLE, HIGH = (m.Ballot(number, f"r{number}.boot") for number in (1, 2, 3))
 VALUE = value(2)
 
 
-def promised(ballot: m.Ballot) -> Acceptor:
+def acceptor_with_promise(ballot: m.Ballot) -> Acceptor:
     acceptor = Acceptor(0)
     acceptor.prepare(m.Prepare(2, ballot))
     return acceptor
 
 
-def test_a_higher_ballot_is_promised_and_what_was_accepted_is_reported() -> None:
-    acceptor = promised(LOW)
+def test_higher_ballot_is_promised_and_accepted_value_reported() -> None:
+    acceptor = acceptor_with_promise(LOW)
     acceptor.accept(m.Accept(2, LOW, VALUE), 0)
     vote = acceptor.prepare(m.Prepare(2, HIGH))
     assert vote == Vote(m.Promise(2, HIGH, LOW, VALUE), PromiseRecord(2, HIGH))
@@ -34,35 +34,35 @@
 
 
 @pytest.mark.parametrize("ballot", [LOW, MIDDLE])
-def test_a_prepare_that_is_not_higher_is_rejected(ballot: m.Ballot) -> None:
-    acceptor = promised(MIDDLE)
+def test_prepare_with_same_or_lower_ballot_is_rejected(ballot: m.Ballot) -> None:
+    acceptor = acceptor_with_promise(MIDDLE)
     assert acceptor.prepare(m.Prepare(2, ballot)) == Vote(m.Rejected(2, ballot, 2))
     assert acceptor.promised == MIDDLE
 
 
 @pytest.mark.parametrize("ballot", [MIDDLE, HIGH])
-def test_a_value_is_accepted_with_the_ballot_promised_or_a_higher_one(ballot: m.Ballot) -> None:
-    acceptor = promised(MIDDLE)
+def test_accept_with_promised_or_higher_ballot_succeeds(ballot: m.Ballot) -> None:
+    acceptor = acceptor_with_promise(MIDDLE)
     vote = acceptor.accept(m.Accept(2, ballot, VALUE), 0)
     assert vote == Vote(m.Accepted(2, ballot), AcceptRecord(2, ballot, VALUE))
     assert (acceptor.promised, acceptor.accepted, acceptor.value) == (ballot, ballot, VALUE)
 
 
-def test_a_value_with_a_lower_ballot_is_rejected() -> None:
-    acceptor = promised(MIDDLE)
+def test_accept_with_lower_ballot_is_rejected() -> None:
+    acceptor = acceptor_with_promise(MIDDLE)
     assert acceptor.accept(m.Accept(2, LOW, VALUE), 0) == Vote(m.Rejected(2, LOW, 2))
     assert (acceptor.promised, acceptor.accepted, acceptor.value) == (MIDDLE, None, None)
 
 
-def test_a_decision_opens_the_next_version() -> None:
-    acceptor = promised(LOW)
+def test_decision_clears_the_state_for_the_next_version() -> None:
+    acceptor = acceptor_with_promise(LOW)
     acceptor.accept(m.Accept(2, LOW, VALUE), 0)
     acceptor.version_decided(SECOND)
     assert (acceptor.promised, acceptor.accepted, acceptor.value) == (m.NO_BALLOT, None, None)
     assert acceptor.takeover_at("r0", VOTERS, SECOND) is None
 
 
-def test_takeovers_of_different_voters_are_apart_in_the_order_of_their_names() -> None:
+def test_takeover_delays_increase_in_order_of_voter_names() -> None:
     acceptor = Acceptor(0)
     acceptor.accept(m.Accept(2, LOW, VALUE), SECOND)
     times = [acceptor.takeover_at(name, VOTERS, SECOND) or 0 for name in NAMES]
@@ -71,7 +71,7 @@
     assert times[-1] < SECOND + SECOND // 2
 
 
-def test_a_majority_decides_and_all_voters_form_the_fleet() -> None:
+def test_quorum_is_a_majority_and_all_voters_when_forming() -> None:
     assert [quorum(dict.fromkeys(map(str, range(count)), ""), False) for count in range(1, 6)] == [
         1,
         2,
@@ -82,23 +82,25 @@
     assert quorum(VOTERS, True) == 3
 
 
-class Bench:
+class VoterHarness:
     """A voter of a fleet at version 1."""
 
     def __init__(self, version: int = 1) -> None:
-        made = setup()
+        replica_setup = setup()
         self.outbox, self.acceptor = outbox(), Acceptor(0)
-        self.learner = Learner("r0", made.genesis, made.check, self.outbox)
+        self.learner = Learner("r0", replica_setup.genesis, replica_setup.check, self.outbox)
         if version:
             self.learner.restore_decision(value(version))
         self.disk = DiskIdentity("r0", "r0.boot", "r0.disk", self.outbox)
         allocator = QuotaAllocator(TERMS, 0, restarted=False)
         peers = PeerTable(TERMS.renewal_interval, 0)
-        self.server = LeaseServer(made, self.learner, self.disk, peers, self.outbox, allocator, False)
-        self.voter = Voter(made, self.learner, self.disk, self.acceptor, self.server, self.outbox)
+        self.server = LeaseServer(
+            replica_setup, self.learner, self.disk, peers, self.outbox, allocator, False
+        )
+        self.voter = Voter(replica_setup, self.learner, self.disk, self.acceptor, self.server, self.outbox)
 
     def vote(self, request: m.Prepare | m.Accept) -> list[tuple[str, m.Body]]:
-        """The answers to a request, once all that it has written is synced."""
+        """Return the answers to a request after its records are synced."""
         self.outbox.begin(0)
         self.voter.vote(sender(), request)
         assert not any(isinstance(body, m.Promise | m.Accepted) for _, body in sent(self.outbox))
@@ -107,39 +109,39 @@
         return sent(self.outbox)
 
 
-def test_a_confirmed_voter_votes_for_the_next_version_only() -> None:
-    bench = Bench()
-    assert bench.vote(m.Prepare(2, LOW)) == []  # nobody knows of its start
-    bench.disk.confirm("r2")
-    assert bench.vote(m.Prepare(1, LOW)) == []
-    assert bench.vote(m.Prepare(3, LOW)) == []
-    assert bench.vote(m.Prepare(2, LOW)) == [("r1", m.Promise(2, LOW))]
-    assert bench.vote(m.Accept(2, LOW, VALUE)) == [("r1", m.Accepted(2, LOW))]
-    assert bench.voter.takeover_at() is not None
+def test_confirmed_voter_votes_only_on_the_next_version() -> None:
+    harness = VoterHarness()
+    assert harness.vote(m.Prepare(2, LOW)) == []  # its start is not confirmed
+    harness.disk.confirm("r2")
+    assert harness.vote(m.Prepare(1, LOW)) == []
+    assert harness.vote(m.Prepare(3, LOW)) == []
+    assert harness.vote(m.Prepare(2, LOW)) == [("r1", m.Promise(2, LOW))]
+    assert harness.vote(m.Accept(2, LOW, VALUE)) == [("r1", m.Accepted(2, LOW))]
+    assert harness.voter.takeover_at() is not None
 
 
-def test_a_router_on_another_disk_does_not_vote_or_take_over() -> None:
-    bench = Bench()
-    bench.disk.confirm("r2")
-    bench.disk.restore("r0.other", 1)
-    assert bench.vote(m.Prepare(2, LOW)) == []
-    assert not bench.voter.can_vote
-    assert bench.voter.takeover_at() is None
+def test_router_with_another_disk_neither_votes_nor_takes_over() -> None:
+    harness = VoterHarness()
+    harness.disk.confirm("r2")
+    harness.disk.restore("r0.other", 1)
+    assert harness.vote(m.Prepare(2, LOW)) == []
+    assert not harness.voter.can_vote
+    assert harness.voter.takeover_at() is None
 
 
-def test_a_vote_is_rejected_while_the_version_before_is_not_closed() -> None:
-    bench = Bench(version=2)
-    bench.disk.confirm("r2")
-    assert bench.vote(m.Prepare(3, LOW)) == [("r1", m.Rejected(3, LOW, 0))]
-    bench.server.restore_closed(1)
-    assert bench.vote(m.Prepare(3, LOW)) == [("r1", m.Promise(3, LOW))]
+def test_vote_is_rejected_until_the_older_version_is_closed() -> None:
+    harness = VoterHarness(version=2)
+    harness.disk.confirm("r2")
+    assert harness.vote(m.Prepare(3, LOW)) == [("r1", m.Rejected(3, LOW, 0))]
+    harness.server.restore_closed(1)
+    assert harness.vote(m.Prepare(3, LOW)) == [("r1", m.Promise(3, LOW))]
 
 
-def test_a_value_that_would_form_another_fleet_is_ignored() -> None:
-    bench = Bench(version=0)
+def test_value_that_forms_another_fleet_is_ignored() -> None:
+    harness = VoterHarness(version=0)
     for name in ("r1", "r2"):
-        bench.disk.confirm(name)
+        harness.disk.confirm(name)
     other = m.Value(1, "form", "form", VALUE.policy, m.Fleet({}, {"r0": "", "r9": ""}), {})
-    assert bench.vote(m.Accept(1, LOW, other)) == []
+    assert harness.vote(m.Accept(1, LOW, other)) == []
     formed = value(1, "form", "form")
-    assert bench.vote(m.Accept(1, LOW, formed)) == [("r1", m.Accepted(1, LOW))]
+    assert harness.vote(m.Accept(1, LOW, formed)) == [("r1", m.Accepted(1, LOW))]
--- a/tests/consensus/test_disk_identity.py
+++ b/tests/consensus/test_disk_identity.py
@@ -1,4 +1,4 @@
-"""Every edge of the tables of disk identity: starts are counted, and stale copies of a disk are found."""
+"""Covers every row of the disk identity tables: starts are counted, and stale disk copies are detected."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from pebblepass.consensus.disk_identity import DiskIdentity
 from pebblepass.consensus.outbox import Outbox
 from pebblepass.consensus.records import DiskStart, PeerStartRecord, StartRecord
-from tests.consensus.parts import VOTERS, outbox, sender, sent
+from tests.consensus.helpers import VOTERS, outbox, sender, sent
 
 
 def identity(disk_id: str = "r0.disk") -> tuple[DiskIdentity, Outbox]:
@@ -18,27 +18,27 @@
 
 
 def written(box: Outbox) -> list[object]:
-    return [record for each in box.finish() if isinstance(each, Write) for record in each.records]
+    return [record for action in box.finish() if isinstance(action, Write) for record in action.records]
 
 
 def steps(box: Outbox) -> list[str]:
-    return [each.event for each in box.finish() if isinstance(each, ChangeStep)]
+    return [action.event for action in box.finish() if isinstance(action, ChangeStep)]
 
 
-def test_each_start_from_a_disk_is_counted_and_without_a_disk_none() -> None:
+def test_starts_are_counted_only_with_a_disk() -> None:
     disk, box = identity()
     disk.restore("r0.disk", 4)
     disk.start()
     assert written(box) == [StartRecord("r0.disk", 5)]
-    none, box = identity("")
-    none.start()
+    diskless, box = identity("")
+    diskless.start()
     assert written(box) == []
-    assert not none.can_vote(VOTERS)
+    assert not diskless.can_vote(VOTERS)
 
 
-def test_a_start_is_confirmed_by_a_quorum_of_the_voters() -> None:
+def test_start_is_confirmed_by_a_quorum_of_voters() -> None:
     disk, _ = identity()
-    disk.confirm("r9")  # no voter
+    disk.confirm("r9")  # not a voter
     assert not disk.is_confirmed(VOTERS, 2)
     disk.confirm("r1")
     disk.confirm("r1")
@@ -49,11 +49,11 @@
 @pytest.mark.parametrize(
     ("known", "votes"), [({"r0": "r0.disk"}, True), ({"r0": ""}, True), ({"r0": "other"}, False), ({}, False)]
 )
-def test_a_voter_votes_on_the_disk_with_which_it_became_one(known: dict[str, str], votes: bool) -> None:
+def test_voter_can_vote_only_with_its_known_disk(known: dict[str, str], votes: bool) -> None:
     assert identity()[0].can_vote(known) is votes
 
 
-def test_a_start_of_another_voter_is_written_once() -> None:
+def test_start_of_another_voter_is_written_once() -> None:
     disk, box = identity()
     disk.record_peer(sender(), 1)
     disk.record_peer(sender(), 1)
@@ -73,7 +73,7 @@
         sender(start_count=4, boot_id="next", durable_version=6),
     ],
 )
-def test_a_stale_copy_of_a_disk_is_reported_to_its_router(stale: m.Sender) -> None:
+def test_stale_disk_copy_is_reported_to_its_router(stale: m.Sender) -> None:
     disk, box = identity()
     disk.record_peer(sender(start_count=3, durable_version=7), 1)
     box.begin(1)
@@ -85,21 +85,21 @@
 
 
 @pytest.mark.parametrize(
-    "sound",
+    "valid",
     [
         sender(start_count=3, durable_version=7),
-        sender(start_count=3, durable_version=5),  # a late message of the same run
+        sender(start_count=3, durable_version=5),  # a delayed message of the same run
         sender(start_count=4, boot_id="next", durable_version=7),
         sender(start_count=1, boot_id="next", disk_id="another", durable_version=0),
     ],
 )
-def test_the_same_run_a_later_start_and_another_disk_are_not_stale(sound: m.Sender) -> None:
+def test_same_run_later_start_and_other_disk_are_not_stale(valid: m.Sender) -> None:
     disk, _ = identity()
     disk.record_peer(sender(start_count=3, durable_version=7), 1)
-    assert not disk.is_stale(sound)
+    assert not disk.is_stale(valid)
 
 
-def test_a_router_whose_disk_is_stale_goes_on_with_a_new_disk_id() -> None:
+def test_router_with_stale_disk_continues_with_new_disk_id() -> None:
     disk, box = identity()
     disk.reported_stale(m.StaleDisk("an earlier run", 3), 1)
     assert disk.disk_id == "r0.disk"
@@ -108,4 +108,4 @@
     assert written(box) == [StartRecord("r0.r0.boot.3", 1)]
     assert not disk.can_vote(VOTERS)
     box.send("r1", m.Heartbeat())
-    assert sent(box) == []  # not before the new id is synced
+    assert sent(box) == []  # the record of the new id is not synced
--- a/tests/consensus/test_dispatch.py
+++ b/tests/consensus/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Each kind of message reaches exactly one part of a replica."""
+"""Each kind of message is dispatched to exactly one component of a replica."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from pebblepass.consensus import messages as m
 from pebblepass.consensus.replica import Replica
-from tests.consensus.parts import sender, setup, value
+from tests.consensus.helpers import sender, setup, value
 
 BALLOT = m.Ballot(1, "r1.boot")
 BODIES: list[m.Body] = [
@@ -34,13 +34,13 @@
 ]
 
 
-def test_the_list_has_every_kind_of_message() -> None:
+def test_bodies_contain_every_kind_of_message() -> None:
     assert {type(body) for body in BODIES} == set(get_args(m.Body))
     assert len(BODIES) == len(get_args(m.Body))
 
 
 @pytest.mark.parametrize("body", BODIES, ids=m.tag_of)
-def test_a_message_reaches_one_part_and_a_heartbeat_none(body: m.Body) -> None:
+def test_message_is_dispatched_once_and_heartbeat_never(body: m.Body) -> None:
     replica = Replica(setup(), None, 0)
     replica.start(0)
     dispatches = (
--- a/tests/consensus/test_learner.py
+++ b/tests/consensus/test_learner.py
@@ -1,20 +1,20 @@
-"""Every edge of the learner's table, its bounded history, and what is announced to other routers."""
+"""Covers every row of the learner's state table, the bounded history, and announcements to other routers."""
 
 from __future__ import annotations
 
 from pebblepass.consensus import messages as m
 from pebblepass.consensus.learner import HISTORY_VERSIONS, Learner
 from pebblepass.consensus.outbox import Outbox
-from tests.consensus.parts import SECOND, outbox, sender, sent, setup, value
+from tests.consensus.helpers import SECOND, outbox, sender, sent, setup, value
 
 
-def made(problem: str = "") -> tuple[Learner, Outbox]:
-    box, given = outbox(), setup(problem)
-    return Learner("r0", given.genesis, given.check, box), box
+def create_learner(problem: str = "") -> tuple[Learner, Outbox]:
+    box, configuration = outbox(), setup(problem)
+    return Learner("r0", configuration.genesis, configuration.check, box), box
 
 
-def test_a_version_is_durable_once_its_record_is_synced_and_at_once_without_a_disk() -> None:
-    learner, box = made()
+def test_version_is_durable_after_sync_or_at_once_without_disk() -> None:
+    learner, box = create_learner()
     learner.learn(value(1), (), keeps_disk=True)
     learner.learn(value(2), (), keeps_disk=True)
     assert (learner.version, learner.durable_version) == (2, 0)
@@ -24,23 +24,23 @@
     box.synced(2)
     learner.written()
     assert learner.durable_version == 2
-    without, _ = made()
-    without.learn(value(1), (), keeps_disk=False)
-    assert without.durable_version == 1
+    diskless, _ = create_learner()
+    diskless.learn(value(1), (), keeps_disk=False)
+    assert diskless.durable_version == 1
 
 
-def test_the_history_and_the_known_changes_are_bounded() -> None:
-    learner, _ = made()
+def test_history_and_known_changes_are_bounded() -> None:
+    learner, _ = create_learner()
     for version in range(1, 100):
         learner.learn(value(version), (), keeps_disk=False)
     kept = list(range(100 - HISTORY_VERSIONS, 100))
-    assert [each.version for each in learner.history] == kept
+    assert [decided.version for decided in learner.history] == kept
     assert sorted(learner.decided_changes) == kept
     assert (learner.version_of("c99"), learner.version_of("c1")) == (99, 0)
 
 
-def test_changes_of_versions_that_were_missed_are_known_by_name() -> None:
-    learner, _ = made()
+def test_change_ids_of_missed_versions_are_known() -> None:
+    learner, _ = create_learner()
     learner.learn(value(3), (m.DecidedChange(1, "form"), m.DecidedChange(2, "c2")), keeps_disk=False)
     assert learner.announcement().decided_changes == (
         m.DecidedChange(1, "form"),
@@ -49,8 +49,8 @@
     )
 
 
-def test_a_router_that_is_behind_gets_the_version_and_one_that_is_ahead_a_heartbeat() -> None:
-    learner, box = made()
+def test_catch_up_sends_version_to_router_behind_else_heartbeat() -> None:
+    learner, box = create_learner()
     learner.learn(value(2), (), keeps_disk=False)
     learner.catch_up(sender(decided_version=1), SECOND)
     learner.catch_up(sender("r2", decided_version=3), SECOND)
@@ -58,8 +58,8 @@
     assert sent(box) == [("r1", learner.announcement()), ("r2", m.Heartbeat())]
 
 
-def test_the_same_is_announced_to_one_run_once_an_interval() -> None:
-    learner, box = made()
+def test_announcement_repeats_once_an_interval_per_run() -> None:
+    learner, box = create_learner()
     learner.learn(value(2), (), keeps_disk=False)
     counts = []
     for now in (0, SECOND - 1, SECOND):
@@ -71,8 +71,8 @@
     assert len(sent(box)) == 2
 
 
-def test_a_policy_that_cannot_be_used_is_a_problem_and_a_refused_check() -> None:
-    learner, _ = made("no such namespace")
+def test_unusable_policy_is_a_problem_and_fails_its_check() -> None:
+    learner, _ = create_learner("no such namespace")
     learner.learn(value(1), (), keeps_disk=False)
     learner.check_decided(setup().genesis)
     assert learner.problem == "no such namespace"
--- a/tests/consensus/test_membership.py
+++ b/tests/consensus/test_membership.py
@@ -1,4 +1,4 @@
-"""Every edge of the table of membership, by a whole replica: the fleet forms, and a voter rejoins."""
+"""Covers every row of the membership table with a complete replica: forming a fleet, and rejoining it."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from pebblepass.consensus.actions import Action, Send, Write
 from pebblepass.consensus.records import SnapshotRecord
 from pebblepass.consensus.replica import Replica
-from tests.consensus.parts import VOTERS, sender, setup, value
+from tests.consensus.helpers import VOTERS, sender, setup, value
 
 UNFORMED = {"decided_version": 0, "durable_version": 0, "leased_version": 0}
 
 
 def started(decided: m.Value, disk_id: str = "r0.disk") -> Replica:
-    """A replica whose start is synced."""
+    """Return a replica whose start is synced."""
     record = SnapshotRecord(disk_id, 1, decided, None, None, None, {}, (decided,), 0, ())
     replica = Replica(setup(), [record], 0)
     sync(replica, replica.start(0))
@@ -20,75 +20,77 @@
 
 
 def sync(replica: Replica, actions: list[Action]) -> list[Action]:
-    """All that the actions write is synced."""
-    tokens = [each.token for each in actions if isinstance(each, Write)]
+    """Sync the writes among the actions; return all actions."""
+    tokens = [action.token for action in actions if isinstance(action, Write)]
     return actions + (replica.written(tokens[-1], 0) if tokens else [])
 
 
-def hear(replica: Replica, state: m.Sender, body: m.Body) -> None:
-    """Let a message arrive."""
+def receive(replica: Replica, state: m.Sender, body: m.Body) -> None:
+    """Deliver a message."""
     sync(replica, replica.received(m.Message(state, body), 0))
 
 
-def under_way(replica: Replica) -> m.Value | None:
-    """The value that the replica proposes."""
+def proposed_value(replica: Replica) -> m.Value | None:
+    """Return the value that the replica proposes; None: it proposes nothing."""
     change = replica.proposer.change
     return None if change is None else change.value
 
 
-def test_the_first_voter_forms_the_fleet_once_all_are_alive_with_disks() -> None:
+def test_first_voter_forms_fleet_when_all_are_alive_with_disks() -> None:
     replica = started(setup().genesis)
-    hear(replica, sender("r1", **UNFORMED), m.Heartbeat())
+    receive(replica, sender("r1", **UNFORMED), m.Heartbeat())
     replica.tick(0)
-    assert under_way(replica) is None
-    hear(replica, sender("r2", **{**UNFORMED, "disk_id": ""}), m.Heartbeat())
+    assert proposed_value(replica) is None
+    receive(replica, sender("r2", **{**UNFORMED, "disk_id": ""}), m.Heartbeat())
     replica.tick(replica.lease_client.renew_at)
-    assert under_way(replica) is None
-    hear(replica, sender("r2", **UNFORMED), m.Heartbeat())
+    assert proposed_value(replica) is None
+    receive(replica, sender("r2", **UNFORMED), m.Heartbeat())
     replica.tick(replica.lease_client.renew_at)
-    formed = under_way(replica)
+    formed = proposed_value(replica)
     assert formed is not None
     assert (formed.kind, formed.fleet.voters, formed.version) == ("form", VOTERS, 1)
 
 
-def test_a_voter_with_another_disk_requests_to_rejoin_with_each_heartbeat() -> None:
+def test_voter_with_another_disk_requests_to_rejoin() -> None:
     replica = started(value(1), disk_id="another")
     actions = replica.tick(replica.lease_client.renew_at)
-    joins = [each.to for each in actions if isinstance(each, Send) and each.message.body == m.Rejoin()]
+    joins = [
+        action.to for action in actions if isinstance(action, Send) and action.message.body == m.Rejoin()
+    ]
     assert joins == ["r1", "r2"]
 
 
-def test_a_voter_on_its_disk_does_not_request_to_rejoin() -> None:
+def test_voter_with_known_disk_does_not_request_to_rejoin() -> None:
     replica = started(value(1))
     actions = replica.tick(replica.lease_client.renew_at)
-    assert not any(isinstance(each, Send) and each.message.body == m.Rejoin() for each in actions)
+    assert not any(isinstance(action, Send) and action.message.body == m.Rejoin() for action in actions)
 
 
-def test_the_new_disk_of_a_voter_is_proposed() -> None:
+def test_rejoin_request_proposes_the_new_disk() -> None:
     replica = started(value(1))
-    hear(replica, sender("r1", disk_id="fresh"), m.Rejoin())
-    proposed = under_way(replica)
+    receive(replica, sender("r1", disk_id="fresh"), m.Rejoin())
+    proposed = proposed_value(replica)
     assert proposed is not None
     assert proposed.fleet.voters == {**VOTERS, "r1": "fresh"}
     assert (proposed.kind, proposed.author) == ("members", "pebblepass")
     assert proposed.reason == "r1 has come back with another disk"
 
 
-def test_a_rejoin_is_not_proposed_for_a_known_disk_by_no_voter_or_beside_another_change() -> None:
+def test_rejoin_is_ignored_for_known_disk_non_voter_or_open_change() -> None:
     known = started(value(1))
-    hear(known, sender("r1"), m.Rejoin())
-    assert under_way(known) is None
+    receive(known, sender("r1"), m.Rejoin())
+    assert proposed_value(known) is None
     no_vote = started(value(1), disk_id="another")
-    hear(no_vote, sender("r1", disk_id="fresh"), m.Rejoin())
-    assert under_way(no_vote) is None
-    stranger = started(value(1))
-    hear(stranger, sender("r9", disk_id="fresh"), m.Rejoin())
-    assert under_way(stranger) is None
+    receive(no_vote, sender("r1", disk_id="fresh"), m.Rejoin())
+    assert proposed_value(no_vote) is None
+    outsider = started(value(1))
+    receive(outsider, sender("r9", disk_id="fresh"), m.Rejoin())
+    assert proposed_value(outsider) is None
     unformed = started(setup().genesis)
-    hear(unformed, sender("r1", **UNFORMED), m.Rejoin())
-    assert under_way(unformed) is None
-    busy = started(value(1))
-    hear(busy, sender("r1", disk_id="fresh"), m.Rejoin())
-    first = under_way(busy)
-    hear(busy, sender("r2", disk_id="fresh too"), m.Rejoin())
-    assert under_way(busy) is first
+    receive(unformed, sender("r1", **UNFORMED), m.Rejoin())
+    assert proposed_value(unformed) is None
+    proposing = started(value(1))
+    receive(proposing, sender("r1", disk_id="fresh"), m.Rejoin())
+    first = proposed_value(proposing)
+    receive(proposing, sender("r2", disk_id="fresh too"), m.Rejoin())
+    assert proposed_value(proposing) is first
--- a/tests/consensus/test_outbox.py
+++ b/tests/consensus/test_outbox.py
@@ -1,15 +1,15 @@
-"""What leaves a router, and when."""
+"""When the outbox sends messages: loopback, and messages that wait for a sync."""
 
 from __future__ import annotations
 
 from pebblepass.consensus import messages as m
 from pebblepass.consensus.records import PromiseRecord, StartRecord
-from tests.consensus.parts import outbox, sent
+from tests.consensus.helpers import outbox, sent
 
 BALLOT = m.Ballot(1, "r1.boot")
 
 
-def test_a_message_to_the_router_itself_is_looped_back_and_not_sent() -> None:
+def test_message_to_itself_is_looped_back_and_not_sent() -> None:
     box = outbox()
     box.send("r0", m.Heartbeat())
     box.send("r1", m.Heartbeat())
@@ -20,7 +20,7 @@
     assert box.next_loopback() is None
 
 
-def test_nothing_is_sent_to_others_before_the_start_is_synced() -> None:
+def test_nothing_is_sent_to_others_before_start_is_synced() -> None:
     box = outbox()
     box.write_start(StartRecord("r0.disk", 1))
     box.send("r1", m.Heartbeat())
@@ -28,14 +28,14 @@
     assert sent(box) == []
     assert box.next_loopback() is not None
     token = box.write(PromiseRecord(2, BALLOT))
-    assert box.synced(token)  # the start is among them
+    assert box.synced(token)  # the record of the start is among the synced ones
     assert not box.synced(token)
     box.begin(1)
     box.send("r1", m.Heartbeat())
     assert sent(box) == [("r1", m.Heartbeat())]
 
 
-def test_a_message_waits_for_its_record_and_not_for_a_later_one() -> None:
+def test_message_waits_only_for_its_own_record() -> None:
     box = outbox()
     box.send_after_write(PromiseRecord(2, BALLOT), "r1", m.Promise(2, BALLOT))
     later = m.Ballot(2, "r2.boot")
--- a/tests/consensus/test_policy.py
+++ b/tests/consensus/test_policy.py
@@ -1,4 +1,4 @@
-"""Policies: read whole or not at all, checked against the settings, and told apart."""
+"""Policies: parsing, checks against the settings, and the difference of two policies."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 )
 
 
-def told(text: str) -> Policy:
+def parse(text: str) -> Policy:
     return read_policy("p.toml", text.encode()).policy()
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected"),
     [
         ("[store]\nrate_per_s = -1", "p.toml: store.rate_per_s: expected `float` > 0.0"),
         ("[store]\nrate = 1", "p.toml: store: object contains unknown field `rate`"),
@@ -32,15 +32,15 @@
         ("[store", "p.toml: not TOML:"),
     ],
 )
-def test_a_file_that_cannot_be_used_is_one_line_that_names_the_place(text: str, said: str) -> None:
+def test_invalid_file_is_reported_in_one_line_with_the_key(text: str, expected: str) -> None:
     with pytest.raises(PolicyError) as error:
-        told(text)
-    assert str(error.value).startswith(said)
+        parse(text)
+    assert str(error.value).startswith(expected)
     assert "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected"),
     [
         ("[namespaces.publik]\nquota_per_s = 3", "namespaces.publik: no such namespace"),
         ("[namespaces.public]\nquota_per_s = 3", "namespaces.public.quota_per_s: 3 is under its floor, 15"),
@@ -50,21 +50,21 @@
         ("[namespaces.public]\nquota_per_s = 30\n[store]\nrate_per_s = 60", ""),
     ],
 )
-def test_a_policy_is_checked_against_what_the_router_knows(text: str, said: str) -> None:
-    assert PolicyChecker(SETTINGS).check(Policy(), told(text)) == said
+def test_policy_is_checked_against_settings(text: str, expected: str) -> None:
+    assert PolicyChecker(SETTINGS).check(Policy(), parse(text)) == expected
 
 
-def test_no_later_version_admits_less_than_the_floor_of_one_before() -> None:
-    """What lets a router that is cut off hold the floor it knows: it is never looser than the rest."""
-    checker, before = PolicyChecker(SETTINGS), told("floor_share = 0.5")
+def test_quota_below_the_floor_of_earlier_version_is_rejected() -> None:
+    """A partitioned router keeps the floors of its version, so no later version may admit less than these."""
+    checker, before = PolicyChecker(SETTINGS), parse("floor_share = 0.5")
     assert checker.check(Policy(), before) == ""
     for quota in (14, 29, 30, 60):
-        after = told(f"floor_share = 0.5\n[namespaces.public]\nquota_per_s = {quota}")
+        after = parse(f"floor_share = 0.5\n[namespaces.public]\nquota_per_s = {quota}")
         assert (checker.check(before, after) == "") == (quota >= 30)
 
 
-def test_the_difference_names_each_key() -> None:
-    after = told('held_out = ["n3"]\n[namespaces.public]\nquota_per_s = 30')
+def test_difference_names_each_changed_key() -> None:
+    after = parse('held_out = ["n3"]\n[namespaces.public]\nquota_per_s = 30')
     assert difference(Policy(), after) == [
         "namespaces.public.quota_per_s: as before -> 30.0",
         "held_out: as before -> n3",
--- a/tests/consensus/test_quota_leases.py
+++ b/tests/consensus/test_quota_leases.py
@@ -1,4 +1,4 @@
-"""The rules of shares: what a voter has out never exceeds its part, whatever becomes of the messages."""
+"""Quota leases: a voter never grants more than its part, whatever happens to messages and processes."""
 
 from __future__ import annotations
 
@@ -27,79 +27,85 @@
 Message = TypeVar("Message")
 rates = st.floats(0, 1e4, allow_nan=False)
 step = st.one_of(
-    st.tuples(st.just("ask"), st.integers(0, ROUTERS - 1), st.tuples(rates, rates)),
-    st.tuples(st.just("answer"), st.integers(0, 7), st.booleans()),
-    st.tuples(st.just("question"), st.integers(0, 7), st.booleans()),
-    st.tuples(st.just("pass"), st.integers(1, 700), st.none()),
+    st.tuples(st.just("send request"), st.integers(0, ROUTERS - 1), st.tuples(rates, rates)),
+    st.tuples(st.just("deliver grant"), st.integers(0, 7), st.booleans()),
+    st.tuples(st.just("deliver request"), st.integers(0, 7), st.booleans()),
+    st.tuples(st.just("advance clock"), st.integers(1, 700), st.none()),
     st.tuples(st.just("restart router"), st.integers(0, ROUTERS - 1), st.none()),
     st.tuples(st.just("restart voter"), st.none(), st.none()),
-    st.tuples(st.just("look"), st.none(), st.none()),
+    st.tuples(st.just("check only"), st.none(), st.none()),
 )
 
 
-def taken(queue: list[Message], at: int, again: bool) -> Message:
-    """One of the last few; `again`: it comes once more later. The oldest are lost."""
+def pick(queue: list[Message], index: int, duplicate: bool) -> Message:
+    """Return one of the last eight messages; older ones are lost. A duplicate stays in the queue."""
     del queue[:-8]
-    at = len(queue) - 1 - at % len(queue)
-    return queue[at] if again else queue.pop(at)
+    index = len(queue) - 1 - index % len(queue)
+    return queue[index] if duplicate else queue.pop(index)
 
 
 class Fleet:
-    """One voter and routers whose clocks run fast and slow; every message may be late, lost or doubled."""
+    """A voter, and routers with fast and slow clocks. Messages may be delayed, lost or duplicated."""
 
-    def __init__(self, rates: list[float]) -> None:
-        self.now, self.rates = 100 * SECOND, rates
+    def __init__(self, clock_rates: list[float]) -> None:
+        self.now, self.clock_rates = 100 * SECOND, clock_rates
         self.voter = QuotaAllocator(TERMS, self.now, restarted=False)
         self.voter.begin(1, POOLS, 3)
-        self.last_seq: dict[ProcessId, int] = {}
-        self.boots = [0] * ROUTERS
-        self.seqs = [0] * ROUTERS
+        self.last_sequence: dict[ProcessId, int] = {}
+        self.runs = [0] * ROUTERS
+        self.sequences = [0] * ROUTERS
         self.holders = [QuotaLeaseHolder(TERMS) for _ in range(ROUTERS)]
-        self.asked: dict[tuple[int, int, int], int] = {}
-        self.questions: list[tuple[int, int, int, int, m.Rates]] = []
-        self.answers: list[tuple[int, int, int, m.Rates]] = []
+        self.requested_at: dict[tuple[int, int, int], int] = {}
+        self.requests: list[tuple[int, int, int, int, m.Rates]] = []
+        self.grants: list[tuple[int, int, int, m.Rates]] = []
 
     def clock(self, router: int) -> int:
-        return int(self.now * self.rates[router])
-
-    def do(self, what: str, at: int | None, more: object) -> None:
-        if what == "ask":
-            assert at is not None
-            assert isinstance(more, tuple)
-            self.seqs[at] += 1
-            self.asked[at, self.boots[at], self.seqs[at]] = self.clock(at)
-            rows = tuple(zip(POOLS, more, strict=True))
-            self.questions.append(
-                (at, self.boots[at], self.seqs[at], self.holders[at].applied_sequence("v"), rows)
+        return int(self.now * self.clock_rates[router])
+
+    def perform(self, action: str, index: int | None, argument: object) -> None:
+        if action == "send request":
+            assert index is not None
+            assert isinstance(argument, tuple)
+            self.sequences[index] += 1
+            self.requested_at[index, self.runs[index], self.sequences[index]] = self.clock(index)
+            demand = tuple(zip(POOLS, argument, strict=True))
+            self.requests.append(
+                (
+                    index,
+                    self.runs[index],
+                    self.sequences[index],
+                    self.holders[index].applied_sequence("v"),
+                    demand,
+                )
             )
-        elif what == "question" and self.questions:
-            assert at is not None
-            router, boot, seq, applied, rows = taken(self.questions, at, bool(more))
-            who = ProcessId(str(router), str(boot))
-            if seq > self.last_seq.get(who, 0):  # as Granter.asked has it
-                self.last_seq[who] = seq
-                self.voter.request(who, 1, applied, rows, self.now)
-                self.answers.append((router, boot, seq, self.voter.grant(who, seq, self.now)))
-        elif what == "answer" and self.answers:
-            assert at is not None
-            router, boot, seq, rows = taken(self.answers, at, bool(more))
-            if boot == self.boots[router]:
+        elif action == "deliver request" and self.requests:
+            assert index is not None
+            router, run, sequence, applied, demand = pick(self.requests, index, bool(argument))
+            process = ProcessId(str(router), str(run))
+            if sequence > self.last_sequence.get(process, 0):  # as in LeaseGranter.request
+                self.last_sequence[process] = sequence
+                self.voter.request(process, 1, applied, demand, self.now)
+                self.grants.append((router, run, sequence, self.voter.grant(process, sequence, self.now)))
+        elif action == "deliver grant" and self.grants:
+            assert index is not None
+            router, run, sequence, granted = pick(self.grants, index, bool(argument))
+            if run == self.runs[router]:
                 holder = self.holders[router]
-                if holder.granted("v", seq, self.asked[router, boot, seq], rows):
-                    self.voter.applied(ProcessId(str(router), str(boot)), 1, seq, self.now)
-        elif what == "pass":
-            assert at is not None
-            self.now += at * SECOND // 1000
-        elif what == "restart router":
-            assert at is not None
-            self.boots[at] += 1
-            self.holders[at] = QuotaLeaseHolder(TERMS)
-        elif what == "restart voter":
+                if holder.granted("v", sequence, self.requested_at[router, run, sequence], granted):
+                    self.voter.applied(ProcessId(str(router), str(run)), 1, sequence, self.now)
+        elif action == "advance clock":
+            assert index is not None
+            self.now += index * SECOND // 1000
+        elif action == "restart router":
+            assert index is not None
+            self.runs[index] += 1
+            self.holders[index] = QuotaLeaseHolder(TERMS)
+        elif action == "restart voter":
             self.voter = QuotaAllocator(TERMS, self.now, restarted=True)
             self.voter.begin(1, POOLS, 3)
-            self.last_seq.clear()
+            self.last_sequence.clear()
 
-    def held(self) -> dict[str, float]:
+    def leased(self) -> dict[str, float]:
         total = dict.fromkeys(POOLS, 0.0)
         for router, holder in enumerate(self.holders):
             quota = holder.total(self.clock(router))
@@ -111,55 +117,61 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(step, max_size=150), st.lists(st.floats(0.95, 1.05), min_size=ROUTERS, max_size=ROUTERS))
-def test_what_routers_hold_of_a_voter_never_exceeds_its_part(
+def test_leases_of_a_voter_never_exceed_its_part(
     steps: list[tuple[str, int | None, object]], rates: list[float]
 ) -> None:
     fleet = Fleet(rates)
-    for each in steps:
-        fleet.do(*each)
-        for name, amount in fleet.held().items():
+    for step in steps:
+        fleet.perform(*step)
+        for name, amount in fleet.leased().items():
             assert amount <= PART[name] * (1 + 1e-9)
             assert fleet.voter.outstanding(name) <= PART[name] * (1 + 1e-9)
 
 
-def drawn(seed: int) -> Fleet:
-    """Long random runs, which come to more states than the short ones of the search."""
+def run_randomly(seed: int) -> Fleet:
+    """Play a long random run, which reaches more states than the short ones of hypothesis."""
     rng = random.Random(seed)
     fleet = Fleet([rng.uniform(0.95, 1.05) for _ in range(ROUTERS)])
-    kinds = ["ask"] * 6 + ["question"] * 6 + ["answer"] * 6 + ["pass"] * 3 + ["restart router"]
+    actions = (
+        ["send request"] * 6
+        + ["deliver request"] * 6
+        + ["deliver grant"] * 6
+        + ["advance clock"] * 3
+        + ["restart router"]
+    )
     for _ in range(2000):
-        what = "restart voter" if rng.random() < 0.004 else rng.choice(kinds)
-        more: object = rng.random() < 0.2
-        at = rng.randrange(8)
-        if what == "ask":
-            more = (rng.choice((0.0, 2.0, 40.0, 400.0)), rng.choice((0.0, 1.0, 9.0)))
-        if what in ("ask", "restart router"):
-            at %= ROUTERS
-        fleet.do(what, rng.randrange(1, 300) if what == "pass" else at, more)
-        for name, amount in fleet.held().items():
+        action = "restart voter" if rng.random() < 0.004 else rng.choice(actions)
+        argument: object = rng.random() < 0.2
+        index = rng.randrange(8)
+        if action == "send request":
+            argument = (rng.choice((0.0, 2.0, 40.0, 400.0)), rng.choice((0.0, 1.0, 9.0)))
+        if action in ("send request", "restart router"):
+            index %= ROUTERS
+        fleet.perform(action, rng.randrange(1, 300) if action == "advance clock" else index, argument)
+        for name, amount in fleet.leased().items():
             assert amount <= PART[name] * (1 + 1e-9), (seed, name)
     return fleet
 
 
-def long_runs() -> None:
+def run_20_seeds() -> None:
     for seed in range(20):
-        drawn(seed)
+        run_randomly(seed)
 
 
-def test_long_runs_never_exceed_it_either() -> None:
-    long_runs()
+def test_leases_never_exceed_the_part_in_long_runs() -> None:
+    run_20_seeds()
 
 
 @pytest.mark.parametrize("fault", ["last grant", "restart", "old grant"])
-def test_long_runs_catch_rules_that_are_broken(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_long_runs_detect_broken_rules(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if fault == "last grant":
 
-        def count(self: QuotaAllocator, client: object) -> None:
+        def count_last_grant(self: QuotaAllocator, client: object) -> None:
             del client.grants[:-1]  # type: ignore[attr-defined]
-            sound(self, client)  # type: ignore[arg-type]
+            recount(self, client)  # type: ignore[arg-type]
 
-        sound = QuotaAllocator._recount
-        monkeypatch.setattr(QuotaAllocator, "_recount", count)
+        recount = QuotaAllocator._recount
+        monkeypatch.setattr(QuotaAllocator, "_recount", count_last_grant)
     elif fault == "restart":
         init = QuotaAllocator.__init__
         monkeypatch.setattr(
@@ -168,18 +180,20 @@
     else:
         granted = QuotaLeaseHolder.granted
 
-        def any_order(self: QuotaLeaseHolder, voter: str, seq: int, at: int, share: m.Rates) -> bool:
+        def accept_any_order(
+            self: QuotaLeaseHolder, voter: str, sequence: int, requested_at: int, rates: m.Rates
+        ) -> bool:
             leases, self._leases = self._leases, {}
-            told = granted(self, voter, seq, at, share)
+            is_reduced = granted(self, voter, sequence, requested_at, rates)
             self._leases = {**leases, **self._leases}
-            return told
+            return is_reduced
 
-        monkeypatch.setattr(QuotaLeaseHolder, "granted", any_order)
+        monkeypatch.setattr(QuotaLeaseHolder, "granted", accept_any_order)
     with pytest.raises(AssertionError):
-        long_runs()
+        run_20_seeds()
 
 
-def test_a_restarted_voter_grants_nothing_until_all_that_it_may_have_granted_is_over() -> None:
+def test_restarted_voter_grants_nothing_until_old_leases_expire() -> None:
     voter = QuotaAllocator(TERMS, 0, restarted=True)
     voter.begin(1, POOLS, 1)
     voter.request(ProcessId("r1", "b"), 1, 0, (("acme", 50.0),), 0)
@@ -188,7 +202,7 @@
     assert dict(voter.grant(ProcessId("r1", "b"), 2, TERMS.granter_duration))["acme"] > 40
 
 
-def test_a_share_moves_once_its_holder_says_that_it_has_applied_less() -> None:
+def test_reduced_lease_is_regranted_once_its_holder_applied_it() -> None:
     voter, now = QuotaAllocator(TERMS, 0, restarted=False), SECOND
     voter.begin(1, POOLS, 1)
     one, other = ProcessId("r1", "b"), ProcessId("r2", "b")
@@ -199,13 +213,13 @@
     assert dict(voter.grant(other, 1, now + SECOND // 10))["acme"] == pytest.approx(75 - first)
     voter.request(one, 1, 1, (("acme", 0.0),), now + SECOND // 5)
     assert dict(voter.grant(one, 2, now + SECOND // 5))["acme"] == pytest.approx(0, abs=0.01)
-    assert voter.outstanding("acme") == pytest.approx(75)  # the answer may be lost
+    assert voter.outstanding("acme") == pytest.approx(75)  # the grant may be lost
     voter.applied(one, 1, 2, now + SECOND // 5)
     voter.request(other, 1, 1, (("acme", 400.0),), now + SECOND // 4)
     assert dict(voter.grant(other, 2, now + SECOND // 4))["acme"] == pytest.approx(first)
 
 
-def test_another_version_lets_go_of_all_shares() -> None:
+def test_another_version_releases_all_quota_leases() -> None:
     voter, holder = QuotaAllocator(TERMS, 0, restarted=False), QuotaLeaseHolder(TERMS)
     voter.begin(1, POOLS, 1)
     voter.request(ProcessId("r1", "b"), 1, 0, (("acme", 50.0),), 0)
@@ -218,63 +232,65 @@
 
 
 @given(st.lists(rates, max_size=30), st.floats(0.1, 1e5), st.floats(0, 100))
-def test_a_split_gives_out_what_there_is_and_no_more(wanted: list[float], whole: float, floor: float) -> None:
-    split = allocate(dict(enumerate(wanted)), whole, floor)
-    assert math.fsum(split.values()) <= whole * (1 + 1e-6)
-    needs = [max(each - floor, 0.0) for each in wanted]
-    if math.fsum(needs) <= whole:
-        assert all(split[at] >= need - 1e-6 * max(need, 1) for at, need in enumerate(needs))
-    else:  # max-min: whoever lacks something has at least as much as anybody
-        assert math.fsum(split.values()) == pytest.approx(whole)
-        most = max(split.values())
-        assert all(split[at] >= min(need, most) - 1e-6 * most for at, need in enumerate(needs))
-
-
-def test_a_demand_that_moves_is_seen_within_seconds_and_one_that_does_not_is_smooth() -> None:
-    demand, rng, count = DemandEstimator(), random.Random(3), 0
-    seen = []
-    for at in range(0, 120, 2):
-        rate = 20.0 if at < 60 else 200.0
+def test_split_allocates_the_total_and_is_max_min_fair(
+    demands: list[float], total: float, floor: float
+) -> None:
+    split = allocate(dict(enumerate(demands)), total, floor)
+    assert math.fsum(split.values()) <= total * (1 + 1e-6)
+    needs = [max(demand - floor, 0.0) for demand in demands]
+    if math.fsum(needs) <= total:
+        assert all(split[key] >= need - 1e-6 * max(need, 1) for key, need in enumerate(needs))
+    else:  # max-min fair: a router that gets less than its need has the largest share
+        assert math.fsum(split.values()) == pytest.approx(total)
+        largest = max(split.values())
+        assert all(split[key] >= min(need, largest) - 1e-6 * largest for key, need in enumerate(needs))
+
+
+def test_demand_estimate_follows_a_step_and_smooths_noise() -> None:
+    estimator, rng, count = DemandEstimator(), random.Random(3), 0
+    estimates = []
+    for second in range(0, 120, 2):
+        rate = 20.0 if second < 60 else 200.0
         count += round(rng.gauss(2 * rate, math.sqrt(2 * rate)))
-        rows = dict(demand.update({"acme": count}, at * SECOND))
-        seen.append(rows.get("acme", 0.0))
-    assert all(14 < each < 28 for each in seen[5:30])
-    assert all(150 < each < 260 for each in seen[33:])
+        rates = dict(estimator.update({"acme": count}, second * SECOND))
+        estimates.append(rates.get("acme", 0.0))
+    assert all(14 < estimate < 28 for estimate in estimates[5:30])
+    assert all(150 < estimate < 260 for estimate in estimates[33:])
 
 
-def test_floors_are_set_aside_for_every_member_and_bad_policies_are_refused_in_one_line() -> None:
-    made = Settings((RequestClass("get", 1, 2),), (Tenant("acme", 1.0, 40.0), Tenant("free", 0.0)), routers=4)
-    checker = PolicyChecker(made)
+def test_floors_are_reserved_and_invalid_policies_rejected() -> None:
+    platform_settings = Settings(
+        (RequestClass("get", 1, 2),), (Tenant("acme", 1.0, 40.0), Tenant("free", 0.0)), routers=4
+    )
+    checker = PolicyChecker(platform_settings)
     assert checker.pools(Policy(), 4) == {}
-    shares = Policy(StorePolicy(uses_leases=True))
-    assert checker.pools(shares, 4) == {"acme": QuotaPool(30.0, 2.5)}
-    assert checker.pools(shares, 6) == {
-        "acme": QuotaPool(25.0, 2.5)
-    }  # more members than the settings know of
-    assert checker.pools(shares, 2) == {"acme": QuotaPool(30.0, 2.5)}
-    tight = Policy(
+    leased = Policy(StorePolicy(uses_leases=True))
+    assert checker.pools(leased, 4) == {"acme": QuotaPool(30.0, 2.5)}
+    assert checker.pools(leased, 6) == {"acme": QuotaPool(25.0, 2.5)}  # more members than the settings have
+    assert checker.pools(leased, 2) == {"acme": QuotaPool(30.0, 2.5)}
+    limited = Policy(
         StorePolicy(rate_per_s=20.0, uses_leases=True), {"acme": NamespacePolicy(quota_per_s=16.0)}
     )
-    assert checker.pools(tight, 4) == {"acme": QuotaPool(6.0, 2.5)}
-    assert checker.check(Policy(), shares) == ""
-    wrong = Policy(StorePolicy(uses_leases=True), floor_fraction=1.0)
-    assert checker.check(Policy(), wrong) == "store.shares: no namespace has a quota beyond its floors"
+    assert checker.pools(limited, 4) == {"acme": QuotaPool(6.0, 2.5)}
+    assert checker.check(Policy(), leased) == ""
+    without_rest = Policy(StorePolicy(uses_leases=True), floor_fraction=1.0)
+    assert checker.check(Policy(), without_rest) == "store.shares: no namespace has a quota beyond its floors"
     with pytest.raises(ValueError, match=r"^f: store.shares: expected `bool`, got `int`$"):
         read_policy("f", b"[store]\nshares = 1\n")
 
 
 @pytest.mark.parametrize("rate", [math.nan, math.inf, -1.0])
-def test_a_message_with_a_rate_that_is_none_can_not_be_read(rate: float) -> None:
+def test_message_with_an_invalid_rate_is_rejected(rate: float) -> None:
     sender = m.Sender("r1", "b", "", 0, 1, 1, 0, 0, 1, True)
     for body in (m.LeaseRequest(1, 1, 0, (("acme", rate),)), m.LeaseGrant(1, 1, "b", (("acme", rate),))):
         with pytest.raises(ValueError, match=r"^[^\n]+$"):
             m.read_message(m.encode(m.Message(sender, body)))
 
 
-def test_without_shares_messages_are_what_they_were() -> None:
+def test_messages_without_quota_leases_omit_their_fields() -> None:
     sender = m.Sender("r1", "b", "", 0, 1, 1, 0, 0, 1, True)
     assert b"demand" not in m.encode(m.Message(sender, m.LeaseRequest(1, 1)))
     assert b"shares" not in m.encode(m.Message(sender, m.LeaseGrant(1, 1, "b")))
     assert b"shares" not in m.encode(Policy())
-    read = m.read_message(m.encode(m.Message(sender, m.LeaseRequest(3, 2, 2, (("acme", 0.5),)))))
-    assert read.body == m.LeaseRequest(3, 2, 2, (("acme", 0.5),))
+    decoded = m.read_message(m.encode(m.Message(sender, m.LeaseRequest(3, 2, 2, (("acme", 0.5),)))))
+    assert decoded.body == m.LeaseRequest(3, 2, 2, (("acme", 0.5),))
--- a/tests/consensus/test_recovery.py
+++ b/tests/consensus/test_recovery.py
@@ -1,4 +1,4 @@
-"""What each record restores, and that a snapshot stands for all of them."""
+"""Recovery: the state that each record restores, and snapshots that replace records."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     read_record,
 )
 from pebblepass.consensus.replica import Replica
-from tests.consensus.parts import setup, value
+from tests.consensus.helpers import setup, value
 
 LOW, HIGH = m.Ballot(1, "r1.boot"), m.Ballot(2, "r2.boot")
 LOG: list[Record] = [
@@ -30,12 +30,12 @@
 ]
 
 
-def recovered(records: list[Record]) -> Replica:
+def recover(records: list[Record]) -> Replica:
     return Replica(setup(), records, 0)
 
 
-def test_each_record_restores_its_part() -> None:
-    replica = recovered(LOG)
+def test_records_restore_their_state() -> None:
+    replica = recover(LOG)
     assert (replica.disk.disk_id, replica.disk.start_count) == ("r0.disk", 3)
     assert replica.disk.peer_starts == {"r1": DiskStart("r1.disk", 5, "r1.boot")}
     assert (replica.decided, replica.learner.durable_version) == (value(1), 1)
@@ -45,16 +45,16 @@
     assert replica.lease_server.closed_version == 1
 
 
-def test_a_decision_drops_the_promises_for_its_version() -> None:
-    replica = recovered([*LOG, DecisionRecord(value(2))])
+def test_decision_clears_promises_for_its_version() -> None:
+    replica = recover([*LOG, DecisionRecord(value(2))])
     assert (replica.acceptor.promised, replica.acceptor.value) == (m.NO_BALLOT, None)
     assert replica.learner.decided_changes == {1: "c1", 2: "c2"}
 
 
 @pytest.mark.parametrize("count", range(1, len(LOG) + 1))
-def test_a_snapshot_restores_what_the_records_before_it_do(count: int) -> None:
-    snapshot = recovered(LOG[:count]).snapshot()
-    again = recovered([read_record(m.encode(snapshot))])
+def test_snapshot_restores_the_same_state_as_its_records(count: int) -> None:
+    snapshot = recover(LOG[:count]).snapshot()
+    again = recover([read_record(m.encode(snapshot))])
     assert again.snapshot() == snapshot
-    both = recovered([snapshot, *LOG[count:]])
-    assert both.snapshot() == recovered(LOG).snapshot()
+    both = recover([snapshot, *LOG[count:]])
+    assert both.snapshot() == recover(LOG).snapshot()
--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -1,4 +1,4 @@
-"""The rules of one voter: what is promised when, and a log that stays bounded."""
+"""One replica: when it sends promises, when leases expire, and how large its log grows."""
 
 from __future__ import annotations
 
@@ -32,42 +32,48 @@
     return replica, replica.start(now)
 
 
-def test_a_router_that_starts_is_at_the_floor_until_it_has_a_lease() -> None:
-    kept: list[Record] = [SnapshotRecord("r0.disk", 1, DECIDED, None, None, None, {}, (), 0, ())]
-    for records in (None, kept):
+def test_starting_router_is_at_the_floor_without_a_lease() -> None:
+    snapshot: list[Record] = [SnapshotRecord("r0.disk", 1, DECIDED, None, None, None, {}, (), 0, ())]
+    for records in (None, snapshot):
         replica = Replica(setup("r0", "r1", "r2"), records, 0)
-        told = [each for each in replica.start(0) if isinstance(each, PolicyActivated)]
-        assert [(each.value, each.until) for each in told] == [(replica.decided, 0)]
+        activated = [action for action in replica.start(0) if isinstance(action, PolicyActivated)]
+        assert [(action.value, action.until) for action in activated] == [(replica.decided, 0)]
 
 
-def test_nothing_is_promised_before_it_lasts() -> None:
-    made = setup("r0", "r1", "r2")
+def test_promise_is_sent_only_after_its_record_is_synced() -> None:
+    replica_setup = setup("r0", "r1", "r2")
     fleet = m.Fleet(dict.fromkeys(("r0", "r1", "r2"), "x:1"), {n: f"{n}.disk" for n in ("r0", "r1", "r2")})
     decided = m.Value(1, "form", "form", Policy(), fleet, {})
-    replica = Replica(made, [SnapshotRecord("r0.disk", 1, decided, None, None, None, {}, (), 0, ())], 0)
-    writes = [each for each in replica.start(0) if isinstance(each, Write)]
+    replica = Replica(
+        replica_setup, [SnapshotRecord("r0.disk", 1, decided, None, None, None, {}, (), 0, ())], 0
+    )
+    writes = [action for action in replica.start(0) if isinstance(action, Write)]
     sender = m.Sender("r1", "b", "r1.disk", 1, 1, 1, 0, 0, 1, True)
     early = replica.received(m.Message(sender, m.Prepare(2, m.Ballot(1, "r1.b"))), 1)
-    assert replica.acceptor.promised == m.Ballot(0, "")  # nobody knows this start yet
-    writes += [each for each in early if isinstance(each, Write)]
+    assert replica.acceptor.promised == m.Ballot(0, "")  # the start is not confirmed yet
+    writes += [action for action in early if isinstance(action, Write)]
     replica.written(writes[-1].token, 2)
     replica.received(m.Message(sender, m.StartConfirmed("boot")), 3)
     actions = replica.received(m.Message(sender, m.Prepare(2, m.Ballot(1, "r1.b"))), 4)
-    assert not any(isinstance(each, Send) and isinstance(each.message.body, m.Promise) for each in actions)
+    assert not any(
+        isinstance(action, Send) and isinstance(action.message.body, m.Promise) for action in actions
+    )
     write = next(
-        each for each in actions if isinstance(each, Write) and isinstance(each.records[0], PromiseRecord)
+        action
+        for action in actions
+        if isinstance(action, Write) and isinstance(action.records[0], PromiseRecord)
     )
     actions = replica.written(write.token, 5)
-    assert any(isinstance(each, Send) and isinstance(each.message.body, m.Promise) for each in actions)
-    # A lower round is rejected, at once and whatever the disk does.
-    told = replica.received(m.Message(sender, m.Prepare(2, m.Ballot(0, "r2.b"))), 6)
+    assert any(isinstance(action, Send) and isinstance(action.message.body, m.Promise) for action in actions)
+    # A rejection of a lower ballot needs no sync.
+    actions = replica.received(m.Message(sender, m.Prepare(2, m.Ballot(0, "r2.b"))), 6)
     rejected = [
-        e.message.body for e in told if isinstance(e, Send) and isinstance(e.message.body, m.Rejected)
+        e.message.body for e in actions if isinstance(e, Send) and isinstance(e.message.body, m.Rejected)
     ]
-    assert [each.promised_number for each in rejected] == [1]
+    assert [body.promised_number for body in rejected] == [1]
 
 
-def test_a_lease_ends_at_its_holder_before_it_does_at_its_voter_whatever_their_clocks_do() -> None:
+def test_lease_expires_at_holder_before_voter_despite_clock_drift() -> None:
     for fast in (0.95, 1.0, 1.05):
         holder, granter = LeaseHolder(TERMS), LeaseGranter(TERMS, 0, restarted=False)
         holder.begin(1)
@@ -80,7 +86,7 @@
         assert granter.is_released(1, int(101.2 * SECOND))
 
 
-def test_an_old_question_takes_nothing_back_and_a_newer_version_lets_go() -> None:
+def test_old_request_is_ignored_and_newer_version_releases_lease() -> None:
     granter = LeaseGranter(TERMS, 0, restarted=False)
     assert granter.request(ProcessId("r1", "b"), 5, 1, 0)
     granter.grant(1, 0)
@@ -90,61 +96,61 @@
     assert granter.is_released(1, 1)
     assert not LeaseGranter(TERMS, 0, restarted=True).is_released(
         1, SECOND
-    )  # what its last run granted may hold
+    )  # leases of the earlier run may be valid
 
 
-def test_ten_thousand_changes_leave_a_bounded_log_that_is_read_in_no_time() -> None:
+def test_log_stays_bounded_over_ten_thousand_changes() -> None:
     disk = PowerDisk()
     log = Log(disk, "log", HEAD)
     replica, actions = voter()
     log.write_snapshot([m.encode(replica.snapshot())])
     now, decided, longest = 0, 0, 0
 
-    def carry(actions: list[Action]) -> None:
+    def perform(actions: list[Action]) -> None:
         nonlocal decided
-        waiting = list(actions)
-        while waiting:
-            writes = [each for each in waiting if isinstance(each, Write)]
+        pending = list(actions)
+        while pending:
+            writes = [action for action in pending if isinstance(action, Write)]
             decided += sum(
-                isinstance(e, ProposalConcluded) and e.verdict.state == "in force" for e in waiting
+                isinstance(e, ProposalConcluded) and e.verdict.state == "in force" for e in pending
             )
             if not writes:
                 return
             if log.needs_snapshot:
                 log.write_snapshot([m.encode(replica.snapshot())])
             else:
-                log.append([m.encode(record) for each in writes for record in each.records])
-            waiting = replica.written(writes[-1].token, now)
+                log.append([m.encode(record) for action in writes for record in action.records])
+            pending = replica.written(writes[-1].token, now)
 
-    carry(actions)
-    carry(replica.tick(SECOND))
+    perform(actions)
+    perform(replica.tick(SECOND))
     for number in range(10_000):
         now = 2 * SECOND + number * 1000
-        why = f"change {number}"
-        wanted = Policy(StorePolicy(rate_per_s=1.0 + number))
-        carry(replica.propose(m.Proposal(f"c{number}", "ana", why, wanted), now))
+        reason = f"change {number}"
+        policy = Policy(StorePolicy(rate_per_s=1.0 + number))
+        perform(replica.propose(m.Proposal(f"c{number}", "ana", reason, policy), now))
         longest = max(longest, len(disk.read("log") or b""))
     assert decided >= 10_000
     assert replica.decided.version == 10_001
     assert longest < 3 * COMPACTION_BYTES
-    records = [read_record(each) for each in Log(disk, "log", HEAD).open() or []]
+    records = [read_record(data) for data in Log(disk, "log", HEAD).open() or []]
     assert len(records) < 2000
-    again = Replica(setup("r0"), records, now)
-    assert again.decided == replica.decided
-    assert len(again.learner.history) <= 32
+    restarted = Replica(setup("r0"), records, now)
+    assert restarted.decided == replica.decided
+    assert len(restarted.learner.history) <= 32
 
 
-def test_a_full_disk_leaves_a_voter_that_says_nothing_and_holds_its_lease_until_its_end() -> None:
+def test_voter_with_full_disk_sends_nothing_and_keeps_its_lease() -> None:
     replica, actions = voter()
-    for each in actions:
-        if isinstance(each, Write):
-            actions = replica.written(each.token, 0)
+    for action in actions:
+        if isinstance(action, Write):
+            actions = replica.written(action.token, 0)
     actions = replica.tick(SECOND)
-    while writes := [each for each in actions if isinstance(each, Write)]:
+    while writes := [action for action in actions if isinstance(action, Write)]:
         actions = replica.written(writes[-1].token, SECOND)
     assert replica.decided.version == 1
-    # From here on no write returns: nothing is concluded, and nothing that was promised is taken back.
-    stuck = replica.propose(m.Proposal("c", "ana", "", Policy(StorePolicy(rate_per_s=9.0))), SECOND)
-    assert not any(isinstance(each, ProposalConcluded | PolicyActivated) for each in stuck)
+    # From here on no write is reported as synced, so that the proposal can't be concluded.
+    actions = replica.propose(m.Proposal("c", "ana", "", Policy(StorePolicy(rate_per_s=9.0))), SECOND)
+    assert not any(isinstance(action, ProposalConcluded | PolicyActivated) for action in actions)
     assert replica.may_admit(SECOND + SECOND // 2)
     assert not replica.may_admit(2 * SECOND)
--- a/tests/consensus/test_verdicts.py
+++ b/tests/consensus/test_verdicts.py
@@ -1,4 +1,4 @@
-"""Every edge of the table of verdicts: who gets the outcome of a proposal, and when."""
+"""Covers every row of the table of verdicts: which router gets the outcome of a proposal, and when."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 from pebblepass.consensus.actions import ProposalConcluded
 from pebblepass.consensus.outbox import Outbox
 from pebblepass.consensus.verdicts import REMEMBERED_VERDICTS, Verdicts
-from tests.consensus.parts import outbox, sent
+from tests.consensus.helpers import outbox, sent
 
-DONE = m.Verdict("c", "in force", 2, ("decided: version 2",))
+IN_FORCE = m.Verdict("c", "in force", 2, ("decided: version 2",))
 OPEN = m.Verdict("c", "open", 2, ("open: r1 have not answered",))
 
 
 def concluded(box: Outbox) -> list[m.Verdict]:
-    return [each.verdict for each in box.finish() if isinstance(each, ProposalConcluded)]
+    return [verdict.verdict for verdict in box.finish() if isinstance(verdict, ProposalConcluded)]
 
 
-def test_a_proposal_made_here_is_concluded_here_and_remembered() -> None:
+def test_local_proposal_is_concluded_here_and_remembered() -> None:
     box = outbox()
     verdicts = Verdicts(box)
-    verdicts.conclude(DONE)
-    assert concluded(box) == [DONE]
-    assert verdicts.final("c") == DONE
+    verdicts.conclude(IN_FORCE)
+    assert concluded(box) == [IN_FORCE]
+    assert verdicts.final("c") == IN_FORCE
 
 
-def test_an_open_verdict_is_not_final() -> None:
+def test_open_verdict_is_not_final() -> None:
     box = outbox()
     verdicts = Verdicts(box)
     verdicts.conclude(OPEN)
@@ -32,29 +32,29 @@
     assert verdicts.final("c") is None
 
 
-def test_a_proposal_of_another_router_is_concluded_there_once() -> None:
+def test_received_proposal_is_concluded_at_its_router_once() -> None:
     box = outbox()
     verdicts = Verdicts(box)
     verdicts.received_from("c", "r2")
     assert verdicts.is_received("c")
-    verdicts.conclude(DONE)
-    assert sent(box) == [("r2", m.ForwardedVerdict(DONE))]
+    verdicts.conclude(IN_FORCE)
+    assert sent(box) == [("r2", m.ForwardedVerdict(IN_FORCE))]
     assert concluded(box) == []
     assert not verdicts.is_received("c")
 
 
-def test_a_forwarded_proposal_is_concluded_by_the_voters_answer_once() -> None:
+def test_forwarded_proposal_is_concluded_by_first_answer() -> None:
     box = outbox()
     verdicts = Verdicts(box)
     proposal = m.Proposal("c", "ana", "")
     verdicts.forward(proposal, "r1", until=10)
     assert sent(box) == [("r1", m.ForwardedProposal(proposal))]
-    verdicts.answered(DONE)
-    verdicts.answered(DONE)
-    assert concluded(box) == [DONE]
+    verdicts.answered(IN_FORCE)
+    verdicts.answered(IN_FORCE)
+    assert concluded(box) == [IN_FORCE]
 
 
-def test_a_forwarded_proposal_without_an_answer_is_open_at_its_deadline() -> None:
+def test_forwarded_proposal_without_answer_is_open_at_deadline() -> None:
     box = outbox()
     verdicts = Verdicts(box)
     verdicts.forward(m.Proposal("c", "ana", ""), "r1", until=10)
@@ -63,14 +63,14 @@
     assert concluded(box) == []
     box.begin(10)
     verdicts.expire()
-    assert [(each.change_id, each.state) for each in concluded(box)] == [("c", "open")]
+    assert [(verdict.change_id, verdict.state) for verdict in concluded(box)] == [("c", "open")]
     box.begin(11)
     verdicts.expire()
-    verdicts.answered(DONE)
+    verdicts.answered(IN_FORCE)
     assert concluded(box) == []
 
 
-def test_the_verdicts_that_are_remembered_are_bounded() -> None:
+def test_remembered_verdicts_are_bounded() -> None:
     verdicts = Verdicts(outbox())
     for number in range(1000):
         verdicts.refuse(f"c{number}", "nothing would change")
