--- a/tests/control/test_operations.py
+++ b/tests/control/test_operations.py
@@ -1,4 +1,4 @@
-"""The control address on loopback, in virtual time: calls, callers that say nothing, and what is no call."""
+"""The control address on loopback, in virtual time: valid and invalid requests, and idle connections."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 from tests.virtual import played
 
 Address = tuple[str, int]
-DUE_S = 1.0  # in which each call has its answer
+RESPONSE_LIMIT_S = 1.0  # within which each request gets its response
 
 
-def with_control(
-    work: Callable[[VirtualLoop, Address, list[bool]], Awaitable[None]],
+def with_control_server(
+    scenario: Callable[[VirtualLoop, Address, list[bool]], Awaitable[None]],
 ) -> None:
-    """Play `work` with a control address; it gets the address, and a list that holds whether it is ready."""
+    """Run `scenario` with a control server; it gets the address, and a list that holds the readiness."""
 
-    async def play(loop: VirtualLoop) -> None:
+    async def run(loop: VirtualLoop) -> None:
         ready, counters = [False], Counters(["get"])
         counters.answered["get"] = 7
         control = ControlServer(loop, ControlSources(lambda: ready[0], lambda: counters.lines(3, 2, 1)))
         address = await control.listen(("127.0.0.1", take_port()))
-        await work(loop, address, ready)
+        await scenario(loop, address, ready)
         control.close()
         await asyncio.sleep(0)
 
-    played(play)
+    played(run)
 
 
 async def call(address: Address, data: bytes) -> tuple[int, str]:
-    """The status and the body of what comes back before the connection is closed."""
+    """Send `data`; return the status and the body of the response."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(data)
     head, _, body = (await reader.read()).partition(b"\r\n\r\n")
@@ -43,22 +43,22 @@
     return int(head.split()[1]), body.decode()
 
 
-def asking(target: str, method: str = "GET") -> bytes:
+def http_request(target: str, method: str = "GET") -> bytes:
     return f"{method} {target} HTTP/1.1\r\nHost: ops\r\n\r\n".encode()
 
 
-def test_ready_is_told_by_the_status_and_follows_the_router() -> None:
-    async def work(_: VirtualLoop, address: Address, ready: list[bool]) -> None:
-        assert (await call(address, asking("/control/ready")))[0] == 503
+def test_readiness_is_reported_by_status_code() -> None:
+    async def scenario(_: VirtualLoop, address: Address, ready: list[bool]) -> None:
+        assert (await call(address, http_request("/control/ready")))[0] == 503
         ready[0] = True
-        assert (await call(address, asking("/control/ready?x=1")))[0] == 200
+        assert (await call(address, http_request("/control/ready?x=1")))[0] == 200
 
-    with_control(work)
+    with_control_server(scenario)
 
 
-def test_the_figures_stand_in_lines_of_a_name_a_number_and_a_kind() -> None:
-    async def work(_: VirtualLoop, address: Address, __: list[bool]) -> None:
-        status, body = await call(address, asking("/control/counters"))
+def test_counters_are_returned_as_statsd_lines() -> None:
+    async def scenario(_: VirtualLoop, address: Address, __: list[bool]) -> None:
+        status, body = await call(address, http_request("/control/counters"))
         assert status == 200
         assert body.split() == [
             "svc.answered.get:7|c",
@@ -70,56 +70,56 @@
             "svc.cluster_unhealthy:1|g",
         ]
 
-    with_control(work)
+    with_control_server(scenario)
 
 
 @pytest.mark.parametrize(
     ("data", "status"),
     [
-        (asking("/control/reddy"), 404),
-        (asking("/"), 404),
-        (asking("/control/counters", "POST"), 405),
+        (http_request("/control/reddy"), 404),
+        (http_request("/"), 404),
+        (http_request("/control/counters", "POST"), 405),
         (b"\x00\xff junk\r\n\r\n", 400),
         (b"GET /" + b"x" * LIMITS.head_bytes, 400),
     ],
 )
-def test_what_is_no_call_is_told_no(data: bytes, status: int) -> None:
-    async def work(_: VirtualLoop, address: Address, __: list[bool]) -> None:
+def test_invalid_request_gets_an_error_status(data: bytes, status: int) -> None:
+    async def scenario(_: VirtualLoop, address: Address, __: list[bool]) -> None:
         assert (await call(address, data))[0] == status
 
-    with_control(work)
+    with_control_server(scenario)
 
 
-def test_callers_that_say_nothing_shut_nobody_out() -> None:
-    async def work(loop: VirtualLoop, address: Address, _: list[bool]) -> None:
-        held = []
+def test_idle_connections_do_not_block_other_clients() -> None:
+    async def scenario(loop: VirtualLoop, address: Address, _: list[bool]) -> None:
+        idle_connections = []
         for number in range(4 * LIMITS.connections):
             reader, writer = await asyncio.open_connection(*address)
             if number % 2:
-                writer.write(asking("/control/counters")[:-7])  # half a call
-            held.append((reader, writer))
+                writer.write(http_request("/control/counters")[:-7])  # an incomplete request
+            idle_connections.append((reader, writer))
             await asyncio.sleep(0.001)
-        begun = loop.time()
-        assert (await call(address, asking("/control/counters")))[0] == 200
-        assert loop.time() - begun < DUE_S
-        # The first ones made room, and the others are closed in time.
-        assert await held[0][0].read() == b""
-        assert await held[-1][0].read() == b""
-        assert loop.time() - begun <= LIMITS.idle_timeout_s
+        started_at = loop.time()
+        assert (await call(address, http_request("/control/counters")))[0] == 200
+        assert loop.time() - started_at < RESPONSE_LIMIT_S
+        # The first connections were evicted, and the others time out.
+        assert await idle_connections[0][0].read() == b""
+        assert await idle_connections[-1][0].read() == b""
+        assert loop.time() - started_at <= LIMITS.idle_timeout_s
 
-    with_control(work)
+    with_control_server(scenario)
 
 
-def test_a_caller_that_has_asked_keeps_its_place_when_others_crowd_in() -> None:
-    async def play(loop: VirtualLoop) -> None:
+def test_connection_with_open_request_is_not_evicted() -> None:
+    async def run(loop: VirtualLoop) -> None:
         counters = Counters(["get"])
         control = ControlServer(loop, ControlSources(lambda: True, lambda: counters.lines(0, 0, 0)))
         address = await control.listen(("127.0.0.1", take_port()))
-        # All at once: their calls come with their connections, so that none of them is silent.
+        # All connect at the same time with their requests, so that none of them is idle.
         answers = await asyncio.gather(
-            *(call(address, asking("/control/ready")) for _ in range(LIMITS.connections))
+            *(call(address, http_request("/control/ready")) for _ in range(LIMITS.connections))
         )
         assert [status for status, _ in answers] == [200] * LIMITS.connections
         control.close()
 
-    played(play)
+    played(run)
--- a/tests/handover/test_messages.py
+++ b/tests/handover/test_messages.py
@@ -1,4 +1,4 @@
-"""What goes from process to process: whole and the same, or refused in one plain line."""
+"""Handover messages and snapshots: encoding, decoding, rejection of invalid data, and the weight by age."""
 
 from __future__ import annotations
 
@@ -26,11 +26,13 @@
 from pebblepass.handover.router_snapshot import RouterSnapshot, decode_snapshot, encode_snapshot
 from pebblepass.handover.state_aging import STATE_LIFETIME_NS, age_state, age_weight
 
-S = 10**9
-NOW = 1000 * S
-UNIX = 500 * S  # what the donor's clock is ahead of Unix time; the reader's is 7 s further
+SECOND = 10**9
+NOW = 1000 * SECOND
+UNIX_OFFSET = (
+    500 * SECOND
+)  # from the sender's clock to Unix time; the reader's clock is 7 s ahead of the sender's
 counts = strategies.integers(0, 10_000)
-handed = strategies.builds(
+connection_states = strategies.builds(
     ConnectionState,
     strategies.binary(max_size=60),
     counts,
@@ -45,16 +47,16 @@
     strategies.just(Ready()),
     strategies.builds(ConnectionCounts, counts, counts),
     strategies.builds(StateChunk, strategies.binary(), strategies.booleans()),
-    strategies.builds(Connections, strategies.lists(handed, max_size=4).map(tuple)),
+    strategies.builds(Connections, strategies.lists(connection_states, max_size=4).map(tuple)),
 )
 
 
 @given(messages)
-def test_a_message_comes_out_as_it_went_in(message: Message) -> None:
+def test_message_survives_encoding_and_decoding(message: Message) -> None:
     assert decode(encode(message)) == message
 
 
-def complaint(data: bytes) -> str:
+def decode_error(data: bytes) -> str:
     try:
         decode(data)
     except HandoverError as error:
@@ -63,60 +65,96 @@
 
 
 @given(messages, strategies.integers(0, 200), strategies.integers(0, 255))
-def test_a_spoilt_message_is_read_or_refused_in_one_line(message: Message, at: int, byte: int) -> None:
+def test_corrupt_message_is_decoded_or_rejected_in_one_line(
+    message: Message, position: int, byte: int
+) -> None:
     data = bytearray(encode(message))
-    data[at % len(data)] = byte
-    assert "\n" not in complaint(bytes(data))
+    data[position % len(data)] = byte
+    assert "\n" not in decode_error(bytes(data))
 
 
 @pytest.mark.parametrize(
     "data", [b"", b"X", b'H{"version":2}', b"H[]", b"D[1]", b"D[1,-1]", b"D[true,1]", b"C[[1]]"]
 )
-def test_what_is_no_message_is_refused(data: bytes) -> None:
+def test_invalid_message_is_rejected(data: bytes) -> None:
     with pytest.raises(HandoverError):
         decode(data)
 
 
-def node(server: str = "s1", heard_at: int = NOW, down: bool = False, judged_at: int = NOW) -> ServerHealth:
-    regain = 60 * S if down else 8 * S
-    return ServerHealth(server, 0, heard_at, 1.0, 0.05, judged_at, regain, down, 1, 0, 0, 2e6, 1e6, 0.5)
-
-
-def knowledge(*nodes: ServerHealth, calls: tuple[tuple[int, int, int], ...] = ((NOW, 3, 1),)) -> RouterState:
-    store = OriginHealth(math.inf, 4.0, 0.1, 5e6, 1e6, 2e6, 1e6)
-    return RouterState(nodes, (LimitState("acme", 12.5, calls),), store, ((7, 3.0),), (("acme", 9.0),))
+def server_health(
+    server: str = "s1", last_outcome_at: int = NOW, unreachable: bool = False, recovers_from: int = NOW
+) -> ServerHealth:
+    recovery_time = 60 * SECOND if unreachable else 8 * SECOND
+    return ServerHealth(
+        server,
+        0,
+        last_outcome_at,
+        1.0,
+        0.05,
+        recovers_from,
+        recovery_time,
+        unreachable,
+        1,
+        0,
+        0,
+        2e6,
+        1e6,
+        0.5,
+    )
 
 
-def test_an_account_comes_out_in_the_readers_time_and_in_parts_of_any_number() -> None:
-    began = 90 * S
-    donor = node("s1").__class__(
-        "s1", began, NOW - S, 1.0, 0.05, NOW - S, 8 * S, False, 1, 2, NOW + S, 2e6, 1e6, 0.5
+def router_state(
+    *servers: ServerHealth, calls: tuple[tuple[int, int, int], ...] = ((NOW, 3, 1),)
+) -> RouterState:
+    origin = OriginHealth(math.inf, 4.0, 0.1, 5e6, 1e6, 2e6, 1e6)
+    return RouterState(servers, (LimitState("acme", 12.5, calls),), origin, ((7, 3.0),), (("acme", 9.0),))
+
+
+def test_snapshot_in_chunks_is_decoded_with_the_readers_clock() -> None:
+    started = 90 * SECOND
+    first_server = server_health("s1").__class__(
+        "s1",
+        started,
+        NOW - SECOND,
+        1.0,
+        0.05,
+        NOW - SECOND,
+        8 * SECOND,
+        False,
+        1,
+        2,
+        NOW + SECOND,
+        2e6,
+        1e6,
+        0.5,
     )
-    nodes = (donor, *(node(f"n{i}" * 40) for i in range(400)))
-    told = RouterSnapshot({"generation": 4, "instances": []}, knowledge(*nodes), NOW)
-    data = encode_snapshot(told, lambda start: (start + UNIX) // 10**6)
-    cut = split_snapshot(data)
-    assert len(cut) > 1
-    assert [chunk.last for chunk in cut] == [False] * (len(cut) - 1) + [True]
-    assert all(len(chunk.data) <= MAX_CHUNK_BYTES for chunk in cut)
-    later = NOW + 7 * S
+    servers = (first_server, *(server_health(f"n{i}" * 40) for i in range(400)))
+    original = RouterSnapshot({"generation": 4, "instances": []}, router_state(*servers), NOW)
+    data = encode_snapshot(original, lambda start: (start + UNIX_OFFSET) // 10**6)
+    chunks = split_snapshot(data)
+    assert len(chunks) > 1
+    assert [chunk.last for chunk in chunks] == [False] * (len(chunks) - 1) + [True]
+    assert all(len(chunk.data) <= MAX_CHUNK_BYTES for chunk in chunks)
+    later = NOW + 7 * SECOND
     snapshot = decode_snapshot(
-        b"".join(chunk.data for chunk in cut), later, lambda unix_ms: unix_ms * 10**6 - UNIX + 7 * S
+        b"".join(chunk.data for chunk in chunks),
+        later,
+        lambda unix_ms: unix_ms * 10**6 - UNIX_OFFSET + 7 * SECOND,
     )
     first = snapshot.state.servers[0]
     assert (first.started, first.last_outcome_at, first.recovers_from, first.next_connect_at) == (
-        began + 7 * S,
-        later - S,
-        later - S,
-        later + S,
+        started + 7 * SECOND,
+        later - SECOND,
+        later - SECOND,
+        later + SECOND,
     )
     assert snapshot.state.limits[0].calls == ((later, 3, 1),)
-    assert snapshot.state.origin == told.state.origin
-    assert snapshot.endpoint_list == told.endpoint_list
+    assert snapshot.state.origin == original.state.origin
+    assert snapshot.endpoint_list == original.endpoint_list
 
 
 @pytest.mark.parametrize(
-    ("was", "becomes"),
+    ("old", "new"),
     [
         (b'"version":1', b'"version":3'),
         (b'"nodes":[', b'"nodes":[7,'),
@@ -126,26 +164,36 @@
         (b'"heat":[[7', b'"heat":[["a"'),
     ],
 )
-def test_an_account_out_of_range_is_refused_whole(was: bytes, becomes: bytes) -> None:
-    data = encode_snapshot(RouterSnapshot({}, knowledge(node()), NOW), lambda start: start)
-    assert was in data
+def test_snapshot_with_invalid_value_is_rejected(old: bytes, new: bytes) -> None:
+    data = encode_snapshot(RouterSnapshot({}, router_state(server_health()), NOW), lambda start: start)
+    assert old in data
     with pytest.raises(HandoverError):
-        decode_snapshot(data.replace(was, becomes, 1), NOW, lambda unix_ms: unix_ms)
+        decode_snapshot(data.replace(old, new, 1), NOW, lambda unix_ms: unix_ms)
 
 
-def test_what_is_some_seconds_old_counts_for_little_and_then_for_nothing() -> None:
+def test_weight_of_state_falls_with_age_to_zero() -> None:
     assert [age_weight(int(STATE_LIFETIME_NS * part)) for part in (0, 0.5, 1, 3)] == [1, 0.5, 0, 0]
-    known = age_state(knowledge(node("new"), node("old", NOW - 5 * S), node("gone", NOW - 11 * S)), NOW, NOW)
-    assert [(each.server, each.weight) for each in known.servers] == [("new", 1.0), ("old", 0.5)]
-    assert known.weight == 1.0
+    aged = age_state(
+        router_state(
+            server_health("new"),
+            server_health("old", NOW - 5 * SECOND),
+            server_health("gone", NOW - 11 * SECOND),
+        ),
+        NOW,
+        NOW,
+    )
+    assert [(server.server, server.weight) for server in aged.servers] == [("new", 1.0), ("old", 0.5)]
+    assert aged.weight == 1.0
 
 
-def test_a_server_that_is_down_is_known_until_the_clock_has_passed_it() -> None:
-    down = node("down", NOW - 20 * S, down=True, judged_at=NOW - 20 * S)
-    over = node("over", NOW - 61 * S, down=True, judged_at=NOW - 61 * S)
-    assert [each.server for each in age_state(knowledge(down, over), NOW, NOW).servers] == ["down"]
+def test_unreachable_server_is_kept_for_its_recovery_time() -> None:
+    unreachable = server_health("down", NOW - 20 * SECOND, unreachable=True, recovers_from=NOW - 20 * SECOND)
+    over = server_health("over", NOW - 61 * SECOND, unreachable=True, recovers_from=NOW - 61 * SECOND)
+    assert [server.server for server in age_state(router_state(unreachable, over), NOW, NOW).servers] == [
+        "down"
+    ]
 
 
-def test_a_donor_that_has_heard_nothing_hands_on_nothing() -> None:
-    known = age_state(knowledge(node("old", NOW - 11 * S), calls=()), NOW, NOW)
-    assert (known.servers, known.limits, known.weight) == ((), (), 0.0)
+def test_state_without_recent_outcomes_has_no_weight() -> None:
+    aged = age_state(router_state(server_health("old", NOW - 11 * SECOND), calls=()), NOW, NOW)
+    assert (aged.servers, aged.limits, aged.weight) == ((), (), 0.0)
--- a/tests/handover/test_states.py
+++ b/tests/handover/test_states.py
@@ -1,4 +1,4 @@
-"""Every edge of the two tables in docs/design/operations.md, and how descriptors are split."""
+"""Covers every transition of the two tables in docs/design/operations.md, and the split of descriptors."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     SuccessorState,
 )
 
-PREDECESSOR_EDGES = {
+PREDECESSOR_TRANSITIONS = {
     (PredecessorState.ALONE, PredecessorEvent.SUCCESSOR_CONNECTED): (
         PredecessorState.PAIRED,
         [HandoverAction.HALVE_LIMITS, HandoverAction.SEND_SNAPSHOT],
@@ -67,9 +67,9 @@
     ),
     (PredecessorState.SHUTTING_DOWN, PredecessorEvent.TERMINATE): (PredecessorState.SHUTTING_DOWN, []),
 }
-GO_ON_ALONE = [HandoverAction.USE_FULL_LIMITS, HandoverAction.OPEN_LISTENER]
-SUCCESSOR_EDGES = {
-    (SuccessorState.CONNECTING, SuccessorEvent.NO_PREDECESSOR): (SuccessorState.ALONE, GO_ON_ALONE),
+RUN_ALONE = [HandoverAction.USE_FULL_LIMITS, HandoverAction.OPEN_LISTENER]
+SUCCESSOR_TRANSITIONS = {
+    (SuccessorState.CONNECTING, SuccessorEvent.NO_PREDECESSOR): (SuccessorState.ALONE, RUN_ALONE),
     (SuccessorState.CONNECTING, SuccessorEvent.REJECTED): (
         SuccessorState.CONNECTING,
         [HandoverAction.RETRY_CONNECT],
@@ -79,13 +79,13 @@
         [HandoverAction.IMPORT_SNAPSHOT],
     ),
     (SuccessorState.CONNECTING, SuccessorEvent.TIMED_OUT): (SuccessorState.STARTING, []),
-    (SuccessorState.CONNECTING, SuccessorEvent.PREDECESSOR_LOST): (SuccessorState.ALONE, GO_ON_ALONE),
+    (SuccessorState.CONNECTING, SuccessorEvent.PREDECESSOR_LOST): (SuccessorState.ALONE, RUN_ALONE),
     (SuccessorState.STARTING, SuccessorEvent.SERVERS_KNOWN): (
         SuccessorState.TAKING_OVER,
         [HandoverAction.BEGIN_SERVING],
     ),
-    (SuccessorState.STARTING, SuccessorEvent.PREDECESSOR_LOST): (SuccessorState.ALONE, GO_ON_ALONE),
-    (SuccessorState.TAKING_OVER, SuccessorEvent.PREDECESSOR_LOST): (SuccessorState.ALONE, GO_ON_ALONE),
+    (SuccessorState.STARTING, SuccessorEvent.PREDECESSOR_LOST): (SuccessorState.ALONE, RUN_ALONE),
+    (SuccessorState.TAKING_OVER, SuccessorEvent.PREDECESSOR_LOST): (SuccessorState.ALONE, RUN_ALONE),
     (SuccessorState.ALONE, SuccessorEvent.SERVERS_KNOWN): (
         SuccessorState.ALONE,
         [HandoverAction.BEGIN_SERVING],
@@ -95,37 +95,37 @@
 
 @pytest.mark.parametrize("state", PredecessorState)
 @pytest.mark.parametrize("event", PredecessorEvent)
-def test_each_edge_of_the_predecessor(state: PredecessorState, event: PredecessorEvent) -> None:
-    process = PredecessorMachine()
-    process.state = state
-    actions = process.handle(event)
-    assert (process.state, list(actions)) == PREDECESSOR_EDGES[state, event]
+def test_every_transition_of_the_predecessor(state: PredecessorState, event: PredecessorEvent) -> None:
+    machine = PredecessorMachine()
+    machine.state = state
+    actions = machine.handle(event)
+    assert (machine.state, list(actions)) == PREDECESSOR_TRANSITIONS[state, event]
 
 
 @pytest.mark.parametrize("state", SuccessorState)
 @pytest.mark.parametrize("event", SuccessorEvent)
-def test_each_edge_of_the_successor(state: SuccessorState, event: SuccessorEvent) -> None:
-    process = SuccessorMachine()
-    process.state = state
-    actions = process.handle(event)
-    assert (process.state, list(actions)) == SUCCESSOR_EDGES.get((state, event), (state, []))
+def test_every_transition_of_the_successor(state: SuccessorState, event: SuccessorEvent) -> None:
+    machine = SuccessorMachine()
+    machine.state = state
+    actions = machine.handle(event)
+    assert (machine.state, list(actions)) == SUCCESSOR_TRANSITIONS.get((state, event), (state, []))
 
 
 @given(strategies.lists(strategies.sampled_from(PredecessorEvent)))
-def test_whoever_has_not_been_told_to_end_serves_when_nobody_is_left_beside_it(
+def test_predecessor_without_successor_accepts_clients(
     events: list[PredecessorEvent],
 ) -> None:
-    process, accepts = PredecessorMachine(), True
+    machine, is_accepting = PredecessorMachine(), True
     for event in events:
-        for action in process.handle(event):
-            accepts = {HandoverAction.STOP_ACCEPTING: False, HandoverAction.RESUME_ACCEPTING: True}.get(
-                action, accepts
+        for action in machine.handle(event):
+            is_accepting = {HandoverAction.STOP_ACCEPTING: False, HandoverAction.RESUME_ACCEPTING: True}.get(
+                action, is_accepting
             )
-        if process.state is PredecessorState.ALONE:
-            assert accepts
+        if machine.state is PredecessorState.ALONE:
+            assert is_accepting
     if PredecessorEvent.TERMINATE not in events:
-        process.handle(PredecessorEvent.SUCCESSOR_LOST)
-        assert process.state is PredecessorState.ALONE
+        machine.handle(PredecessorEvent.SUCCESSOR_LOST)
+        assert machine.state is PredecessorState.ALONE
 
 
 @given(
@@ -135,13 +135,13 @@
     strategies.integers(0, 1000),
     strategies.integers(0, 1000),
 )
-def test_two_processes_hold_no_more_than_one(
-    clients: int, servers: int, own: int, held_clients: int, held_servers: int
+def test_two_processes_use_no_more_descriptors_than_one(
+    clients: int, servers: int, overhead: int, client_count: int, server_count: int
 ) -> None:
-    split = DescriptorSplit(clients, servers, own)
-    held = min(held_clients, split.shared[0]), min(held_servers, split.shared[1])
-    left = split.remaining(*held)
-    assert held[0] + left[0] == split.shared[0] <= max(clients, 1)
-    assert held[1] + left[1] == split.shared[1] <= max(servers, 1)
-    if clients > own and servers > own:
-        assert sum(split.shared) + own <= clients + servers + 1
+    split = DescriptorSplit(clients, servers, overhead)
+    used = min(client_count, split.shared[0]), min(server_count, split.shared[1])
+    remaining = split.remaining(*used)
+    assert used[0] + remaining[0] == split.shared[0] <= max(clients, 1)
+    assert used[1] + remaining[1] == split.shared[1] <= max(servers, 1)
+    if clients > overhead and servers > overhead:
+        assert sum(split.shared) + overhead <= clients + servers + 1
--- a/tests/peers/test_bounds.py
+++ b/tests/peers/test_bounds.py
@@ -1,4 +1,4 @@
-"""A fleet of 1,100 routers that all dial one voter at once, as after its start."""
+"""A fleet of 1,100 routers that all dial one voter at the same time, as they do after its start."""
 
 from __future__ import annotations
 
@@ -14,16 +14,18 @@
 from pebblepass.peers.links import MAX_UNIDENTIFIED, VERSION, Hello, Link, Links, framed
 
 ROUTERS = 1100
-BACKLOG_AT = 28  # tcpi_sacked in the kernel's tcp_info: of a listening socket the length of its queue
+BACKLOG_OFFSET = (
+    28  # of tcpi_sacked in the kernel's tcp_info; for a listening socket it is the length of its accept queue
+)
 
 
-class Wire(asyncio.Transport):
-    """A transport that keeps what is written, and ends when it is told to."""
+class RecordingTransport(asyncio.Transport):
+    """A transport that records the written data and whether it was aborted."""
 
     def __init__(self) -> None:
         super().__init__()
         self.written: list[bytes] = []
-        self.ended = False
+        self.aborted = False
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
         self.written.append(bytes(data))
@@ -32,83 +34,83 @@
         return 0
 
     def is_closing(self) -> bool:
-        return self.ended
+        return self.aborted
 
     def abort(self) -> None:
-        self.ended = True
+        self.aborted = True
 
 
 def hello(name: str) -> bytes:
     return framed(msgspec.msgpack.encode(Hello("sofia", VERSION, name, f"{name}.1")))
 
 
-def links(loop: asyncio.AbstractEventLoop, coming: int) -> Links:
-    return Links(loop, "sofia", "v0", "v0.1", lambda *_: None, lambda _: True, lambda: coming)
+def create_links(loop: asyncio.AbstractEventLoop, expected_links: int) -> Links:
+    return Links(loop, "sofia", "v0", "v0.1", lambda *_: None, lambda _: True, lambda: expected_links)
 
 
-def dialled(at: Links, count: int) -> list[tuple[Link, Wire]]:
-    """So many connections that come before one of them has said who it is."""
-    found = []
+def connect(links: Links, count: int) -> list[tuple[Link, RecordingTransport]]:
+    """Return `count` accepted connections, none of which has sent a hello."""
+    connections = []
     for _ in range(count):
-        link, wire = Link(at), Wire()
-        link.connection_made(wire)
-        found.append((link, wire))
-    return found
+        link, transport = Link(links), RecordingTransport()
+        link.connection_made(transport)
+        connections.append((link, transport))
+    return connections
 
 
-async def voter_with_its_fleet() -> None:
-    at = links(asyncio.get_running_loop(), ROUTERS)
-    come = dialled(at, ROUTERS)
-    for number, (link, _) in enumerate(come):
+async def identify_whole_fleet() -> None:
+    links = create_links(asyncio.get_running_loop(), ROUTERS)
+    connections = connect(links, ROUTERS)
+    for number, (link, _) in enumerate(connections):
         link.data_received(hello(f"r{number}"))
-    assert at.closed == {}
-    assert len(at._accepted) == ROUTERS
-    assert not any(wire.ended for _, wire in come)
-    at.close()
+    assert links.closed == {}
+    assert len(links._accepted) == ROUTERS
+    assert not any(transport.aborted for _, transport in connections)
+    links.close()
 
 
-def test_a_fleet_that_dials_at_once_is_taken_in_whole() -> None:
-    asyncio.run(voter_with_its_fleet())
+def test_whole_fleet_can_connect_at_once() -> None:
+    asyncio.run(identify_whole_fleet())
 
 
-async def strangers_beside_a_whole_fleet() -> None:
-    at = links(asyncio.get_running_loop(), ROUTERS)
-    for number, (link, _) in enumerate(dialled(at, ROUTERS)):
+async def connect_beyond_the_limit() -> None:
+    links = create_links(asyncio.get_running_loop(), ROUTERS)
+    for number, (link, _) in enumerate(connect(links, ROUTERS)):
         link.data_received(hello(f"r{number}"))
-    strangers = dialled(at, MAX_UNIDENTIFIED + 1)
-    assert [wire.ended for _, wire in strangers] == [False] * MAX_UNIDENTIFIED + [True]
-    assert at.closed == {"too many strangers": 1}
-    at.close()
+    unidentified = connect(links, MAX_UNIDENTIFIED + 1)
+    assert [transport.aborted for _, transport in unidentified] == [False] * MAX_UNIDENTIFIED + [True]
+    assert links.closed == {"too many strangers": 1}
+    links.close()
 
 
-def test_strangers_get_no_place_beyond_those_of_the_routers_that_have_not_come() -> None:
-    asyncio.run(strangers_beside_a_whole_fleet())
+def test_unidentified_connections_are_limited() -> None:
+    asyncio.run(connect_beyond_the_limit())
 
 
-async def queue_of_the_listener() -> int:
-    at = links(asyncio.get_running_loop(), ROUTERS)
-    await at.listen(("127.0.0.1", 0))
-    assert at._server is not None
-    told = at._server.sockets[0].getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 104)
-    at.close()
-    return int(struct.unpack_from("=I", told, BACKLOG_AT)[0])
+async def listener_backlog() -> int:
+    links = create_links(asyncio.get_running_loop(), ROUTERS)
+    await links.listen(("127.0.0.1", 0))
+    assert links._server is not None
+    tcp_info = links._server.sockets[0].getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 104)
+    links.close()
+    return int(struct.unpack_from("=I", tcp_info, BACKLOG_OFFSET)[0])
 
 
-def test_a_fleet_that_dials_at_once_fits_into_the_listener_s_queue() -> None:
-    assert asyncio.run(queue_of_the_listener()) >= ROUTERS
+def test_listener_backlog_holds_the_whole_fleet() -> None:
+    assert asyncio.run(listener_backlog()) >= ROUTERS
 
 
-async def expected_at(name: str) -> int:
+async def expected_links_of(name: str) -> int:
     members = {f"r{number}": "127.0.0.1:9" for number in range(ROUTERS)}
-    first = genesis(members, ["r0", "r1", "r2"])
-    setup = ReplicaSetup(name, "boot", LeaseTerms(10**9, 0.1), first, lambda *_: "", "")
-    told = ServiceCallbacks(lambda _: None, lambda _: None)
-    service = ConsensusService(asyncio.get_running_loop(), lambda: 0, setup, "sofia", None, told)
+    initial = genesis(members, ["r0", "r1", "r2"])
+    setup = ReplicaSetup(name, "boot", LeaseTerms(10**9, 0.1), initial, lambda *_: "", "")
+    callbacks = ServiceCallbacks(lambda _: None, lambda _: None)
+    service = ConsensusService(asyncio.get_running_loop(), lambda: 0, setup, "sofia", None, callbacks)
     expected = service.links.expected_links()
     service.close()
     return expected
 
 
-def test_a_voter_expects_all_others_and_who_does_not_vote_nobody() -> None:
-    assert asyncio.run(expected_at("r1")) == ROUTERS - 1
-    assert asyncio.run(expected_at("r7")) == 0
+def test_voter_expects_links_from_all_and_others_from_none() -> None:
+    assert asyncio.run(expected_links_of("r1")) == ROUTERS - 1
+    assert asyncio.run(expected_links_of("r7")) == 0
--- a/tests/peers/test_links.py
+++ b/tests/peers/test_links.py
@@ -1,4 +1,4 @@
-"""Links: strangers, other fleets and garbage are closed and counted; a lost link is dialled again."""
+"""Links: unknown peers, other fleets and invalid data are rejected; a lost link is dialled again."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from tests.virtual import played
 
 
-class End:
-    """One router's links, and what came."""
+class LinkEnd:
+    """One router's links, and the messages received on them."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, name: str, fleet: str = "sofia") -> None:
-        self.came: list[tuple[str, bytes]] = []
+        self.received: list[tuple[str, bytes]] = []
         self.links = Links(loop, fleet, name, f"{name}.1", self._take, lambda other: other in ("r0", "r1"))
 
     def _take(self, name: str, data: bytes) -> None:
         if data == b"broken":
             raise ValueError("broken")
-        self.came.append((name, data))
+        self.received.append((name, data))
 
     async def listen(self, port: int = 0) -> int:
         await self.links.listen(("127.0.0.1", port))
@@ -38,33 +38,33 @@
         if check():
             return
         await asyncio.sleep(0.01)
-    raise AssertionError("never came")
+    raise AssertionError("the condition did not become true")
 
 
-def test_messages_travel_both_ways_on_one_link_and_a_lost_one_is_dialled_again() -> None:
+def test_link_carries_both_directions_and_is_dialled_again() -> None:
     async def main(loop: VirtualLoop) -> None:
-        one, two = End(loop, "r0"), End(loop, "r1")
-        port = await one.listen()
-        two.links.dial({"r0": f"127.0.0.1:{port}"})
-        await until(lambda: "r1" in one.links._accepted and "r0" in two.links._dialled)
-        two.links.send("r0", b"up")
-        one.links.send("r1", b"down" * 50_000)
-        await until(lambda: one.came and two.came)
-        assert one.came == [("r1", b"up")]
-        assert two.came == [("r0", b"down" * 50_000)]
-        first = one.links._accepted["r1"]
+        acceptor, dialler = LinkEnd(loop, "r0"), LinkEnd(loop, "r1")
+        port = await acceptor.listen()
+        dialler.links.dial({"r0": f"127.0.0.1:{port}"})
+        await until(lambda: "r1" in acceptor.links._accepted and "r0" in dialler.links._dialled)
+        dialler.links.send("r0", b"up")
+        acceptor.links.send("r1", b"down" * 50_000)
+        await until(lambda: acceptor.received and dialler.received)
+        assert acceptor.received == [("r1", b"up")]
+        assert dialler.received == [("r0", b"down" * 50_000)]
+        first = acceptor.links._accepted["r1"]
         first.close()
-        await until(lambda: one.links._accepted.get("r1") not in (None, first))
-        two.links.dial({})  # a voter no longer
-        await until(lambda: not one.links._accepted)
-        for end in (one, two):
+        await until(lambda: acceptor.links._accepted.get("r1") not in (None, first))
+        dialler.links.dial({})  # r0 is no longer a voter
+        await until(lambda: not acceptor.links._accepted)
+        for end in (acceptor, dialler):
             end.links.close()
 
     played(main)
 
 
 @pytest.mark.parametrize(
-    ("said", "cause"),
+    ("data", "reason"),
     [
         (
             framed(msgspec.msgpack.encode(Hello("plovdiv", VERSION, "r1", "b"))),
@@ -85,27 +85,27 @@
         (b"", "no hello"),
     ],
 )
-def test_whoever_is_no_router_of_the_fleet_is_closed_and_counted(said: bytes, cause: str) -> None:
+def test_link_of_invalid_peer_is_closed_and_counted(data: bytes, reason: str) -> None:
     async def main(loop: VirtualLoop) -> None:
-        end = End(loop, "r0")
+        end = LinkEnd(loop, "r0")
         reader, writer = await asyncio.open_connection("127.0.0.1", await end.listen())
-        writer.write(said)
+        writer.write(data)
         with contextlib.suppress(ConnectionError):
             while await reader.read(4096):
-                pass  # its hello
-        await until(lambda: end.links.closed[cause] == 1)
-        assert end.came == []
+                pass  # discards the router's hello
+        await until(lambda: end.links.closed[reason] == 1)
+        assert end.received == []
         writer.close()
         end.links.close()
 
     played(main)
 
 
-def test_two_links_between_two_voters_carry_one_order() -> None:
-    """An older message that came after a newer one would take back what that one told."""
+def test_messages_keep_their_order_over_two_links() -> None:
+    """If an older message arrived after a newer one, it would overwrite the newer state."""
 
     async def main(loop: VirtualLoop) -> None:
-        ends = {name: End(loop, name) for name in ("r0", "r1")}
+        ends = {name: LinkEnd(loop, name) for name in ("r0", "r1")}
         ports = {name: await end.listen() for name, end in ends.items()}
         for name, end in ends.items():
             end.links.dial({other: f"127.0.0.1:{port}" for other, port in ports.items() if other != name})
@@ -115,9 +115,9 @@
                 ends[source].links.send(to, b"%d" % number, f"{to}.1" if number % 2 else "")
                 if number % 7 == 0:
                     await asyncio.sleep(0)
-        await until(lambda: all(len(end.came) == 100 for end in ends.values()))
+        await until(lambda: all(len(end.received) == 100 for end in ends.values()))
         for end in ends.values():
-            assert [int(data) for _, data in end.came] == list(range(100))
+            assert [int(data) for _, data in end.received] == list(range(100))
             end.links.close()
 
     played(main)
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -1,4 +1,4 @@
-"""Logs and whole files that last: torn tails are cut, damage is refused, a full disk loses nothing."""
+"""Durable logs and files: torn tails are cut off, damage is rejected, and a full disk loses no records."""
 
 from __future__ import annotations
 
@@ -13,182 +13,182 @@
 from pebblepass.storage.frames import SECTOR_BYTES, FileHeader, StorageError
 from pebblepass.storage.log import Log
 
-HEAD = FileHeader("test-log", 1, "fleet/r0")
+HEADER = FileHeader("test-log", 1, "fleet/r0")
 
 
-class PowerCut(BaseException):
-    """The power goes at this step."""
+class PowerLossError(BaseException):
+    """Simulates a power loss at a step of the disk."""
 
 
-def begun(disk: PowerDisk | Directory, *records: bytes) -> Log:
-    log = Log(disk, "log", HEAD)
+def create_log(disk: PowerDisk | Directory, *records: bytes) -> Log:
+    log = Log(disk, "log", HEADER)
     log.write_snapshot(list(records))
     return log
 
 
-def reopened(disk: PowerDisk | Directory) -> list[bytes] | None:
-    return Log(disk, "log", HEAD).open()
+def read_log(disk: PowerDisk | Directory) -> list[bytes] | None:
+    return Log(disk, "log", HEADER).open()
 
 
-def test_what_was_written_is_read_back_by_the_next_process(tmp_path: Path) -> None:
-    log = begun(Directory(tmp_path), b"first")
+def test_records_are_read_back_by_the_next_process(tmp_path: Path) -> None:
+    log = create_log(Directory(tmp_path), b"first")
     log.append([b"a", b""])
     log.append([b"b" * 2000])
-    assert reopened(Directory(tmp_path)) == [b"first", b"a", b"", b"b" * 2000]
+    assert read_log(Directory(tmp_path)) == [b"first", b"a", b"", b"b" * 2000]
 
 
-def test_a_power_loss_at_every_step_keeps_what_was_promised() -> None:
-    """All that `write` returned for is there, in order, and at most the one record that was under way."""
-    for cut_at in range(1, 40):
+def test_power_loss_at_any_step_keeps_appended_records() -> None:
+    """All appended records are read back in order, and at most the one that was being written in addition."""
+    for fail_step in range(1, 40):
         for seed in range(12):
             disk = PowerDisk()
-            promised: list[bytes] = []
-            under_way = b""
+            appended: list[bytes] = []
+            pending = b""
 
-            def cut(_: str, disk: PowerDisk = disk, cut_at: int = cut_at) -> None:
-                if disk.steps == cut_at:
-                    raise PowerCut
+            def cut_power(_: str, disk: PowerDisk = disk, fail_step: int = fail_step) -> None:
+                if disk.steps == fail_step:
+                    raise PowerLossError
 
-            disk.before = cut
-            log = Log(disk, "log", HEAD)
-            begun_whole = False
+            disk.before = cut_power
+            log = Log(disk, "log", HEADER)
+            is_created = False
             try:
                 log.write_snapshot([b"s0"])
-                promised, begun_whole = [b"s0"], True
+                appended, is_created = [b"s0"], True
                 for number in range(8):
-                    under_way = b"%d" % number * random.Random(number).randint(1, 1500)
-                    log.append([under_way])
-                    promised.append(under_way)
+                    pending = b"%d" % number * random.Random(number).randint(1, 1500)
+                    log.append([pending])
+                    appended.append(pending)
                     if number == 4:
-                        summary = b"sum" + b"|".join(promised)
-                        under_way = summary
-                        log.write_snapshot([summary])
-                        promised = [summary]
-            except PowerCut:
+                        snapshot = b"sum" + b"|".join(appended)
+                        pending = snapshot
+                        log.write_snapshot([snapshot])
+                        appended = [snapshot]
+            except PowerLossError:
                 pass
             disk.before = lambda _: None
             disk.lose_power(random.Random(seed))
-            found = reopened(disk) if begun_whole else None
-            if begun_whole:
-                assert found in (promised, [*promised, under_way], [under_way]), (cut_at, seed)
+            records = read_log(disk) if is_created else None
+            if is_created:
+                assert records in (appended, [*appended, pending], [pending]), (fail_step, seed)
 
 
-def test_a_torn_tail_is_cut_and_the_log_goes_on(tmp_path: Path) -> None:
-    log = begun(Directory(tmp_path), b"first")
+def test_torn_tail_is_cut_off_and_the_log_continues(tmp_path: Path) -> None:
+    log = create_log(Directory(tmp_path), b"first")
     log.append([b"second"])
     with (tmp_path / "log").open("ab") as file:
         file.write(b"\x40\x00\x00\x00half a fra")
-    log = Log(Directory(tmp_path), "log", HEAD)
+    log = Log(Directory(tmp_path), "log", HEADER)
     assert log.open() == [b"first", b"second"]
     assert log.truncated_bytes == 14
     log.append([b"third"])
-    assert reopened(Directory(tmp_path)) == [b"first", b"second", b"third"]
+    assert read_log(Directory(tmp_path)) == [b"first", b"second", b"third"]
 
 
-def test_a_lost_sector_of_the_last_record_is_torn_and_a_flipped_bit_is_damage(tmp_path: Path) -> None:
-    log = begun(Directory(tmp_path), b"first")
+def test_lost_sector_at_the_end_is_torn_and_flipped_bit_is_damage(tmp_path: Path) -> None:
+    log = create_log(Directory(tmp_path), b"first")
     log.append([b"x" * (3 * SECTOR_BYTES)])
-    whole = (tmp_path / "log").read_bytes()
-    lost = bytearray(whole)
-    lost[SECTOR_BYTES : 2 * SECTOR_BYTES] = bytes(SECTOR_BYTES)
-    (tmp_path / "log").write_bytes(lost)
-    assert reopened(Directory(tmp_path)) == [b"first"]
-    flipped = bytearray(whole)
+    intact = (tmp_path / "log").read_bytes()
+    losses = bytearray(intact)
+    losses[SECTOR_BYTES : 2 * SECTOR_BYTES] = bytes(SECTOR_BYTES)
+    (tmp_path / "log").write_bytes(losses)
+    assert read_log(Directory(tmp_path)) == [b"first"]
+    flipped = bytearray(intact)
     flipped[-5] ^= 1
     (tmp_path / "log").write_bytes(flipped)
     with pytest.raises(StorageError, match=r"^log: damaged at byte \d+$"):
-        reopened(Directory(tmp_path))
+        read_log(Directory(tmp_path))
 
 
-def test_each_flipped_byte_before_the_last_record_is_refused(tmp_path: Path) -> None:
-    log = begun(Directory(tmp_path), b"first")
+def test_corrupt_byte_before_the_last_record_is_rejected(tmp_path: Path) -> None:
+    log = create_log(Directory(tmp_path), b"first")
     log.append([b"second"])
     log.append([b"third"])
-    whole = (tmp_path / "log").read_bytes()
-    last = whole.index(b"third") - 12
-    for at in range(last):
-        flipped = bytearray(whole)
-        flipped[at] ^= 0x41
+    intact = (tmp_path / "log").read_bytes()
+    last = intact.index(b"third") - 12
+    for position in range(last):
+        flipped = bytearray(intact)
+        flipped[position] ^= 0x41
         (tmp_path / "log").write_bytes(flipped)
         with pytest.raises(StorageError):
-            reopened(Directory(tmp_path))
+            read_log(Directory(tmp_path))
 
 
 @pytest.mark.parametrize(
-    ("head", "said"),
+    ("header", "expected"),
     [
         (FileHeader("test-log", 2, "fleet/r0"), "the file has version 1, this program writes 2"),
         (FileHeader("test-log", 1, "fleet/r1"), "the file belongs to fleet/r0, not fleet/r1"),
         (FileHeader("other", 1, "fleet/r0"), "the file has another format: test-log"),
     ],
 )
-def test_a_foreign_log_is_refused_in_one_plain_line(head: FileHeader, said: str) -> None:
+def test_log_with_another_header_is_rejected_in_one_line(header: FileHeader, expected: str) -> None:
     disk = PowerDisk()
-    begun(disk, b"first")
+    create_log(disk, b"first")
     with pytest.raises(StorageError) as error:
-        Log(disk, "log", head).open()
-    assert str(error.value) == f"log: {said}"
+        Log(disk, "log", header).open()
+    assert str(error.value) == f"log: {expected}"
 
 
-def test_after_a_write_that_failed_nothing_is_promised_until_the_log_is_begun_anew() -> None:
-    """What a failed sync has lost no later sync tells of: the pages may count as clean."""
-    full = [False]
+def test_append_after_a_failed_write_needs_a_new_snapshot() -> None:
+    """A later sync does not report what a failed sync lost, as the kernel may mark the pages as clean."""
+    disk_is_full = [False]
 
     def before(step: str) -> None:
-        if full[0] and step in ("append", "sync"):
+        if disk_is_full[0] and step in ("append", "sync"):
             raise OSError(errno.ENOSPC, "No space left on device")
 
     disk = PowerDisk(before)
-    log = begun(disk, b"first")
-    full[0] = True
+    log = create_log(disk, b"first")
+    disk_is_full[0] = True
     with pytest.raises(OSError, match="No space"):
         log.append([b"second"])
-    full[0] = False
+    disk_is_full[0] = False
     with pytest.raises(OSError, match="an earlier write failed; the log needs a new snapshot"):
         log.append([b"third"])
     assert log.needs_snapshot
     log.write_snapshot([b"all"])
     log.append([b"fourth"])
-    assert reopened(disk) == [b"all", b"fourth"]
+    assert read_log(disk) == [b"all", b"fourth"]
 
 
-def test_a_whole_file_is_the_old_or_the_new_one_at_every_step() -> None:
-    for cut_at in range(1, 6):
+def test_replaced_file_is_old_or_new_after_power_loss() -> None:
+    for fail_step in range(1, 6):
         for seed in range(20):
             disk = PowerDisk()
             replace_file(disk, "file", b"old" * 400)
             disk.steps = 0
 
-            def cut(_: str, disk: PowerDisk = disk, cut_at: int = cut_at) -> None:
-                if disk.steps == cut_at:
-                    raise PowerCut
+            def cut_power(_: str, disk: PowerDisk = disk, fail_step: int = fail_step) -> None:
+                if disk.steps == fail_step:
+                    raise PowerLossError
 
-            disk.before = cut
-            done = False
+            disk.before = cut_power
+            is_replaced = False
             try:
                 replace_file(disk, "file", b"new" * 500)
-                done = True
-            except PowerCut:
+                is_replaced = True
+            except PowerLossError:
                 pass
             disk.before = lambda _: None
             disk.lose_power(random.Random(seed))
-            assert disk.read("file") in ((b"new" * 500,) if done else (b"old" * 400, b"new" * 500))
+            assert disk.read("file") in ((b"new" * 500,) if is_replaced else (b"old" * 400, b"new" * 500))
 
 
-def test_a_disk_that_lies_about_its_sync_loses_a_promise() -> None:
-    """The known broken variant: the check above can fail."""
-    lost = 0
+def test_disk_that_ignores_sync_loses_records() -> None:
+    """Shows that the power loss tests can fail."""
+    losses = 0
     for seed in range(20):
         disk = PowerDisk()
-        log = begun(disk, b"first")
+        log = create_log(disk, b"first")
         disk.lies = True
         log.append([b"second"])
         disk.lose_power(random.Random(seed))
-        lost += reopened(disk) != [b"first", b"second"]
-    assert lost > 5
+        losses += read_log(disk) != [b"first", b"second"]
+    assert losses > 5
 
 
-def test_two_processes_cannot_hold_one_folder(tmp_path: Path) -> None:
+def test_two_processes_cannot_lock_one_directory(tmp_path: Path) -> None:
     first, second = Directory(tmp_path), Directory(tmp_path)
     assert first.lock()
     assert not second.lock()
