--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -94,9 +94,8 @@
     assert not granter.is_released(1, 1)
     assert granter.request(ProcessId("r1", "b"), 6, 2, 1)
     assert granter.is_released(1, 1)
-    assert not LeaseGranter(TERMS, 0, restarted=True).is_released(
-        1, SECOND
-    )  # leases of the earlier run may be valid
+    # After a restart, leases of the earlier run may still be valid.
+    assert not LeaseGranter(TERMS, 0, restarted=True).is_released(1, SECOND)
 
 
 def test_log_stays_bounded_over_ten_thousand_changes() -> None:
--- a/tests/discovery/__init__.py
+++ b/tests/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Where nodes come from."""
+"""Tests of `pebblepass.discovery`."""
--- a/tests/discovery/test_bounds.py
+++ b/tests/discovery/test_bounds.py
@@ -1,4 +1,4 @@
-"""A list of 1,100 servers, written as long as discovery may write it, is read whole."""
+"""A delta of 1,100 servers in its longest form is within the limit of a response body."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 SERVERS = 1100
 
 
-def body() -> bytes:
-    """Indented, with long names, and each server named twice: once as removed."""
+def delta_body() -> bytes:
+    """Return an indented delta with long names, in which each server is listed twice, once as removed."""
     names = [f"cache-{number:04d}.zone-a.region-1" for number in range(SERVERS)]
     instances = [
         {
@@ -30,9 +30,9 @@
     return json.dumps({"generation": 41, "reset": False, "instances": instances}, indent=4).encode()
 
 
-def test_a_change_of_1100_servers_is_far_under_the_longest_body() -> None:
-    told = body()
-    assert len(told) <= MAX_BODY // 8
-    listing = parse_endpoint_list(json.loads(told), ClockOffset(0, 0))
-    assert len(listing.change.servers) == 2 * SERVERS
-    assert len(listing.addresses) == SERVERS
+def test_delta_of_1100_servers_is_far_below_the_body_limit() -> None:
+    data = delta_body()
+    assert len(data) <= MAX_BODY // 8
+    endpoint_list = parse_endpoint_list(json.loads(data), ClockOffset(0, 0))
+    assert len(endpoint_list.change.servers) == 2 * SERVERS
+    assert len(endpoint_list.addresses) == SERVERS
--- a/tests/discovery/test_call_schedule.py
+++ b/tests/discovery/test_call_schedule.py
@@ -1,4 +1,4 @@
-"""What the next call of discovery is, by the events before it: no sockets, no clock."""
+"""The schedule of calls: the wait and the timeout of the next call by how earlier calls ended."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     return CallSchedule(timing, random.Random(seed))
 
 
-def test_answered_calls_are_followed_by_long_waits_that_differ() -> None:
+def test_successful_calls_are_followed_by_random_long_waits() -> None:
     schedule = make_schedule(POLL_TIMING)
     waits = set()
     for _ in range(50):
@@ -34,7 +34,7 @@
     assert make_schedule(PUSH_TIMING).plan(full=False) == PlannedCall(2.0, 2.5)
 
 
-def test_a_silence_is_followed_by_a_call_for_an_answer_at_once_and_a_short_watch() -> None:
+def test_timeout_is_followed_by_immediate_call_and_short_watch() -> None:
     schedule = make_schedule(POLL_TIMING)
     schedule.plan(full=False)
     assert schedule.record_failure(timed_out=True) is True
@@ -47,7 +47,7 @@
     assert schedule.plan(full=False).timeout_s > POLL_TIMING.min_wait_s
 
 
-def test_silences_in_a_row_give_a_busy_discovery_time_and_cost_no_further_call() -> None:
+def test_consecutive_timeouts_get_longer_without_extra_calls() -> None:
     schedule = make_schedule(POLL_TIMING)
     timeouts = []
     for _ in range(5):
@@ -55,14 +55,14 @@
         assert schedule.record_failure(timed_out=True) is True
         timeouts.append(schedule.plan(full=False).timeout_s)
     assert all(
-        least <= timeout_s <= 1.05 * least
-        for least, timeout_s in zip((1.0, 1.5, 2.2, 2.2, 2.2), timeouts, strict=True)
+        minimum <= timeout_s <= 1.05 * minimum
+        for minimum, timeout_s in zip((1.0, 1.5, 2.2, 2.2, 2.2), timeouts, strict=True)
     )
     schedule.record_success()
     assert schedule.plan(full=False).timeout_s > POLL_TIMING.min_wait_s
 
 
-def test_another_failure_is_followed_by_a_pause_and_a_short_watch() -> None:
+def test_other_failure_is_followed_by_backoff_and_short_watch() -> None:
     schedule = make_schedule(POLL_TIMING)
     for _ in range(3):
         schedule.plan(full=False)
@@ -74,7 +74,7 @@
     assert schedule.plan(full=False).timeout_s > POLL_TIMING.min_wait_s
 
 
-def test_a_whole_list_is_asked_for_at_once_whatever_came_before() -> None:
+def test_full_list_is_always_requested_without_wait() -> None:
     schedule = make_schedule(POLL_TIMING)
     for timed_out in (False, True, False):
         wait_s, timeout_s = schedule.plan(full=True)
@@ -86,14 +86,14 @@
 
 
 @pytest.mark.parametrize("timing", [PUSH_TIMING, POLL_TIMING])
-def test_every_order_of_failures_leaves_calls_that_end_in_time(timing: WatchTiming) -> None:
-    """Two calls in a row, of which the first fails in silence, behind any three: over within 6 s."""
+def test_two_calls_after_any_failures_end_within_deadline(timing: WatchTiming) -> None:
+    """After any three calls, two calls in a row of which the first times out take less than 6 s."""
     for number in range(4**3):
         schedule = make_schedule(timing, number)
-        for step in (number % 4, number // 4 % 4, number // 16):
+        for outcome in (number % 4, number // 4 % 4, number // 16):
             schedule.plan(full=False)
-            if step < 2:
-                schedule.record_failure(timed_out=step == 0)
+            if outcome < 2:
+                schedule.record_failure(timed_out=outcome == 0)
             else:
                 schedule.record_success()
         if not schedule.is_failing:
--- a/tests/discovery/test_discovery_faults.py
+++ b/tests/discovery/test_discovery_faults.py
@@ -1,4 +1,4 @@
-"""Discovery that breaks in every way, by the sum over forty routers: virtual time, real loopback sockets."""
+"""Faults of the discovery service with forty polling routers, on loopback sockets in virtual time."""
 
 from __future__ import annotations
 
@@ -29,160 +29,170 @@
 
 ROUTERS, SERVERS = 40, 20
 FAULT_S = 10
-GOOD = [f"s{i}" for i in range(SERVERS)]
-Says = Callable[[int, int], bytes | None]
-"""What is written for a call (the version it has, its number); None: the connection is reset."""
+NAMES = [f"s{i}" for i in range(SERVERS)]
+Responder = Callable[[int, int], bytes | None]
+"""Returns the response to a call, given its generation and number; None: the connection is reset."""
 
 
-def entry(name: str, lifecycle: str = "up") -> dict[str, object]:
+def server_entry(name: str, lifecycle: str = "up") -> dict[str, object]:
     return {"instanceId": name, "hostPort": "127.0.0.1:7", "machineType": "std", "lifecycle": lifecycle}
 
 
-def told(generation: int, entries: list[dict[str, object]], whole: bool) -> bytes:
-    body = msgspec.json.encode({"generation": generation, "reset": whole, "instances": entries})
+def list_response(generation: int, entries: list[dict[str, object]], full: bool) -> bytes:
+    body = msgspec.json.encode({"generation": generation, "reset": full, "instances": entries})
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
-def text(body: bytes, length: int | None = None) -> bytes:
+def raw_response(body: bytes, length: int | None = None) -> bytes:
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (length or len(body), body)
 
 
-class Registry:
-    """Says what it is told to, and notes when it was asked."""
+class ScriptedRegistry:
+    """A discovery service that responds by a function, and records when it was called."""
 
-    def __init__(self, loop: VirtualLoop, says: Says) -> None:
-        self.loop, self.says = loop, says
+    def __init__(self, loop: VirtualLoop, responder: Responder) -> None:
+        self.loop, self.responder = loop, responder
         self.calls: list[float] = []
-        self.lines: list[asyncio.Transport] = []
+        self.connections: list[asyncio.Transport] = []
 
     async def open(self) -> tuple[str, int]:
-        server = await self.loop.create_server(lambda: Line(self), "127.0.0.1", 0)
+        server = await self.loop.create_server(lambda: ScriptedConnection(self), "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
         return host, port
 
-    def busiest(self, begins: float, ends: float) -> int:
-        """The most calls that came in one second between these times."""
-        return max(Counter(int(at) for at in self.calls if begins <= at < ends).values(), default=0)
+    def peak_calls_per_second(self, start: float, end: float) -> int:
+        """Return the largest number of calls in one second between two times."""
+        return max(Counter(int(time) for time in self.calls if start <= time < end).values(), default=0)
 
 
-class Line(asyncio.Protocol):
-    def __init__(self, registry: Registry) -> None:
+class ScriptedConnection(asyncio.Protocol):
+    def __init__(self, registry: ScriptedRegistry) -> None:
         self.registry = registry
-        self.held = b""
+        self.buffer = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        self.held += data
-        while b"\r\n\r\n" in self.held:
-            head, _, self.held = self.held.partition(b"\r\n\r\n")
+        self.buffer += data
+        while b"\r\n\r\n" in self.buffer:
+            head, _, self.buffer = self.buffer.partition(b"\r\n\r\n")
             self.registry.calls.append(self.registry.loop.time())
-            version = int(head.partition(b"index=")[2].partition(b"&")[0])
-            answer = self.registry.says(version, len(self.registry.calls))
-            if answer is None:
+            known_generation = int(head.partition(b"index=")[2].partition(b"&")[0])
+            response = self.registry.responder(known_generation, len(self.registry.calls))
+            if response is None:
                 self.transport.abort()
                 return
-            self.transport.write(answer)
+            self.transport.write(response)
 
 
-class Follower:
-    """A router that follows the list, as the daemon has it."""
+class PollingRouter:
+    """A router that polls the service, connected to its decisions as in the daemon."""
 
     def __init__(self, loop: VirtualLoop, address: tuple[str, int], seed: int) -> None:
         self.loop = loop
         self.router = Router(settings(must_subscribe=True, subscribe_within=8 * S, routers=ROUTERS), seed)
         clock = ClockOffset(loop.time_ns(), loop.unix_ns())
-        self.discovery = DiscoveryClient(address, True, clock, self._take, self._failed, random.Random(seed))
-        self.seen: list[ListKind] = []
-        self._tell(ServersChanged(ListKind.CACHED))
+        self.discovery = DiscoveryClient(address, True, clock, self._apply, self._failed, random.Random(seed))
+        self.kinds: list[ListKind] = []
+        self._handle(ServersChanged(ListKind.CACHED))
 
-    def _take(self, listing: EndpointList) -> None:
-        self.seen.append(listing.change.kind)
-        self._tell(listing.change)
+    def _apply(self, endpoint_list: EndpointList) -> None:
+        self.kinds.append(endpoint_list.change.kind)
+        self._handle(endpoint_list.change)
 
     def _failed(self) -> None:
-        self._tell(ServersChanged(ListKind.FAILED))
+        self._handle(ServersChanged(ListKind.FAILED))
 
-    def _tell(self, event: Event) -> None:
+    def _handle(self, event: Event) -> None:
         for action in self.router.handle(event, self.loop.time_ns()):
-            self._carry_out(action)
+            self._perform(action)
 
-    def _carry_out(self, action: Action) -> None:
+    def _perform(self, action: Action) -> None:
         if isinstance(action, SetTimer):
-            self.loop.call_later(action.delay / S, lambda: self._tell(TimerFired(action.token)))
+            self.loop.call_later(action.delay / S, lambda: self._handle(TimerFired(action.token)))
         elif isinstance(action, Subscribe):
             self.discovery.subscribe()
 
     @property
-    def held(self) -> list[str]:
+    def ready_servers(self) -> list[str]:
         return sorted(server.id for server in self.router.ready_servers())
 
 
-def newer(generation: int, entries: list[dict[str, object]]) -> Says:
-    """This whole list for whoever has an older one; the others wait."""
-    return lambda version, number: told(generation, entries, True) if version < generation else b""
+def list_if_newer(generation: int, entries: list[dict[str, object]]) -> Responder:
+    """Return the full list to calls with an older generation, and nothing to other calls."""
+    return lambda known_generation, number: (
+        list_response(generation, entries, True) if known_generation < generation else b""
+    )
 
 
-FAULTS: dict[str, Says] = {
-    "503": lambda version, number: b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n",
-    "reset": lambda version, number: None,
-    "silence": lambda version, number: b"",
-    "half a body": lambda version, number: text(b'{"generation":6,"reset":true,"instances":[', 400),
-    "no JSON": lambda version, number: text(b"<html>"),
-    "nested too deep": lambda version, number: text(b"[" * 100_000),
-    "a missing field": lambda version, number: text(
+FAULTS: dict[str, Responder] = {
+    "503": lambda known_generation, number: b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n",
+    "reset": lambda known_generation, number: None,
+    "stall": lambda known_generation, number: b"",
+    "truncated body": lambda known_generation, number: raw_response(
+        b'{"generation":6,"reset":true,"instances":[', 400
+    ),
+    "invalid JSON": lambda known_generation, number: raw_response(b"<html>"),
+    "nested too deep": lambda known_generation, number: raw_response(b"[" * 100_000),
+    "missing field": lambda known_generation, number: raw_response(
         b'{"generation":6,"reset":true,"instances":[{"instanceId":"x"}]}'
     ),
-    "an unknown state": lambda version, number: told(6, [entry("s1", "asleep")], False),
-    "one bad entry among good ones": lambda version, number: told(6, [entry("s1", "removed"), {}], False),
-    "in turn": lambda version, number: FAULTS[list(FAULTS)[number % 9]](version, number),
+    "unknown state": lambda known_generation, number: list_response(6, [server_entry("s1", "asleep")], False),
+    "one invalid entry": lambda known_generation, number: list_response(
+        6, [server_entry("s1", "removed"), {}], False
+    ),
+    "all in turn": lambda known_generation, number: FAULTS[list(FAULTS)[number % 9]](
+        known_generation, number
+    ),
 }
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_the_list_in_force_stays_whole_and_calls_are_bounded(fault: str) -> None:
-    async def test(loop: VirtualLoop) -> None:
-        registry = Registry(loop, newer(5, [entry(name) for name in GOOD]))
+def test_fault_keeps_the_list_and_bounds_the_calls(fault: str) -> None:
+    async def scenario(loop: VirtualLoop) -> None:
+        registry = ScriptedRegistry(loop, list_if_newer(5, [server_entry(name) for name in NAMES]))
         address = await registry.open()
-        followers = [Follower(loop, address, seed) for seed in range(ROUTERS)]
+        routers = [PollingRouter(loop, address, seed) for seed in range(ROUTERS)]
         await asyncio.sleep(5)
-        assert [follower.held for follower in followers] == [sorted(GOOD)] * ROUTERS
+        assert [router.ready_servers for router in routers] == [sorted(NAMES)] * ROUTERS
 
-        registry.says = FAULTS[fault]
-        await asyncio.sleep(20)  # the watches that waited are over by now, and all meet the fault
-        begins = loop.time()
+        registry.responder = FAULTS[fault]
+        await asyncio.sleep(20)  # all watches that were open have ended, and later calls fail
+        start = loop.time()
         await asyncio.sleep(FAULT_S)
-        assert [follower.held for follower in followers] == [sorted(GOOD)] * ROUTERS
-        # Each asks once in 1.3 to 1.9 s by now, and one that meets silence once in 2.2 s.
-        assert registry.busiest(begins, loop.time()) <= ROUTERS
-        asked = sum(begins <= at for at in registry.calls)
-        assert asked <= ROUTERS * FAULT_S // 1.5
+        assert [router.ready_servers for router in routers] == [sorted(NAMES)] * ROUTERS
+        # By now each router calls once in 1.3 to 1.9 s, or once in 2.2 s if calls stall.
+        assert registry.peak_calls_per_second(start, loop.time()) <= ROUTERS
+        call_count = sum(start <= time for time in registry.calls)
+        assert call_count <= ROUTERS * FAULT_S // 1.5
 
-        drained = [entry(name, "draining" if name == "s3" else "up") for name in GOOD]
-        registry.says = newer(7, drained)
-        await asyncio.sleep(26)  # a watch that is silent is given up after 21.4 s
-        left = sorted(set(GOOD) - {"s3"})
-        assert [follower.held for follower in followers] == [left] * ROUTERS
-        for follower in followers:
-            follower.discovery.close()
+        entries = [server_entry(name, "draining" if name == "s3" else "up") for name in NAMES]
+        registry.responder = list_if_newer(7, entries)
+        await asyncio.sleep(26)  # a stalled watch times out after 21.4 s
+        remaining = sorted(set(NAMES) - {"s3"})
+        assert [router.ready_servers for router in routers] == [remaining] * ROUTERS
+        for router in routers:
+            router.discovery.close()
 
-    played(test)
+    played(scenario)
 
 
-def test_a_version_that_goes_back_and_an_empty_list_are_taken_whole() -> None:
-    async def test(loop: VirtualLoop) -> None:
+def test_full_list_with_older_generation_or_no_server_is_applied() -> None:
+    async def scenario(loop: VirtualLoop) -> None:
         steps = [
-            told(5, [entry(name) for name in GOOD], True),
-            told(3, [entry(name) for name in GOOD[:8]], True),
-            told(4, [], True),
-            told(5, [entry("s9")], False),
+            list_response(5, [server_entry(name) for name in NAMES], True),
+            list_response(3, [server_entry(name) for name in NAMES[:8]], True),
+            list_response(4, [], True),
+            list_response(5, [server_entry("s9")], False),
         ]
-        registry = Registry(loop, lambda version, number: steps[number - 1] if number <= len(steps) else b"")
-        follower = Follower(loop, await registry.open(), 7)
+        registry = ScriptedRegistry(
+            loop, lambda known_generation, number: steps[number - 1] if number <= len(steps) else b""
+        )
+        router = PollingRouter(loop, await registry.open(), 7)
         await asyncio.sleep(5)
-        assert follower.seen == [ListKind.FULL] * 3 + [ListKind.DELTA]
-        assert follower.held == ["s9"]
-        follower.discovery.close()
+        assert router.kinds == [ListKind.FULL] * 3 + [ListKind.DELTA]
+        assert router.ready_servers == ["s9"]
+        router.discovery.close()
 
-    played(test)
+    played(scenario)
--- a/tests/discovery/test_watches.py
+++ b/tests/discovery/test_watches.py
@@ -1,4 +1,4 @@
-"""When a change is heard of whose watch fell silent, in each phase, against the page's clock; and moves."""
+"""Watches that stall in any phase of a call, failures to apply a list, and changes of the address."""
 
 from __future__ import annotations
 
@@ -16,253 +16,254 @@
 from pebblepass.discovery.endpoint_list import ClockOffset, EndpointList
 from pebblepass.simulation.clock import VirtualLoop
 from tests.crossings import Bed, GatedLoop, crossing
-from tests.discovery.test_discovery_faults import Follower, entry
+from tests.discovery.test_discovery_faults import PollingRouter, server_entry
 
-SILENCE_S = 6.0  # after which what a silent watch misses counts as told
-AFTER_WAIT_S = 2.0  # or so long after its call's wait is over, if that is later
-RELOADED_S = 4.0  # after SIGHUP what the new address has to tell counts as told
-GRACE_S = 0.3  # the shortest of the settings that are known
+STALL_S = 6.0  # deadline for a change that a stalled watch misses, after the stall
+AFTER_WAIT_S = 2.0  # or after the end of the call's wait, if that is later
+RELOADED_S = 4.0  # deadline for the list of a new address, after a reload
+GRACE_S = 0.3  # the shortest grace in the known settings
 
 
-class Agent:
-    """Discovery at one address: a list with a version, and lines that fall silent when told to."""
+class RegistryStub:
+    """A discovery service at one address with one server. Its open watches can be stalled."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
         self.generation, self.drained = 1, False
-        self.lines: list[AgentLine] = []
-        self.opened: list[float] = []
-        """When each connection came."""
+        self.connections: list[StubConnection] = []
+        self.connected_at: list[float] = []
+        """When each connection was accepted."""
         self.calls: list[tuple[float, str]] = []
-        self.half = False
-        """Answers break off in their midst, and what follows is silence."""
+        self.truncates = False
+        """Whether responses are truncated and their connections then stall."""
         self.down = False
-        """Calls fail at once."""
+        """Whether calls fail immediately."""
         self.address = ("127.0.0.1", 0)
 
     async def open(self) -> None:
-        server = await self.loop.create_server(lambda: AgentLine(self), "127.0.0.1", 0)
+        server = await self.loop.create_server(lambda: StubConnection(self), "127.0.0.1", 0)
         self.address = server.sockets[0].getsockname()
 
     def drain(self) -> None:
-        """The list's one server begins to drain."""
+        """Let the only server begin to drain."""
         self.generation, self.drained = self.generation + 1, True
-        for line in self.lines:
-            line.look()
+        for connection in self.connections:
+            connection.notify()
 
-    def fall_silent(self) -> None:
-        """Every watch that is open says nothing from here on, and stays open."""
-        for line in self.lines:
-            line.silent = True
+    def stall(self) -> None:
+        """Let every open connection stay open without further responses."""
+        for connection in self.connections:
+            connection.stalled = True
 
-    def answer(self, whole: bool) -> bytes:
-        entries = [entry("s1", "draining" if self.drained else "up")]
-        body = msgspec.json.encode({"generation": self.generation, "reset": whole, "instances": entries})
+    def response(self, full: bool) -> bytes:
+        entries = [server_entry("s1", "draining" if self.drained else "up")]
+        body = msgspec.json.encode({"generation": self.generation, "reset": full, "instances": entries})
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
-class AgentLine(asyncio.Protocol):
-    def __init__(self, agent: Agent) -> None:
-        self.agent = agent
-        self.silent = False
+class StubConnection(asyncio.Protocol):
+    def __init__(self, registry: RegistryStub) -> None:
+        self.registry = registry
+        self.stalled = False
         self.version: int | None = None
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.agent.lines.append(self)
-        self.agent.opened.append(self.agent.loop.time())
+        self.registry.connections.append(self)
+        self.registry.connected_at.append(self.registry.loop.time())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.agent.lines.remove(self)
+        self.registry.connections.remove(self)
 
     def data_received(self, data: bytes) -> None:
         target = data.split(b" ")[1].decode()
-        self.agent.calls.append((self.agent.loop.time(), target))
-        if self.agent.down:
+        self.registry.calls.append((self.registry.loop.time(), target))
+        if self.registry.down:
             self.transport.write(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
             return
         if "index=" not in target:
-            self.say(whole=True)
+            self.respond(full=True)
             return
         self.version = int(target.partition("index=")[2].partition("&")[0])
         wait = int(target.partition("wait=")[2]) / 1000
-        self.agent.loop.call_later(wait, self.waited, self.version)
-        self.look()
+        self.registry.loop.call_later(wait, self.wait_expired, self.version)
+        self.notify()
 
-    def look(self) -> None:
-        if self.version is not None and self.version < self.agent.generation:
-            self.say(whole=False)
+    def notify(self) -> None:
+        if self.version is not None and self.version < self.registry.generation:
+            self.respond(full=False)
 
-    def waited(self, version: int) -> None:
+    def wait_expired(self, version: int) -> None:
         if self.version == version:
-            self.say(whole=False)
+            self.respond(full=False)
 
-    def say(self, whole: bool) -> None:
+    def respond(self, full: bool) -> None:
         self.version = None
-        if not self.silent:
-            answer = self.agent.answer(whole)
-            self.transport.write(answer[:-20] if self.agent.half else answer)
-            self.silent = self.agent.half
+        if not self.stalled:
+            response = self.registry.response(full)
+            self.transport.write(response[:-20] if self.registry.truncates else response)
+            self.stalled = self.registry.truncates
 
 
-class Watcher:
-    """A router's discovery where lists are pushed, and when it heard of what."""
+class PushWatcher:
+    """The discovery client of a router whose service pushes, with the lists that it applied and when."""
 
-    def __init__(self, loop: VirtualLoop, agent: Agent) -> None:
+    def __init__(self, loop: VirtualLoop, registry: RegistryStub) -> None:
         self.loop = loop
-        self.heard: list[tuple[float, EndpointList]] = []
-        self.faults = 0
+        self.received: list[tuple[float, EndpointList]] = []
+        self.remaining_faults = 0
         clock = ClockOffset(loop.time_ns(), loop.unix_ns())
         self.discovery = DiscoveryClient(
-            agent.address, False, clock, self.take, lambda: None, random.Random(1)
+            registry.address, False, clock, self.apply, lambda: None, random.Random(1)
         )
         self.discovery.start()
 
-    def take(self, listing: EndpointList) -> None:
-        if self.faults:
-            self.faults -= 1
-            raise RuntimeError("a fault in taking it")
-        self.heard.append((self.loop.time(), listing))
+    def apply(self, endpoint_list: EndpointList) -> None:
+        if self.remaining_faults:
+            self.remaining_faults -= 1
+            raise RuntimeError("applying the list failed")
+        self.received.append((self.loop.time(), endpoint_list))
 
     @property
-    def heard_at(self) -> float:
-        """When the drain was told; infinite if it was not."""
-        for at, listing in self.heard:
-            if any(server.state is ServerState.DRAINING for server in listing.change.servers):
-                return at
+    def applied_at(self) -> float:
+        """When the drain was applied; infinite if it was not."""
+        for time, endpoint_list in self.received:
+            if any(server.state is ServerState.DRAINING for server in endpoint_list.change.servers):
+                return time
         return float("inf")
 
 
-def watched(test: Callable[[GatedLoop, Agent], Awaitable[None]]) -> None:
-    async def main() -> None:
+def run_with_registry(scenario: Callable[[GatedLoop, RegistryStub], Awaitable[None]]) -> None:
+    async def run() -> None:
         loop = cast(GatedLoop, asyncio.get_running_loop())
-        agent = Agent(loop)
-        await agent.open()
-        await test(loop, agent)
+        registry = RegistryStub(loop)
+        await registry.open()
+        await scenario(loop, registry)
 
     with asyncio.Runner(loop_factory=GatedLoop) as runner:
-        runner.run(main())
+        runner.run(run())
 
 
-@pytest.mark.parametrize("again", ["answers", "connect hangs", "silent once more", "half an answer"])
+@pytest.mark.parametrize("next_watch", ["responds", "connect hangs", "stalls again", "truncated response"])
 @pytest.mark.parametrize("phase", [0.0, 0.001, 0.5, 1.0, 1.9, 1.999])
-def test_a_pushed_change_behind_a_silence_is_heard_before_it_counts_as_told(phase: float, again: str) -> None:
-    """The silence falls so long into a call; the next watch may fail as well."""
+def test_pushed_change_after_stall_is_applied_by_deadline(phase: float, next_watch: str) -> None:
+    """The watch stalls `phase` seconds into a call; the next watch may fail as well."""
 
-    async def test(loop: GatedLoop, agent: Agent) -> None:
-        watcher = Watcher(loop, agent)
+    async def scenario(loop: GatedLoop, registry: RegistryStub) -> None:
+        watcher = PushWatcher(loop, registry)
         await asyncio.sleep(0.05)
-        begun = agent.calls[-1][0]
-        await asyncio.sleep(max(begun + phase - loop.time(), 0))
-        agent.fall_silent()
-        silent_at = loop.time()
-        agent.drain()
-        agent.half = again == "half an answer"
-        if again == "connect hangs":
-            loop.set_silent(agent.address, True)
-            loop.call_later(5.5, loop.set_silent, agent.address, False)
-        if again in ("silent once more", "half an answer"):
-            while len(agent.calls) < 3:
+        call_started_at = registry.calls[-1][0]
+        await asyncio.sleep(max(call_started_at + phase - loop.time(), 0))
+        registry.stall()
+        stalled_at = loop.time()
+        registry.drain()
+        registry.truncates = next_watch == "truncated response"
+        if next_watch == "connect hangs":
+            loop.set_silent(registry.address, True)
+            loop.call_later(5.5, loop.set_silent, registry.address, False)
+        if next_watch in ("stalls again", "truncated response"):
+            while len(registry.calls) < 3:
                 await asyncio.sleep(0.01)
-            agent.fall_silent()
-            agent.half = False
-        told_by = max(silent_at + SILENCE_S, begun + PUSH_TIMING.min_wait_s + AFTER_WAIT_S)
-        await asyncio.sleep(told_by + GRACE_S - loop.time())
-        assert watcher.heard_at <= told_by + GRACE_S
+            registry.stall()
+            registry.truncates = False
+        deadline = max(stalled_at + STALL_S, call_started_at + PUSH_TIMING.min_wait_s + AFTER_WAIT_S)
+        await asyncio.sleep(deadline + GRACE_S - loop.time())
+        assert watcher.applied_at <= deadline + GRACE_S
         watcher.discovery.close()
 
-    watched(test)
+    run_with_registry(scenario)
 
 
 @pytest.mark.parametrize("phase", [0.0, 5.0, 13.0, 19.9])
-def test_an_asked_change_behind_a_silence_is_heard_before_it_counts_as_told(phase: float) -> None:
-    """By each of forty routers, whose draws differ."""
-
-    async def test(loop: GatedLoop, _: Agent) -> None:
-        async def one(seed: int) -> None:
-            agent = Agent(loop)
-            await agent.open()
-            follower = Follower(loop, agent.address, seed)
+def test_polled_change_after_stall_is_applied_by_deadline(phase: float) -> None:
+    """Forty routers, which draw different waits, all meet the deadline."""
+
+    async def scenario(loop: GatedLoop, _: RegistryStub) -> None:
+        async def run_router(seed: int) -> None:
+            registry = RegistryStub(loop)
+            await registry.open()
+            router = PollingRouter(loop, registry.address, seed)
             await asyncio.sleep(5.0)
-            begun = agent.calls[-1][0]
-            await asyncio.sleep(max(begun + phase - loop.time(), 0))
-            assert agent.calls[-1][0] == begun
-            agent.fall_silent()
-            agent.drain()
-            told_by = max(loop.time() + SILENCE_S, begun + POLL_TIMING.min_wait_s + AFTER_WAIT_S)
-            await asyncio.sleep(told_by + GRACE_S - loop.time())
-            assert follower.held == [], seed
-            follower.discovery.close()
+            call_started_at = registry.calls[-1][0]
+            await asyncio.sleep(max(call_started_at + phase - loop.time(), 0))
+            assert registry.calls[-1][0] == call_started_at
+            registry.stall()
+            registry.drain()
+            deadline = max(loop.time() + STALL_S, call_started_at + POLL_TIMING.min_wait_s + AFTER_WAIT_S)
+            await asyncio.sleep(deadline + GRACE_S - loop.time())
+            assert router.ready_servers == [], seed
+            router.discovery.close()
 
-        await asyncio.gather(*(one(seed) for seed in range(40)))
+        await asyncio.gather(*(run_router(seed) for seed in range(40)))
 
-    watched(test)
+    run_with_registry(scenario)
 
 
-def test_watches_that_fall_silent_all_at_once_are_not_opened_again_in_one_instant() -> None:
-    async def test(loop: GatedLoop, agent: Agent) -> None:
-        followers = [Follower(loop, agent.address, seed) for seed in range(40)]
+def test_stalled_watches_reconnect_at_different_times() -> None:
+    async def scenario(loop: GatedLoop, registry: RegistryStub) -> None:
+        routers = [PollingRouter(loop, registry.address, seed) for seed in range(40)]
         await asyncio.sleep(5.0)
-        calls = len(agent.calls)
-        agent.fall_silent()
+        calls = len(registry.calls)
+        registry.stall()
         await asyncio.sleep(POLL_TIMING.min_wait_s + AFTER_WAIT_S)
-        opened = agent.opened[40:]
-        assert len(opened) == 40
-        assert opened[-1] - opened[0] > 0.5
-        asked = sorted(at for at, _ in agent.calls[calls:])
-        assert max(sum(at <= each < at + 0.1 for each in asked) for at in asked) < 20
-        assert len(asked) <= 40 * 3, "an answer at once, a short watch, a long one"
-        for follower in followers:
-            follower.discovery.close()
+        connected_at = registry.connected_at[40:]
+        assert len(connected_at) == 40
+        assert connected_at[-1] - connected_at[0] > 0.5
+        call_times = sorted(time for time, _ in registry.calls[calls:])
+        assert max(sum(time <= other < time + 0.1 for other in call_times) for time in call_times) < 20
+        assert len(call_times) <= 40 * 3, "an immediate call, a short watch and a long one for each router"
+        for router in routers:
+            router.discovery.close()
 
-    watched(test)
+    run_with_registry(scenario)
 
 
-def test_a_fault_in_taking_a_list_loses_no_change() -> None:
-    async def test(loop: GatedLoop, agent: Agent) -> None:
-        watcher = Watcher(loop, agent)
+def test_failure_to_apply_a_list_loses_no_change() -> None:
+    async def scenario(loop: GatedLoop, registry: RegistryStub) -> None:
+        watcher = PushWatcher(loop, registry)
         await asyncio.sleep(0.05)
-        watcher.faults = 1
-        agent.drain()
+        watcher.remaining_faults = 1
+        registry.drain()
         await asyncio.sleep(1.0)
-        assert watcher.heard_at < float("inf")
-        assert watcher.heard[-1][1].change.kind is ListKind.FULL, (
-            "all of it: what the fault left is not known"
+        assert watcher.applied_at < float("inf")
+        assert watcher.received[-1][1].change.kind is ListKind.FULL, (
+            "it is unknown how much of the failed list was applied"
         )
-        assert len(agent.calls) < 8, "and not without a pause"
+        assert len(registry.calls) < 8, "there is a delay between calls"
         watcher.discovery.close()
 
-    watched(test)
+    run_with_registry(scenario)
 
 
-def test_changes_against_a_list_that_discovery_has_lost_are_not_taken() -> None:
-    async def test(loop: GatedLoop, agent: Agent) -> None:
-        agent.generation = 41
-        watcher = Watcher(loop, agent)
+def test_delta_of_restarted_service_is_replaced_by_full_list() -> None:
+    async def scenario(loop: GatedLoop, registry: RegistryStub) -> None:
+        registry.generation = 41
+        watcher = PushWatcher(loop, registry)
         await asyncio.sleep(0.05)
-        agent.generation, agent.drained = 2, True  # it was started anew, and counts from the start
+        # The service restarts and counts generations from the start.
+        registry.generation, registry.drained = 2, True
         await asyncio.sleep(PUSH_TIMING.min_wait_s + 0.5)
-        assert watcher.heard[-1][1].change.kind is ListKind.FULL
-        assert watcher.heard[-1][1].generation == 2
-        assert watcher.heard_at < float("inf")
+        assert watcher.received[-1][1].change.kind is ListKind.FULL
+        assert watcher.received[-1][1].generation == 2
+        assert watcher.applied_at < float("inf")
         watcher.discovery.close()
 
-    watched(test)
+    run_with_registry(scenario)
 
 
 @pytest.mark.parametrize("moves", ["ab", "aba", "abab", "abb"])
-@pytest.mark.parametrize("state", ["answers", "down", "slow", "hangs"])
-def test_pushed_lists_are_followed_where_the_last_reload_named(moves: str, state: str) -> None:
-    """A -> B and back, twice within 50 ms, with the new address down, hanging or slow for a while."""
+@pytest.mark.parametrize("state", ["responds", "down", "slow", "hangs"])
+def test_pushed_list_is_watched_at_last_reloaded_address(moves: str, state: str) -> None:
+    """The address changes from A to B and back within 50 ms; B is down, hanging or slow for some time."""
 
-    async def test(loop: GatedLoop, agent: Agent) -> None:
-        other = Agent(loop)
+    async def scenario(loop: GatedLoop, registry: RegistryStub) -> None:
+        other = RegistryStub(loop)
         await other.open()
-        agents = {"a": agent, "b": other}
-        watcher = Watcher(loop, agent)
+        registries = {"a": registry, "b": other}
+        watcher = PushWatcher(loop, registry)
         await asyncio.sleep(0.05)
-        last = agents[moves[-1]]
+        last = registries[moves[-1]]
         if last is other:
             other.down = state == "down"
             if state == "hangs":
@@ -272,59 +273,59 @@
                 loop.call_later(0.9, gate.set)
         reloaded = loop.time()
         for name in moves[1:]:
-            watcher.discovery.move(agents[name].address)
+            watcher.discovery.move(registries[name].address)
             await asyncio.sleep(0.02)
         await asyncio.sleep(1.5)
         if last is other:
-            agent.fall_silent()  # the old address has nothing more to say
+            registry.stall()  # the old address sends nothing more
         await asyncio.sleep(1.0)
         other.down = False
         loop.set_silent(other.address, False)
         last.drain()
         await asyncio.sleep(reloaded + RELOADED_S + GRACE_S - loop.time())
-        assert watcher.heard_at <= reloaded + RELOADED_S + GRACE_S
+        assert watcher.applied_at <= reloaded + RELOADED_S + GRACE_S
         watcher.discovery.close()
 
-    watched(test)
+    run_with_registry(scenario)
 
 
 @pytest.mark.parametrize("moves", ["ab", "abab"])
-def test_asked_lists_are_asked_for_at_the_new_address_until_it_answers(moves: str) -> None:
-    """The first call there fails, and the watch at the old address lives on in silence."""
+def test_polled_list_is_requested_at_new_address_until_answered(moves: str) -> None:
+    """The first call to the new address fails, and the watch at the old address stalls."""
 
-    async def test(loop: GatedLoop, agent: Agent) -> None:
-        other = Agent(loop)
+    async def scenario(loop: GatedLoop, registry: RegistryStub) -> None:
+        other = RegistryStub(loop)
         await other.open()
-        follower = Follower(loop, agent.address, 7)
+        router = PollingRouter(loop, registry.address, 7)
         await asyncio.sleep(2.0)
-        assert follower.held == ["s1"]
+        assert router.ready_servers == ["s1"]
         other.down = True
         for name in moves[1:]:
-            follower.discovery.move(agent.address if name == "a" else other.address)
+            router.discovery.move(registry.address if name == "a" else other.address)
             await asyncio.sleep(0.02)
-        agent.fall_silent()
+        registry.stall()
         other.drain()
         await asyncio.sleep(0.5)
         other.down = False
         await asyncio.sleep(RELOADED_S - 0.5 + GRACE_S)
-        assert follower.held == []
-        follower.discovery.close()
+        assert router.ready_servers == []
+        router.discovery.close()
 
-    watched(test)
+    run_with_registry(scenario)
 
 
-def test_a_module_that_fails_over_a_list_is_told_all_of_it_again() -> None:
-    """As the daemon has it: the host hides the fault from nobody who has to ask again."""
+def test_failure_in_decisions_requests_the_full_list_again() -> None:
+    """The daemon's host reports the failure, so that the client requests the full list."""
 
-    async def test(bed: Bed) -> None:
+    async def scenario(bed: Bed) -> None:
         router = bed.host._router
-        whole = router.handle
+        original_handle = router.handle
         failing = True
 
         def handle(event: object, now: int) -> object:
             if failing and type(event).__name__ == "ServersChanged":
-                raise RuntimeError("a fault in the decisions")
-            return whole(event, now)
+                raise RuntimeError("handling the list failed")
+            return original_handle(event, now)
 
         router.handle = handle
         assert bed.tell("a", state=ServerState.DRAINING) is False
@@ -332,4 +333,4 @@
         assert bed.tell("origin", whole=True) is True
         assert [server.id for server in router.ready_servers()] == ["origin"]
 
-    crossing(test)
+    crossing(scenario)
