--- a/pebblepass/consensus/change.py
+++ b/pebblepass/consensus/change.py
@@ -58,7 +58,7 @@
         """Whether the router is a voter and uses the disk with which it became one."""
         return name in self.voters and (self.any_disk or self.voters[name] == disk_id)
 
-    def promised(self, name: str, disk_id: str, promise: Promise) -> bool:
+    def add_promise(self, name: str, disk_id: str, promise: Promise) -> bool:
         """Count a promise; return whether there is a quorum of promises."""
         if promise.ballot == self.ballot and self.is_vote(name, disk_id):
             self._promises[name] = promise
@@ -69,7 +69,7 @@
         accepted = [promise for promise in self._promises.values() if promise.accepted is not None]
         return max(accepted, key=lambda promise: promise.accepted or NO_BALLOT).value if accepted else None
 
-    def accepted(self, name: str, disk_id: str, ballot: Ballot) -> bool:
+    def add_acceptance(self, name: str, disk_id: str, ballot: Ballot) -> bool:
         """Count an acceptance; return whether there is a quorum of acceptances."""
         if ballot == self.ballot and self.is_vote(name, disk_id):
             self._accepted.add(name)
--- a/pebblepass/consensus/disk_identity.py
+++ b/pebblepass/consensus/disk_identity.py
@@ -80,7 +80,7 @@
         if self.is_stale(sender):
             known = self.peer_starts[sender.name].start_count
             cause = f"start {sender.start_count}, but start {known} is known"
-            self._outbox.note("older disk", version, sender.name, cause)
+            self._outbox.log_step("older disk", version, sender.name, cause)
             self._outbox.send(sender.name, m.StaleDisk(sender.boot_id, known), sender.boot_id)
         elif self.peer_starts.get(sender.name) != start:
             self.peer_starts[sender.name] = start
@@ -117,5 +117,5 @@
             self.disk_id = f"{self._name}.{self._boot_id}.{report.start_count}"
             self.start_count = 1
             cause = "the disk may lack promises; this router has to rejoin with a new disk id"
-            self._outbox.note("older disk", version, self._name, cause)
+            self._outbox.log_step("older disk", version, self._name, cause)
             self._outbox.write_start(StartRecord(self.disk_id, self.start_count))
--- a/pebblepass/consensus/learner.py
+++ b/pebblepass/consensus/learner.py
@@ -106,7 +106,7 @@
         self.history.extend(history)
         self.decided_changes = {change.version: change.change_id for change in changes}
 
-    def restored(self) -> None:
+    def finish_recovery(self) -> None:
         """Finish the recovery: everything restored is durable."""
         self.durable_version = self.decided.version
 
@@ -124,7 +124,7 @@
         else:
             self.durable_version = value.version
 
-    def written(self) -> None:
+    def update_durable_version(self) -> None:
         """Update the durable version after a sync."""
         while self._pending_writes and self._outbox.is_synced(self._pending_writes[0].token):
             self.durable_version = self._pending_writes.popleft().version
@@ -133,7 +133,7 @@
         """Check whether this router can use the decided version; `before`: the previous one."""
         self.problem = self._check(before.policy, self.decided.policy)
         if self.problem:
-            self._outbox.note("unusable", self.version, self._name, self.problem)
+            self._outbox.log_step("unusable", self.version, self._name, self.problem)
 
     def check(self, request: m.PolicyCheck) -> m.PolicyCheckResult:
         """Check whether this router can use a proposed value."""
--- a/pebblepass/consensus/lease_client.py
+++ b/pebblepass/consensus/lease_client.py
@@ -130,24 +130,24 @@
         quota = self.quota_holder.total(now) if until else NO_QUOTA
         if until == self.until and quota == self._quota:
             return
-        self._note_quota(quota)
+        self._log_quota(quota)
         is_first = self.until <= now < until and self._last_leased_version != learner.version
         self.until = until
         if is_first:
             self._last_leased_version = learner.version
-            self._outbox.note("in force", learner.version)
+            self._outbox.log_step("in force", learner.version)
             proposer = learner.decided.proposer
             if proposer and proposer != self._setup.name:
                 self._outbox.send(proposer, m.Heartbeat())
             first_leased()
         self._outbox.emit(PolicyActivated(learner.decided, until, quota.rates, quota.until))
 
-    def _note_quota(self, quota: Quota) -> None:
+    def _log_quota(self, quota: Quota) -> None:
         before, self._quota = self._quota, quota
         if bool(before.rates) != bool(quota.rates):
             event = "shares" if quota.rates else "no shares"
             amounts = ", ".join(f"{name} {amount:.3g}" for name, amount in quota.rates)
-            self._outbox.note(event, self._learner.version, cause=amounts)
+            self._outbox.log_step(event, self._learner.version, cause=amounts)
 
     def send_releases(self) -> bool:
         """Release the parts by which quota leases became smaller; return whether there were any.
--- a/pebblepass/consensus/lease_server.py
+++ b/pebblepass/consensus/lease_server.py
@@ -121,7 +121,7 @@
         if self._disk.disk_id:
             # After a restart the voters of that version may have left the fleet and can't be asked again.
             self._outbox.write(ClosedRecord(version))
-        self._outbox.note("closed", version)
+        self._outbox.log_step("closed", version)
 
     def has_released(self, name: str, disk_id: str, version: int) -> bool:
         """Whether a voter with this disk has reported that it released a version."""
--- a/pebblepass/consensus/outbox.py
+++ b/pebblepass/consensus/outbox.py
@@ -47,7 +47,7 @@
         """Add an action."""
         self._actions.append(action)
 
-    def note(self, event: str, version: int, peer: str = "", cause: str = "") -> None:
+    def log_step(self, event: str, version: int, peer: str = "", cause: str = "") -> None:
         """Add a step of a change, to be logged and counted."""
         self._actions.append(ChangeStep(event, version, peer, cause))
 
@@ -67,7 +67,7 @@
             self.send(name, body)
 
     def write(self, record: Record) -> int:
-        """Write a record; return the token that `synced` receives once it is synced."""
+        """Write a record; return the token that `mark_synced` receives once it is synced."""
         self._last_token += 1
         self._actions.append(Write(self._last_token, (record,)))
         return self._last_token
@@ -83,7 +83,7 @@
         """
         self._waiting.append((self.write(record), to, body))
 
-    def synced(self, token: int) -> bool:
+    def mark_synced(self, token: int) -> bool:
         """Record that all writes up to this token are synced; return whether this start's has just been."""
         start_synced = self._synced_token < self._start_token <= token
         self._synced_token = max(self._synced_token, token)
--- a/pebblepass/consensus/proposer.py
+++ b/pebblepass/consensus/proposer.py
@@ -53,7 +53,7 @@
         now = self._outbox.now
         self.change = Change(value, self._learner.voters, now, now + self.conclusion_ns, takeover)
         event = "takeover" if takeover else "proposed"
-        self._outbox.note(event, value.version, cause=value.change_id)
+        self._outbox.log_step(event, value.version, cause=value.change_id)
         self._leave_waiting(self.change)
 
     def resume(self) -> None:
@@ -112,7 +112,7 @@
         change = self.change
         if change is None or change.phase is not Phase.PREPARING or promise.version != change.value.version:
             return
-        if not change.round.promised(sender.name, sender.disk_id, promise):
+        if not change.round.add_promise(sender.name, sender.disk_id, promise):
             return
         found = change.round.accepted_value()
         is_rival = found is not None and found.change_id != change.value.change_id
@@ -129,10 +129,10 @@
         change = self.change
         if change is None or change.phase is not Phase.ACCEPTING or message.version != change.value.version:
             return None
-        if not change.round.accepted(sender.name, sender.disk_id, message.ballot):
+        if not change.round.add_acceptance(sender.name, sender.disk_id, message.ballot):
             return None
         value = change.proposed_value
-        self._outbox.note("decided", value.version, cause=value.change_id)
+        self._outbox.log_step("decided", value.version, cause=value.change_id)
         return value
 
     def rejected(self, message: m.Rejected) -> None:
@@ -214,7 +214,7 @@
         assert change is not None
         self.change = None
         value = change.value
-        self._outbox.note("refused", value.version, cause=f"{value.change_id}: {reason}")
+        self._outbox.log_step("refused", value.version, cause=f"{value.change_id}: {reason}")
         if not change.takeover:
             self._verdicts.refuse(value.change_id, reason, value.version)
 
--- a/pebblepass/consensus/replica.py
+++ b/pebblepass/consensus/replica.py
@@ -73,7 +73,7 @@
         self._recovery = self.recovery_class(self.learner, self.acceptor, self.disk, self.lease_server)
         for record in records or ():
             self._recovery.restore(record)
-        self.learner.restored()
+        self.learner.finish_recovery()
         rng = rng or random.Random(f"{setup.seed} {setup.name} {setup.boot_id}")
         quota_holder = self.quota_holder_class(setup.terms)
         self.lease_client = LeaseClient(setup, self.learner, self._outbox, rng, quota_holder)
@@ -146,15 +146,15 @@
     def received(self, message: m.Message, now: int) -> list[Action]:
         """Handle a message from another router of the fleet."""
         self._outbox.begin(now)
-        self._take(message)
+        self._handle_message(message)
         return self._finish()
 
     def written(self, token: int, now: int) -> list[Action]:
         """Handle the sync of all writes up to this token."""
         self._outbox.begin(now)
-        if self._outbox.synced(token):
+        if self._outbox.mark_synced(token):
             self.lease_client.renew_at = now
-        self.learner.written()
+        self.learner.update_durable_version()
         self._outbox.send_waiting()
         self._settle()
         return self._finish()
@@ -192,15 +192,15 @@
         return max(min(times), now)
 
     def _finish(self) -> list[Action]:
-        self._take_loopback()
+        self._handle_loopback()
         self.lease_client.refresh(self.proposer.report_if_in_force)
         if self.lease_client.send_releases():
-            self._take_loopback()
+            self._handle_loopback()
         return self._outbox.finish()
 
-    def _take_loopback(self) -> None:
+    def _handle_loopback(self) -> None:
         while (message := self._outbox.next_loopback()) is not None:
-            self._take(message)
+            self._handle_message(message)
 
     # Messages
 
@@ -219,7 +219,7 @@
             self._voter.is_confirmed,
         )
 
-    def _take(self, message: m.Message) -> None:
+    def _handle_message(self, message: m.Message) -> None:
         sender, body = message.sender, message.body
         if sender.name != self.name:
             self._update_peer(sender)
@@ -227,10 +227,10 @@
             if is_renewal and not (sender.start_confirmed or self.disk.is_stale(sender)):
                 self._outbox.send(sender.name, m.StartConfirmed(sender.boot_id), sender.boot_id)
         for dispatch in (
-            self._take_lease_message,
-            self._take_peer_message,
-            self._take_round_message,
-            self._take_change_message,
+            self._handle_lease_message,
+            self._handle_peer_message,
+            self._handle_round_message,
+            self._handle_change_message,
         ):
             if dispatch(sender, body):
                 break
@@ -240,7 +240,7 @@
         """Record the sender's state, which every message carries."""
         now, learner = self._outbox.now, self.learner
         if not self.peers.is_alive(sender.name, now):
-            self._outbox.note("heard", learner.version, sender.name)
+            self._outbox.log_step("heard", learner.version, sender.name)
         self.peers.record(sender, now)
         if sender.disk_id and sender.name in learner.voters:
             self.disk.record_peer(sender, learner.version)
@@ -248,7 +248,7 @@
             self.lease_server.close(sender.closed_version)
         learner.catch_up(sender, self.setup.terms.duration // REPEATS_PER_LEASE)
 
-    def _take_lease_message(self, sender: m.Sender, body: m.Body) -> bool:
+    def _handle_lease_message(self, sender: m.Sender, body: m.Body) -> bool:
         """Dispatch lease messages; return whether the body is one."""
         match body:
             case m.LeaseRequest():
@@ -262,7 +262,7 @@
                 return False
         return True
 
-    def _take_peer_message(self, sender: m.Sender, body: m.Body) -> bool:
+    def _handle_peer_message(self, sender: m.Sender, body: m.Body) -> bool:
         """Dispatch messages about liveness and disks; return whether the body is one."""
         match body:
             case m.StartConfirmed():
@@ -280,7 +280,7 @@
                 return False
         return True
 
-    def _take_round_message(self, sender: m.Sender, body: m.Body) -> bool:
+    def _handle_round_message(self, sender: m.Sender, body: m.Body) -> bool:
         """Dispatch the requests and votes of a round; return whether the body is one."""
         match body:
             case m.Prepare() | m.Accept():
@@ -295,7 +295,7 @@
                 return False
         return True
 
-    def _take_change_message(self, sender: m.Sender, body: m.Body) -> bool:
+    def _handle_change_message(self, sender: m.Sender, body: m.Body) -> bool:
         """Dispatch the other messages about changes; return whether the body is one."""
         match body:
             case m.VersionDecided():
@@ -331,7 +331,7 @@
         self.acceptor.version_decided(outbox.now)
         self.lease_client.begin()
         learner.check_decided(before)
-        outbox.note("learned", learner.version, source)
+        outbox.log_step("learned", learner.version, source)
         outbox.emit(PolicyActivated(value, 0))
         self.lease_client.renew()
         self.proposer.version_decided()
--- a/pebblepass/daemon/daemon.py
+++ b/pebblepass/daemon/daemon.py
@@ -185,7 +185,7 @@
 
     def move_discovery(self, address: Address) -> None:
         """Watch the endpoint list at another address; the current list stays until the first from there."""
-        self._discovery.move(address)
+        self._discovery.change_address(address)
 
     def reload(self, environ: Mapping[str, str]) -> None:
         """Read discovery's address from the file again, in a task."""
--- a/pebblepass/discovery/client.py
+++ b/pebblepass/discovery/client.py
@@ -46,10 +46,10 @@
         self._list_origin = address  # the address from which the list in force was received
         self._needs_full_list = False  # the next watch begins with the full list
         self._watch: Watch | None = None
-        self._next: Watch | None = None  # the watch at the new address after a move, until its first response
+        self._next: Watch | None = None  # at a new address, until its first response
 
     def start(self) -> None:
-        """Begin a watch with the full list, unless `move` has already begun one."""
+        """Begin a watch with the full list, unless `change_address` has already begun one."""
         if self._watch is None:
             self._watch = self._begin(full=True)
 
@@ -62,7 +62,7 @@
         elif self._watch.address != self._address:
             self._next = self._begin(full=True)
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Switch to another address. The watch at the old one continues until the new one has responded."""
         if address == self._address:
             return
--- a/pebblepass/fault_injection/broken.py
+++ b/pebblepass/fault_injection/broken.py
@@ -115,11 +115,11 @@
             proposer_class = _AnyDiskProposer
             lease_server_class = _AnyDiskLeaseServer
 
-            def _take(self, message: m.Message) -> None:
+            def _handle_message(self, message: m.Message) -> None:
                 sender, body = message.sender, message.body
                 if isinstance(body, m.LeaseGrant) and sender.name in self.learner.voters:
                     self.lease_client.count_grant(sender.name, body)
-                super()._take(message)
+                super()._handle_message(message)
 
         return Bold
 
--- a/tests/consensus/test_acceptor.py
+++ b/tests/consensus/test_acceptor.py
@@ -104,7 +104,7 @@
         self.outbox.begin(0)
         self.voter.vote(sender(), request)
         assert not any(isinstance(body, m.Promise | m.Accepted) for _, body in sent(self.outbox))
-        self.outbox.synced(99)
+        self.outbox.mark_synced(99)
         self.outbox.send_waiting()
         return sent(self.outbox)
 
--- a/tests/consensus/test_dispatch.py
+++ b/tests/consensus/test_dispatch.py
@@ -44,10 +44,10 @@
     replica = Replica(setup(), None, 0)
     replica.start(0)
     dispatches = (
-        replica._take_lease_message,
-        replica._take_peer_message,
-        replica._take_round_message,
-        replica._take_change_message,
+        replica._handle_lease_message,
+        replica._handle_peer_message,
+        replica._handle_round_message,
+        replica._handle_change_message,
     )
     reached = [dispatch(sender(), body) for dispatch in dispatches]
     assert reached.count(True) == (0 if isinstance(body, m.Heartbeat) else 1)
--- a/tests/consensus/test_learner.py
+++ b/tests/consensus/test_learner.py
@@ -18,11 +18,11 @@
     learner.learn(value(1), (), keeps_disk=True)
     learner.learn(value(2), (), keeps_disk=True)
     assert (learner.version, learner.durable_version) == (2, 0)
-    box.synced(1)
-    learner.written()
+    box.mark_synced(1)
+    learner.update_durable_version()
     assert learner.durable_version == 1
-    box.synced(2)
-    learner.written()
+    box.mark_synced(2)
+    learner.update_durable_version()
     assert learner.durable_version == 2
     diskless, _ = create_learner()
     diskless.learn(value(1), (), keeps_disk=False)
--- a/tests/consensus/test_lease_server.py
+++ b/tests/consensus/test_lease_server.py
@@ -75,8 +75,8 @@
     harness = LeaseServerHarness()
     harness.learner.learn(value(2), (), keeps_disk=True)
     assert harness.request("r1", 1, 2) == []
-    harness.outbox.synced(1)
-    harness.learner.written()
+    harness.outbox.mark_synced(1)
+    harness.learner.update_durable_version()
     harness.server.grant()
     assert sent(harness.outbox) == []
     harness.server.close(1)
--- a/tests/consensus/test_outbox.py
+++ b/tests/consensus/test_outbox.py
@@ -28,8 +28,8 @@
     assert sent(box) == []
     assert box.next_loopback() is not None
     token = box.write(PromiseRecord(2, BALLOT))
-    assert box.synced(token)  # the record of the start is among the synced ones
-    assert not box.synced(token)
+    assert box.mark_synced(token)  # the record of the start is among the synced ones
+    assert not box.mark_synced(token)
     box.begin(1)
     box.send("r1", m.Heartbeat())
     assert sent(box) == [("r1", m.Heartbeat())]
@@ -42,11 +42,11 @@
     box.send_after_write(PromiseRecord(2, later), "r2", m.Promise(2, later))
     box.send_waiting()
     assert sent(box) == []
-    box.synced(1)
+    box.mark_synced(1)
     assert (box.is_synced(1), box.is_synced(2)) == (True, False)
     box.send_waiting()
     assert sent(box) == [("r1", m.Promise(2, BALLOT))]
     box.begin(1)
-    box.synced(2)
+    box.mark_synced(2)
     box.send_waiting()
     assert sent(box) == [("r2", m.Promise(2, later))]
--- a/tests/discovery/test_delivery_deadlines.py
+++ b/tests/discovery/test_delivery_deadlines.py
@@ -294,7 +294,7 @@
             new_registry.next_faults.append(later_fault)
         new_registry.drain()
         reloaded_at = registry.loop.time()
-        watcher.discovery.move(new_registry.address)
+        watcher.discovery.change_address(new_registry.address)
         registry.stall()
         await asyncio.sleep(duration_s)
         new_registry.outage_fault = None
@@ -554,7 +554,7 @@
         registry.begin_outage("503")
         await asyncio.sleep(0.01)
         new_registry.drained = True  # its generations are unrelated to those of the old address
-        watcher.discovery.move(new_registry.address)
+        watcher.discovery.change_address(new_registry.address)
         return await wait_until_applied(watcher, registry.loop.time()), RELOADED_S
 
     applied_after, deadline = worst_case("polled", fault_sequence)
--- a/tests/discovery/test_watches.py
+++ b/tests/discovery/test_watches.py
@@ -273,7 +273,7 @@
                 loop.call_later(0.9, gate.set)
         reloaded = loop.time()
         for name in moves[1:]:
-            watcher.discovery.move(registries[name].address)
+            watcher.discovery.change_address(registries[name].address)
             await asyncio.sleep(0.02)
         await asyncio.sleep(1.5)
         if last is other:
@@ -301,7 +301,7 @@
         assert router.ready_servers == ["s1"]
         other.down = True
         for name in moves[1:]:
-            router.discovery.move(registry.address if name == "a" else other.address)
+            router.discovery.change_address(registry.address if name == "a" else other.address)
             await asyncio.sleep(0.02)
         registry.stall()
         other.drain()
--- a/tests/handover/test_messages.py
+++ b/tests/handover/test_messages.py
@@ -28,7 +28,8 @@
 
 SECOND = 10**9
 NOW = 1000 * SECOND
-UNIX_OFFSET = 500 * SECOND  # sender's clock minus Unix time; the reader's clock is 7 s ahead of the sender's
+# Unix time minus the sender's clock; the reader's clock is 7 s ahead of the sender's.
+UNIX_OFFSET = 500 * SECOND
 counts = strategies.integers(0, 10_000)
 connection_states = strategies.builds(
     ConnectionState,
--- a/tests/peers/test_links.py
+++ b/tests/peers/test_links.py
@@ -20,9 +20,9 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, name: str, fleet: str = "sofia") -> None:
         self.received: list[tuple[str, bytes]] = []
-        self.links = Links(loop, fleet, name, f"{name}.1", self._take, lambda other: other in ("r0", "r1"))
+        self.links = Links(loop, fleet, name, f"{name}.1", self._receive, lambda other: other in ("r0", "r1"))
 
-    def _take(self, name: str, data: bytes) -> None:
+    def _receive(self, name: str, data: bytes) -> None:
         if data == b"broken":
             raise ValueError("broken")
         self.received.append((name, data))
