--- a/pebblepass/consensus/demand.py
+++ b/pebblepass/consensus/demand.py
@@ -24,9 +24,9 @@
         """Add a sample of `count` fetches within `seconds`."""
         self._age += seconds
         rate = count / seconds
-        plain = seconds / self._age  # an arithmetic mean until the age exceeds the time constant
-        self.fast += (rate - self.fast) * max(plain, 1 - math.exp(-seconds / FAST_S))
-        self.slow += (rate - self.slow) * max(plain, 1 - math.exp(-seconds / SLOW_S))
+        mean_weight = seconds / self._age  # an arithmetic mean until the age exceeds the time constant
+        self.fast += (rate - self.fast) * max(mean_weight, 1 - math.exp(-seconds / FAST_S))
+        self.slow += (rate - self.slow) * max(mean_weight, 1 - math.exp(-seconds / SLOW_S))
         deviation = math.sqrt(max(self.fast, self.slow) / (2 * FAST_S))
         if abs(self.fast - self.slow) > STEP_DEVIATIONS * deviation:
             self.slow, self._age = self.fast, FAST_S
--- a/pebblepass/consensus/disk_identity.py
+++ b/pebblepass/consensus/disk_identity.py
@@ -38,7 +38,7 @@
     version: int = 0
 
 
-NOT_KNOWN = _DurableVersion()
+NO_DURABLE_VERSION = _DurableVersion()
 
 
 class DiskIdentity:
@@ -91,7 +91,7 @@
             self._record_durable_version(sender)
 
     def _record_durable_version(self, sender: m.Sender) -> None:
-        known = self._durable.get(sender.name, NOT_KNOWN)
+        known = self._durable.get(sender.name, NO_DURABLE_VERSION)
         is_same_run = (known.disk_id, known.boot_id) == (sender.disk_id, sender.boot_id)
         if not is_same_run or sender.durable_version > known.version:
             durable = _DurableVersion(sender.disk_id, sender.boot_id, sender.durable_version)
@@ -102,7 +102,7 @@
         start = self.peer_starts.get(sender.name, UNKNOWN_START)
         if not start.disk_id or start.disk_id != sender.disk_id:
             return False
-        known = self._durable.get(sender.name, NOT_KNOWN)
+        known = self._durable.get(sender.name, NO_DURABLE_VERSION)
         is_other_run = known.disk_id == start.disk_id and known.boot_id != sender.boot_id
         if is_other_run and sender.durable_version < known.version:
             return True  # the disk lacks a version that it had synced before
--- a/pebblepass/consensus/policy.py
+++ b/pebblepass/consensus/policy.py
@@ -29,7 +29,7 @@
 ):
     """`[namespaces.NAME]`: a key that is left out has the value of the platform's settings."""
 
-    weight: Annotated[float, msgspec.Meta(ge=0, le=1, description="its part of the service")] | None = None
+    weight: Annotated[float, msgspec.Meta(ge=0, le=1, description="fraction of the service")] | None = None
     """Fraction of the service, 0 to 1."""
     quota_per_s: (
         Annotated[float, msgspec.Meta(gt=0, le=1e6, description="fetches a second of all routers together")]
@@ -49,7 +49,7 @@
     rate_per_s: (
         Annotated[
             float,
-            msgspec.Meta(gt=0, le=1e6, description="fetches a second of all routers, shared by portion"),
+            msgspec.Meta(gt=0, le=1e6, description="fetches a second of all routers, split by portion"),
         ]
         | None
     ) = None
@@ -60,7 +60,7 @@
         Annotated[float, msgspec.Meta(ge=1, le=60, description="seconds over which calls are counted")] | None
     ) = None
     uses_leases: Annotated[
-        bool, msgspec.Meta(description="split each quota by what routers fetch, and not evenly")
+        bool, msgspec.Meta(description="split each quota by the routers' demand, not evenly")
     ] = False
 
 
@@ -80,7 +80,7 @@
     floor_fraction: Annotated[
         float,
         msgspec.Meta(
-            gt=0, le=1, description="of a quota in the settings: what a router without a lease holds"
+            gt=0, le=1, description="fraction of a quota in the settings that routers without a lease may use"
         ),
     ] = 0.25
 
--- a/pebblepass/consensus/proposals.py
+++ b/pebblepass/consensus/proposals.py
@@ -1,12 +1,12 @@
 """Operators' proposals: each is answered, forwarded to a voter, or begun as a change. No I/O, no clock.
 
-A router that can't vote forwards proposals; a voter handles them. The first row that applies counts.
+A voter handles proposals itself; any other router (a non-voter) forwards them. The first matching row counts.
 
 | at | guard | result |
 | --- | --- | --- |
 | any router | the change has a final verdict, or is decided | the same verdict again |
-| no voter | no voter is alive, or another router forwarded the proposal here | refused |
-| no voter | otherwise | forwarded to a live voter |
+| non-voter | no voter is alive, or another router forwarded the proposal here | refused |
+| non-voter | otherwise | forwarded to a live voter |
 | voter | it withdraws the change in progress, which no voter can have accepted | that change is refused |
 | voter | another change is in progress and not decided | refused |
 | voter | it can't become a version, or there is no quorum | refused |
--- a/pebblepass/consensus/quota_allocator.py
+++ b/pebblepass/consensus/quota_allocator.py
@@ -189,13 +189,13 @@
         level = _water_level(sorted(needs.values()), total)
         return {key: min(need, level) for key, need in needs.items()}
     pairs = [(rate - floor, math.sqrt(rate)) for rate in demand.values() if rate > 0]
-    height, count = 0.0, -1
+    surplus_factor, count = 0.0, -1
     while pairs and len(pairs) != count:
         # Each pass drops routers whose floor covers their demand and surplus. That lowers the surplus factor.
         count = len(pairs)
-        height = (total - math.fsum(need for need, _ in pairs)) / math.fsum(root for _, root in pairs)
-        pairs = [(need, root) for need, root in pairs if need + height * root > 0]
-    return {key: max(rate - floor + height * math.sqrt(rate), 0.0) for key, rate in demand.items()}
+        surplus_factor = (total - math.fsum(need for need, _ in pairs)) / math.fsum(root for _, root in pairs)
+        pairs = [(need, root) for need, root in pairs if need + surplus_factor * root > 0]
+    return {key: max(rate - floor + surplus_factor * math.sqrt(rate), 0.0) for key, rate in demand.items()}
 
 
 def _water_level(needs: list[float], total: float) -> float:
--- a/pebblepass/consensus/reports.py
+++ b/pebblepass/consensus/reports.py
@@ -57,7 +57,7 @@
         "lease_ms": max(round((quota.until - now) / 1e6), 0),
         "demand_per_s": dict(client.demand.rates()),
         "of": client.quota_holder.report(now),
-        "why": _why_no_more(replica, now),
+        "why": _missing_leases_reason(replica, now),
     }
     if replica.can_vote:
         report["hands_out"] = server.allocator.report()
@@ -65,7 +65,7 @@
     return report
 
 
-def _why_no_more(replica: Replica, now: int) -> str:
+def _missing_leases_reason(replica: Replica, now: int) -> str:
     if not replica.may_admit(now):
         return "no lease on the version decided: at the floor"
     missing = sorted(set(replica.learner.voters) - replica.lease_client.quota_holder.granting_voters(now))
--- a/pebblepass/consensus/texts.py
+++ b/pebblepass/consensus/texts.py
@@ -11,7 +11,7 @@
     """Return the line that says why a proposal can't become a version."""
     match error.reason:
         case RejectionReason.NOT_FORMED:
-            return "the fleet has not formed yet: all of its voters have to be up at the same time once"
+            return "the fleet has not formed yet: it forms once all of its voters are up"
         case RejectionReason.NO_STORAGE:
             return f"{error.subject} can't be a voter: it keeps no disk"
         case RejectionReason.NEVER_CONNECTED:
--- a/tests/consensus/helpers.py
+++ b/tests/consensus/helpers.py
@@ -45,11 +45,11 @@
     return ReplicaSetup("r0", "r0.boot", TERMS, initial, lambda before, after: problem, "r0.disk")
 
 
-def outbox() -> Outbox:
+def create_outbox() -> Outbox:
     """Return an outbox of r0."""
     return Outbox("r0", lambda: sender("r0"), 0)
 
 
-def sent(box: Outbox) -> list[tuple[str, m.Body]]:
+def sent(outbox: Outbox) -> list[tuple[str, m.Body]]:
     """Return the messages that the current event has sent to other routers."""
-    return [(action.to, action.message.body) for action in box.finish() if isinstance(action, Send)]
+    return [(action.to, action.message.body) for action in outbox.finish() if isinstance(action, Send)]
--- a/tests/consensus/test_acceptor.py
+++ b/tests/consensus/test_acceptor.py
@@ -13,7 +13,7 @@
 from pebblepass.consensus.quota_allocator import QuotaAllocator
 from pebblepass.consensus.records import AcceptRecord, PromiseRecord
 from pebblepass.consensus.voter import Voter
-from tests.consensus.helpers import NAMES, SECOND, TERMS, VOTERS, outbox, sender, sent, setup, value
+from tests.consensus.helpers import NAMES, SECOND, TERMS, VOTERS, create_outbox, sender, sent, setup, value
 
 LOW, MIDDLE, HIGH = (m.Ballot(number, f"r{number}.boot") for number in (1, 2, 3))
 VALUE = value(2)
@@ -87,7 +87,7 @@
 
     def __init__(self, version: int = 1) -> None:
         replica_setup = setup()
-        self.outbox, self.acceptor = outbox(), Acceptor(0)
+        self.outbox, self.acceptor = create_outbox(), Acceptor(0)
         self.learner = Learner("r0", replica_setup.genesis, replica_setup.check, self.outbox)
         if version:
             self.learner.restore_decision(value(version))
--- a/tests/consensus/test_disk_identity.py
+++ b/tests/consensus/test_disk_identity.py
@@ -9,30 +9,30 @@
 from pebblepass.consensus.disk_identity import DiskIdentity
 from pebblepass.consensus.outbox import Outbox
 from pebblepass.consensus.records import DiskStart, PeerStartRecord, StartRecord
-from tests.consensus.helpers import VOTERS, outbox, sender, sent
+from tests.consensus.helpers import VOTERS, create_outbox, sender, sent
 
 
 def identity(disk_id: str = "r0.disk") -> tuple[DiskIdentity, Outbox]:
-    box = outbox()
-    return DiskIdentity("r0", "r0.boot", disk_id, box), box
+    outbox = create_outbox()
+    return DiskIdentity("r0", "r0.boot", disk_id, outbox), outbox
 
 
-def written(box: Outbox) -> list[object]:
-    return [record for action in box.finish() if isinstance(action, Write) for record in action.records]
+def written(outbox: Outbox) -> list[object]:
+    return [record for action in outbox.finish() if isinstance(action, Write) for record in action.records]
 
 
-def steps(box: Outbox) -> list[str]:
-    return [action.event for action in box.finish() if isinstance(action, ChangeStep)]
+def steps(outbox: Outbox) -> list[str]:
+    return [action.event for action in outbox.finish() if isinstance(action, ChangeStep)]
 
 
 def test_starts_are_counted_only_with_a_disk() -> None:
-    disk, box = identity()
+    disk, outbox = identity()
     disk.restore("r0.disk", 4)
     disk.start()
-    assert written(box) == [StartRecord("r0.disk", 5)]
-    diskless, box = identity("")
+    assert written(outbox) == [StartRecord("r0.disk", 5)]
+    diskless, outbox = identity("")
     diskless.start()
-    assert written(box) == []
+    assert written(outbox) == []
     assert not diskless.can_vote(VOTERS)
 
 
@@ -54,11 +54,11 @@
 
 
 def test_start_of_another_voter_is_written_once() -> None:
-    disk, box = identity()
+    disk, outbox = identity()
     disk.record_peer(sender(), 1)
     disk.record_peer(sender(), 1)
     disk.record_peer(sender(start_count=2, boot_id="next"), 1)
-    assert written(box) == [
+    assert written(outbox) == [
         PeerStartRecord("r1", "r1.disk", 1, "r1.boot"),
         PeerStartRecord("r1", "r1.disk", 2, "next"),
     ]
@@ -74,13 +74,13 @@
     ],
 )
 def test_stale_disk_copy_is_reported_to_its_router(stale: m.Sender) -> None:
-    disk, box = identity()
+    disk, outbox = identity()
     disk.record_peer(sender(start_count=3, durable_version=7), 1)
-    box.begin(1)
+    outbox.begin(1)
     assert disk.is_stale(stale)
     disk.record_peer(stale, 1)
-    assert sent(box) == [("r1", m.StaleDisk(stale.boot_id, 3))]
-    assert steps(box) == ["older disk"]
+    assert sent(outbox) == [("r1", m.StaleDisk(stale.boot_id, 3))]
+    assert steps(outbox) == ["older disk"]
     assert disk.peer_starts["r1"] == DiskStart("r1.disk", 3, "r1.boot")
 
 
@@ -100,12 +100,12 @@
 
 
 def test_router_with_stale_disk_continues_with_new_disk_id() -> None:
-    disk, box = identity()
+    disk, outbox = identity()
     disk.reported_stale(m.StaleDisk("an earlier run", 3), 1)
     assert disk.disk_id == "r0.disk"
     disk.reported_stale(m.StaleDisk("r0.boot", 3), 1)
     assert (disk.disk_id, disk.start_count) == ("r0.r0.boot.3", 1)
-    assert written(box) == [StartRecord("r0.r0.boot.3", 1)]
+    assert written(outbox) == [StartRecord("r0.r0.boot.3", 1)]
     assert not disk.can_vote(VOTERS)
-    box.send("r1", m.Heartbeat())
-    assert sent(box) == []  # the record of the new id is not synced
+    outbox.send("r1", m.Heartbeat())
+    assert sent(outbox) == []  # the record of the new id is not synced
--- a/tests/consensus/test_learner.py
+++ b/tests/consensus/test_learner.py
@@ -5,23 +5,23 @@
 from pebblepass.consensus import messages as m
 from pebblepass.consensus.learner import HISTORY_VERSIONS, Learner
 from pebblepass.consensus.outbox import Outbox
-from tests.consensus.helpers import SECOND, outbox, sender, sent, setup, value
+from tests.consensus.helpers import SECOND, create_outbox, sender, sent, setup, value
 
 
 def create_learner(problem: str = "") -> tuple[Learner, Outbox]:
-    box, configuration = outbox(), setup(problem)
-    return Learner("r0", configuration.genesis, configuration.check, box), box
+    outbox, configuration = create_outbox(), setup(problem)
+    return Learner("r0", configuration.genesis, configuration.check, outbox), outbox
 
 
 def test_version_is_durable_after_sync_or_at_once_without_disk() -> None:
-    learner, box = create_learner()
+    learner, outbox = create_learner()
     learner.learn(value(1), (), keeps_disk=True)
     learner.learn(value(2), (), keeps_disk=True)
     assert (learner.version, learner.durable_version) == (2, 0)
-    box.mark_synced(1)
+    outbox.mark_synced(1)
     learner.update_durable_version()
     assert learner.durable_version == 1
-    box.mark_synced(2)
+    outbox.mark_synced(2)
     learner.update_durable_version()
     assert learner.durable_version == 2
     diskless, _ = create_learner()
@@ -50,25 +50,25 @@
 
 
 def test_catch_up_sends_version_to_router_behind_else_heartbeat() -> None:
-    learner, box = create_learner()
+    learner, outbox = create_learner()
     learner.learn(value(2), (), keeps_disk=False)
     learner.catch_up(sender(decided_version=1), SECOND)
     learner.catch_up(sender("r2", decided_version=3), SECOND)
     learner.catch_up(sender("r2", decided_version=2, boot_id="level"), SECOND)
-    assert sent(box) == [("r1", learner.announcement()), ("r2", m.Heartbeat())]
+    assert sent(outbox) == [("r1", learner.announcement()), ("r2", m.Heartbeat())]
 
 
 def test_announcement_repeats_once_an_interval_per_run() -> None:
-    learner, box = create_learner()
+    learner, outbox = create_learner()
     learner.learn(value(2), (), keeps_disk=False)
     counts = []
     for now in (0, SECOND - 1, SECOND):
-        box.begin(now)
+        outbox.begin(now)
         learner.catch_up(sender(decided_version=1), SECOND)
-        counts.append(len(sent(box)))
+        counts.append(len(sent(outbox)))
     assert counts == [1, 0, 1]
     learner.catch_up(sender(decided_version=1, boot_id="next"), SECOND)
-    assert len(sent(box)) == 2
+    assert len(sent(outbox)) == 2
 
 
 def test_unusable_policy_is_a_problem_and_fails_its_check() -> None:
--- a/tests/consensus/test_lease_server.py
+++ b/tests/consensus/test_lease_server.py
@@ -12,7 +12,7 @@
 from pebblepass.consensus.peer_table import PeerTable
 from pebblepass.consensus.quota_allocator import QuotaAllocator
 from pebblepass.consensus.records import ClosedRecord
-from tests.consensus.helpers import SECOND, TERMS, outbox, sender, sent, setup, value
+from tests.consensus.helpers import SECOND, TERMS, create_outbox, sender, sent, setup, value
 
 
 class LeaseServerHarness:
@@ -20,7 +20,7 @@
 
     def __init__(self, restarted: bool = False) -> None:
         replica_setup = setup()
-        self.outbox = outbox()
+        self.outbox = create_outbox()
         self.learner = Learner("r0", replica_setup.genesis, replica_setup.check, self.outbox)
         self.learner.learn(value(1), (), keeps_disk=False)
         self.disk = DiskIdentity("r0", "r0.boot", "r0.disk", self.outbox)
--- a/tests/consensus/test_proposals.py
+++ b/tests/consensus/test_proposals.py
@@ -91,7 +91,7 @@
 
 def test_proposal_before_the_fleet_has_formed_is_refused() -> None:
     harness = ProposalHarness(decided=setup().genesis)
-    line = "refused: the fleet has not formed yet: all of its voters have to be up at the same time once"
+    line = "refused: the fleet has not formed yet: it forms once all of its voters are up"
     assert harness.verdicts(PROPOSAL) == [("refused", (line,))]
 
 
--- a/tests/consensus/test_proposer.py
+++ b/tests/consensus/test_proposer.py
@@ -79,7 +79,7 @@
         return [body for body in bodies if isinstance(body, kind)]
 
 
-def accepting() -> ProposerHarness:
+def harness_in_accepting_phase() -> ProposerHarness:
     harness = ProposerHarness()
     harness.check("r1", "r2")
     harness.promise("r1")
@@ -87,8 +87,8 @@
     return harness
 
 
-def decided() -> ProposerHarness:
-    harness = accepting()
+def harness_in_decided_phase() -> ProposerHarness:
+    harness = harness_in_accepting_phase()
     harness.accept("r1")
     assert harness.phase() is Phase.DECIDED
     return harness
@@ -136,7 +136,7 @@
 
 
 def test_promises_without_accepted_value_propose_own_value() -> None:
-    harness = accepting()
+    harness = harness_in_accepting_phase()
     sent = harness.sent(m.Accept)
     assert {body.value.change_id for body in sent if isinstance(body, m.Accept)} == {"c"}
     assert harness.change.may_be_accepted
@@ -164,7 +164,7 @@
     assert harness.phase() is Phase.PREPARING
 
 
-@pytest.mark.parametrize("begin", [accepting, ProposerHarness])
+@pytest.mark.parametrize("begin", [harness_in_accepting_phase, ProposerHarness])
 def test_rejected_round_is_repeated_with_higher_ballot(begin: type[ProposerHarness]) -> None:
     harness = begin()
     if harness.phase() is Phase.CHECKING:
@@ -176,7 +176,7 @@
 
 
 def test_round_timeout_repeats_it_with_higher_ballot() -> None:
-    harness = accepting()
+    harness = harness_in_accepting_phase()
     before = harness.change.round.ballot
     harness.tick_at(harness.change.due)
     assert harness.phase() is Phase.PREPARING
@@ -184,7 +184,7 @@
 
 
 def test_quorum_of_acceptances_decides() -> None:
-    harness = decided()
+    harness = harness_in_decided_phase()
     assert harness.replica.decided.change_id == "c"
     assert "decided" in [action.event for action in harness.actions if isinstance(action, ChangeStep)]
     assert harness.verdicts() == []
@@ -197,7 +197,7 @@
 
 
 def test_change_with_missed_decision_is_open_if_maybe_accepted() -> None:
-    harness = accepting()
+    harness = harness_in_accepting_phase()
     harness.receive("r1", m.VersionDecided(value(3, "later")), decided_version=3)
     assert (harness.verdicts()[-1].state, harness.replica.proposer.change) == ("open", None)
 
@@ -211,7 +211,7 @@
 
 
 def test_deadline_reports_maybe_accepted_change_open_once() -> None:
-    harness = accepting()
+    harness = harness_in_accepting_phase()
     for _ in range(2):
         harness.tick_at(harness.change.deadline)
     assert [action.state for action in harness.verdicts()] == ["open"]
@@ -219,7 +219,7 @@
 
 
 def test_decided_change_is_in_force_when_live_routers_lease_it() -> None:
-    harness = decided()
+    harness = harness_in_decided_phase()
     for name in ("r1", "r2"):
         harness.receive(name, m.Heartbeat(), decided_version=2, durable_version=2, released_version=1)
     for name in ("r1", "r2"):
@@ -231,7 +231,7 @@
 
 
 def test_decided_change_names_missing_routers_at_deadline() -> None:
-    harness = decided()
+    harness = harness_in_decided_phase()
     harness.tick_at(harness.change.deadline)
     verdict = harness.verdicts()[-1]
     assert verdict.state == "in force"
