--- a/tests/control/test_bounds.py
+++ b/tests/control/test_bounds.py
@@ -9,7 +9,7 @@
 from pebblepass.control.http_server import Page
 from pebblepass.emulators.ports import take_port
 from pebblepass.simulation.clock import VirtualLoop
-from tests.virtual import played
+from tests.virtual import run_virtual
 
 ROUTERS = 1100
 CHUNK_BYTES = 8 << 10
@@ -47,7 +47,7 @@
         await asyncio.sleep(0)
         return status
 
-    return played(run), member_counts
+    return run_virtual(run), member_counts
 
 
 def test_policy_with_1100_routers_is_accepted() -> None:
--- a/tests/control/test_operations.py
+++ b/tests/control/test_operations.py
@@ -11,7 +11,7 @@
 from pebblepass.control.counters import Counters
 from pebblepass.emulators.ports import take_port
 from pebblepass.simulation.clock import VirtualLoop
-from tests.virtual import played
+from tests.virtual import run_virtual
 
 Address = tuple[str, int]
 RESPONSE_LIMIT_S = 1.0  # within which each request gets its response
@@ -31,7 +31,7 @@
         control.close()
         await asyncio.sleep(0)
 
-    played(run)
+    run_virtual(run)
 
 
 async def call(address: Address, data: bytes) -> tuple[int, str]:
@@ -122,4 +122,4 @@
         assert [status for status, _ in answers] == [200] * LIMITS.connections
         control.close()
 
-    played(run)
+    run_virtual(run)
--- a/tests/discovery/test_discovery_faults.py
+++ b/tests/discovery/test_discovery_faults.py
@@ -25,7 +25,7 @@
 from pebblepass.discovery.endpoint_list import ClockOffset, EndpointList
 from pebblepass.simulation.clock import VirtualLoop
 from tests.decisions.cases import S, settings
-from tests.virtual import played
+from tests.virtual import run_virtual
 
 ROUTERS, SERVERS = 40, 20
 FAULT_S = 10
@@ -175,7 +175,7 @@
         for router in routers:
             router.discovery.close()
 
-    played(scenario)
+    run_virtual(scenario)
 
 
 def test_full_list_with_older_generation_or_no_server_is_applied() -> None:
@@ -195,4 +195,4 @@
         assert router.ready_servers == ["s9"]
         router.discovery.close()
 
-    played(scenario)
+    run_virtual(scenario)
--- a/tests/discovery/test_watches.py
+++ b/tests/discovery/test_watches.py
@@ -15,8 +15,8 @@
 from pebblepass.discovery.client import DiscoveryClient
 from pebblepass.discovery.endpoint_list import ClockOffset, EndpointList
 from pebblepass.simulation.clock import VirtualLoop
-from tests.crossings import Bed, GatedLoop, crossing
 from tests.discovery.test_discovery_faults import PollingRouter, server_entry
+from tests.virtual_router import GatedLoop, RouterHarness, run_with_router
 
 STALL_S = 6.0  # deadline for a change that a stalled watch misses, after the stall
 AFTER_WAIT_S = 2.0  # or after the end of the call's wait, if that is later
@@ -317,8 +317,8 @@
 def test_failure_in_decisions_requests_the_full_list_again() -> None:
     """The daemon's host reports the failure, so that the client requests the full list."""
 
-    async def scenario(bed: Bed) -> None:
-        router = bed.host._router
+    async def scenario(harness: RouterHarness) -> None:
+        router = harness.host._router
         original_handle = router.handle
         failing = True
 
@@ -328,9 +328,9 @@
             return original_handle(event, now)
 
         router.handle = handle
-        assert bed.tell("a", state=ServerState.DRAINING) is False
+        assert harness.update_servers("a", state=ServerState.DRAINING) is False
         failing = False
-        assert bed.tell("origin", whole=True) is True
+        assert harness.update_servers("origin", full=True) is True
         assert [server.id for server in router.ready_servers()] == ["origin"]
 
-    crossing(scenario)
+    run_with_router(scenario)
--- a/tests/peers/test_links.py
+++ b/tests/peers/test_links.py
@@ -12,7 +12,7 @@
 
 from pebblepass.peers.links import MAX_MESSAGE_BYTES, VERSION, Hello, Links, framed
 from pebblepass.simulation.clock import VirtualLoop
-from tests.virtual import played
+from tests.virtual import run_virtual
 
 
 class LinkEnd:
@@ -60,7 +60,7 @@
         for end in (acceptor, dialler):
             end.links.close()
 
-    played(main)
+    run_virtual(main)
 
 
 @pytest.mark.parametrize(
@@ -98,7 +98,7 @@
         writer.close()
         end.links.close()
 
-    played(main)
+    run_virtual(main)
 
 
 def test_messages_keep_their_order_over_two_links() -> None:
@@ -120,4 +120,4 @@
             assert [int(data) for _, data in end.received] == list(range(100))
             end.links.close()
 
-    played(main)
+    run_virtual(main)
