--- a/pebblepass/consensus/demand.py
+++ b/pebblepass/consensus/demand.py
@@ -33,7 +33,7 @@
 
 
 class DemandEstimator:
-    """The fetches a second that a router would make, by namespace."""
+    """Estimates the fetches a second that a router would make without a limit, by namespace."""
 
     def __init__(self) -> None:
         self._counts: dict[str, int] = {}
--- a/pebblepass/consensus/lease_client.py
+++ b/pebblepass/consensus/lease_client.py
@@ -30,7 +30,7 @@
 
 
 class _Release(Struct, frozen=True):
-    """A message that releases the part of a quota lease by which its replacement is smaller."""
+    """A message to a voter that a smaller quota lease is applied, and the process that granted the lease."""
 
     name: str
     boot_id: str
@@ -54,7 +54,7 @@
         self.quota_holder = quota_holder
         self.demand = DemandEstimator()
         self.until = 0
-        """Until when the router may admit under the decided version, in nanoseconds of its clock."""
+        """Until when the router may admit requests under the decided version, in nanoseconds of its clock."""
         self.renew_at = outbox.now
         """When the leases are requested next."""
         self._quota: Quota = NO_QUOTA
@@ -150,9 +150,9 @@
             self._outbox.log_step(event, self._learner.version, cause=amounts)
 
     def send_releases(self) -> bool:
-        """Release the parts by which quota leases became smaller; return whether there were any.
+        """Report to the voters that smaller quota leases are applied; return whether there were any.
 
-        Danger: call this only after the policy is activated. If released before, a voter could grant to
+        Danger: call this only after the policy is activated. If reported before, a voter could grant to
         another router what this one still uses.
         """
         releases, self._releases = self._releases, []
--- a/pebblepass/consensus/messages.py
+++ b/pebblepass/consensus/messages.py
@@ -167,7 +167,7 @@
     applied_sequence: int = 0
     """With quota leases: the sequence of the receiver's grant that the router applied last; 0: none."""
     demand: Rates = ()
-    """With quota leases: the fetches a second for which the router has requests."""
+    """With quota leases: the fetches a second that the router would make without a limit."""
 
 
 class LeaseGrant(
--- a/pebblepass/consensus/replica.py
+++ b/pebblepass/consensus/replica.py
@@ -38,7 +38,10 @@
 
 
 class Replica:
-    """One router's replica. Call `start` first, then the method for each event, and `tick` at `due`."""
+    """One router's replica.
+
+    Call `start` first, then the method for each event, and `tick` at the time that `due` returns.
+    """
 
     outbox_class = Outbox
     disk_identity_class = DiskIdentity
--- a/pebblepass/consensus/service.py
+++ b/pebblepass/consensus/service.py
@@ -229,7 +229,7 @@
         if error is not None:
             # No message that depends on these records was sent: the router casts no vote before it can write.
             self.counts["failed writes"] += 1
-            log.error("fleet: writing %s failed: %s; retrying, without votes until then", FILE, error)
+            log.error("fleet: writing %s failed, retrying; no votes are cast until then: %s", FILE, error)
             self._pending_writes = batch + self._pending_writes
             self._loop.call_later(WRITE_RETRY_S, self._retry_write)
             return
--- a/pebblepass/consensus/voter.py
+++ b/pebblepass/consensus/voter.py
@@ -66,7 +66,8 @@
     def _acceptors_vote(self, request: m.Prepare | m.Accept) -> Vote | None:
         if isinstance(request, m.Prepare):
             return self._acceptor.prepare(request)
-        # The value may name another disk for this voter: forming needs all votes, and the others remember.
+        # Accepted even if the value names another disk for this voter: forming the fleet needs the votes of
+        # all voters, and the others remember what a replaced disk has lost.
         voters = request.value.fleet.voters
         if self._learner.is_forming and voters.keys() != self._learner.voters.keys():
             return None  # it would form a fleet with other voters than this router's file names
--- a/pebblepass/storage/log.py
+++ b/pebblepass/storage/log.py
@@ -73,7 +73,8 @@
         """Replace the log by one with these records, which are durable on return. Raises OSError."""
         data = encode_header(self._header) + encode_frame(encode_batch(records))
         replace_file(self._disk, self._name, data)
-        # Danger: unless the name of the new file is durable, a power loss may bring back the old log.
+        # Danger: until the name of the new file is durable, a power loss may bring back the old log and lose
+        # all records that are appended to the new one.
         self._disk.sync_directory()
         self._size = self._snapshot_size = len(data)
         self._failed = False
--- a/tests/peers/test_bounds.py
+++ b/tests/peers/test_bounds.py
@@ -14,9 +14,8 @@
 from pebblepass.peers.links import MAX_UNIDENTIFIED, VERSION, Hello, Link, Links, framed
 
 ROUTERS = 1100
-BACKLOG_OFFSET = (
-    28  # of tcpi_sacked in the kernel's tcp_info; for a listening socket it is the length of its accept queue
-)
+# Offset of tcpi_sacked in the kernel's tcp_info, the length of the accept queue of a listening socket.
+BACKLOG_OFFSET = 28
 
 
 class RecordingTransport(asyncio.Transport):
