--- a/pebblepass/discovery/client.py
+++ b/pebblepass/discovery/client.py
@@ -13,7 +13,7 @@
 from pebblepass.wire.address import Address
 
 RETRY_DELAY_S = 0.1  # a service that pushes takes a watch for interrupted after 0.2 s without a call
-REJECTED_LIST_DELAY_S = 0.5  # after a list that could not be applied, before the next call
+REJECTED_LIST_DELAY_S = 0.5  # after a list that could not be applied; a later one may be valid
 
 log = logging.getLogger("pebblepass")
 
