--- a/benchmarks/stand.py
+++ b/benchmarks/stand.py
@@ -25,9 +25,9 @@
 import httptools
 import uvloop
 
+from pebblepass.emulators.observer import NullObserver
 from pebblepass.emulators.ports import take_port
 from pebblepass.emulators.registry import RegistryAgent
-from pebblepass.emulators.witness import Nobody
 from pebblepass.wire.resp import command
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -341,7 +341,7 @@
             }
             for name, kind, port in [*places, ("store", "origin", self.ports[-1])]
         ]
-        agent = RegistryAgent(asyncio.get_running_loop(), "r0", entries, Nobody())
+        agent = RegistryAgent(asyncio.get_running_loop(), "r0", entries, NullObserver())
         await agent.start()
         port = take_port()
         config = self.folder / f"{port}.json"
--- a/pebblepass/emulators/core.py
+++ b/pebblepass/emulators/core.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CoreFacts:
+class CoreParameters:
     """What a core is like; times in seconds, works in seconds of a core of speed 1."""
 
     speed: float
@@ -37,7 +37,7 @@
 class Core(Generic[Job]):
     """Takes requests with their work and tells which are done; whoever owns it keeps the time."""
 
-    def __init__(self, facts: CoreFacts, started: float, cold: bool = False) -> None:
+    def __init__(self, facts: CoreParameters, started: float, cold: bool = False) -> None:
         self._facts = facts
         self._started = started
         self._warm_at = started + facts.warm_up_time if cold else started
@@ -46,18 +46,18 @@
         self._running: list[tuple[float, int, Job]] = []  # by what `_done` will be when it ends
         self._waiting: deque[tuple[float, Job]] = deque()
         self._numbers = 0
-        self.factor = 1.0
+        self.speed_factor = 1.0
         """What is left of the speed while the node is in trouble."""
-        self.busy = 0.0
+        self.busy_s = 0.0
         """Seconds in which it had something to do."""
 
     @property
-    def held(self) -> int:
+    def request_count(self) -> int:
         """Requests in service and waiting."""
         return len(self._running) + len(self._waiting)
 
     @property
-    def queue(self) -> int:
+    def queue_length(self) -> int:
         """Requests that wait."""
         return len(self._waiting)
 
@@ -85,10 +85,10 @@
 
     def _rate(self, at: float) -> float:
         """How fast each request in service gets on."""
-        facts, held = self._facts, self.held
+        facts, held = self._facts, self.request_count
         if not self._running or self._paused(at):
             return 0.0
-        rate = facts.speed * self.factor * self.warmth(at)
+        rate = facts.speed * self.speed_factor * self.warmth(at)
         if held > facts.thrash_at:
             rate /= 1 + facts.thrash * (held - facts.thrash_at)
         return rate / len(self._running) if facts.shared else rate
@@ -130,7 +130,7 @@
             left = self._running[0][0] - self._done
             due = self._now + left / rate if rate > 0 else inf
             until = min(due, self._next_change(self._now), now)
-            self.busy += until - self._now
+            self.busy_s += until - self._now
             self._done = self._running[0][0] if until == due else self._done + (until - self._now) * rate
             self._now = until
             while self._running and self._running[0][0] <= self._done:
@@ -147,12 +147,12 @@
     Sent more, it falls over and stays down (BRIEF, the rules in figures).
     """
 
-    def __init__(self, facts: CoreFacts, started: float, multiple: float, window: float) -> None:
+    def __init__(self, facts: CoreParameters, started: float, multiple: float, window: float) -> None:
         self._facts, self._started = facts, started
         self._multiple, self._window = multiple, window
         self._sent: deque[tuple[float, float, bool]] = deque()
 
-    def take(self, now: float, work: float, told: bool) -> float | None:
+    def add_work(self, now: float, work: float, informed: bool) -> float | None:
         """Count work that is sent at `now`; None, or the share of what pushed it over sent by who was told.
 
         `told`: whether the sender had been told that this core has started.
@@ -161,7 +161,7 @@
         if now >= self._started + facts.warm_up_time + self._window:
             return None
         sent = self._sent
-        sent.append((now, work, told))
+        sent.append((now, work, informed))
         while sent[0][0] <= now - self._window:
             sent.popleft()
         total = sum(entry[1] for entry in sent)
--- a/pebblepass/emulators/serving.py
+++ b/pebblepass/emulators/core_runner.py
@@ -6,25 +6,25 @@
 from collections.abc import Callable
 from typing import Generic
 
-from pebblepass.emulators.core import Core, CoreFacts, Job
+from pebblepass.emulators.core import Core, CoreParameters, Job
 
 
-class Serving(Generic[Job]):
+class CoreRunner(Generic[Job]):
     """Runs requests on a core and tells of each that is done, with the time."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, facts: CoreFacts, done: Callable[[Job, float], None]
+        self, loop: asyncio.AbstractEventLoop, facts: CoreParameters, done: Callable[[Job, float], None]
     ) -> None:
         self._loop, self._facts, self._done = loop, facts, done
         self._timer: asyncio.TimerHandle | None = None
         self.core: Core[Job]
-        self.born = -1
+        self.incarnation = -1
         """Counts the starts: what was under way to an earlier one comes to nothing."""
-        self.begin(cold=False)
+        self.restart(cold=False)
 
-    def begin(self, cold: bool) -> None:
+    def restart(self, cold: bool) -> None:
         """Start anew: what was held is gone."""
-        self.born += 1
+        self.incarnation += 1
         self.core = Core(self._facts, self._loop.time(), cold)
         self._set_timer()
 
@@ -35,10 +35,10 @@
         self._set_timer()
         return taken
 
-    def set_factor(self, factor: float) -> None:
+    def set_speed_factor(self, factor: float) -> None:
         """From now on the core has so much of its speed."""
         self._advance()
-        self.core.factor = factor
+        self.core.speed_factor = factor
         self._set_timer()
 
     def _set_timer(self) -> None:
--- a/pebblepass/emulators/effects.py
+++ b/pebblepass/emulators/effects.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Doubled:
+class RepeatedEffect:
     """An effect that happened more than once for one request."""
 
     request: str
@@ -15,10 +15,10 @@
     at: float
 
 
-class Effects:
+class EffectLog:
     """The memory that all nodes and the store share of the keyed writes that have run."""
 
-    def __init__(self, windows: dict[str, float], doubled: Callable[[Doubled], None]) -> None:
+    def __init__(self, windows: dict[str, float], doubled: Callable[[RepeatedEffect], None]) -> None:
         """`windows`: for how long repeats are dropped, by class, in seconds."""
         self._windows, self._doubled = windows, doubled
         self._ran_at: dict[tuple[str, str], float] = {}
@@ -41,5 +41,5 @@
         self.applied += 1
         count = self._applied[request] = self._applied.get(request, 0) + 1
         if count > 1:
-            self._doubled(Doubled(request, request_class, now))
+            self._doubled(RepeatedEffect(request, request_class, now))
         return True
--- a/pebblepass/emulators/listening.py
+++ b/pebblepass/emulators/listeners.py
@@ -13,28 +13,31 @@
 LOOPBACK = "127.0.0.1"
 LINGER_0 = b"\x01\x00\x00\x00\x00\x00\x00\x00"
 
-Silence = Callable[[Address, bool], None]
+SetAddressSilent = Callable[[Address, bool], None]
 """Cuts an address off, or connects it again, where the network under the loop can do so."""
 
 
-def no_silence(address: Address, on: bool) -> None:
+def leave_address_reachable(address: Address, on: bool) -> None:
     """On a real network connects still come up; what is silent is the stand-in."""
 
 
-class Station:
+class ListenerGroup:
     """The place that a stand-in holds: its addresses, by zone, and who is connected."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, zones: tuple[str, ...], silence: Silence = no_silence
+        self,
+        loop: asyncio.AbstractEventLoop,
+        zones: tuple[str, ...],
+        silence: SetAddressSilent = leave_address_reachable,
     ) -> None:
         self.loop, self._zones, self._silence = loop, zones, silence
         self.ports: dict[str, int] = {}
-        self.connections: dict[Line, None] = {}
+        self.connections: dict[EmulatorConnection, None] = {}
         self.silent = False
         self._servers: list[asyncio.Server] = []
-        self._make: Callable[[str], Line] | None = None
+        self._make: Callable[[str], EmulatorConnection] | None = None
 
-    async def open(self, make: Callable[[str], Line]) -> None:
+    async def open(self, make: Callable[[str], EmulatorConnection]) -> None:
         """Listen, the first time on ports from the kernel and later on the same; `make` is given the zone."""
         self._make = make
         for zone in self._zones:
@@ -51,13 +54,13 @@
         """Where routers of this zone connect."""
         return LOOPBACK, self.ports[zone]
 
-    def refuse(self) -> None:
+    def stop_accepting(self) -> None:
         """Take no new connections; those that stand go on."""
         servers, self._servers = self._servers, []
         for server in servers:
             server.close()
 
-    def break_all(self) -> None:
+    def reset_connections(self) -> None:
         """Reset every connection, as the end of a process does."""
         for line in list(self.connections):
             line.reset()
@@ -68,25 +71,25 @@
         for zone in self._zones:
             self._silence(self.address(zone), on)
         if not on:
-            self.break_all()
+            self.reset_connections()
 
 
-class Line(asyncio.Protocol):
+class EmulatorConnection(asyncio.Protocol):
     """One connection to a stand-in; answers leave in the order in which their places were taken."""
 
-    def __init__(self, station: Station, delay: float) -> None:
-        self.station, self.delay = station, delay
+    def __init__(self, listeners: ListenerGroup, delay: float) -> None:
+        self.listeners, self.delay = listeners, delay
         self.transport: asyncio.Transport | None = None
-        self._places: list[Place] = []
+        self._places: list[PendingReply] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the transport."""
         self.transport = cast(asyncio.Transport, transport)
-        self.station.connections[self] = None
+        self.listeners.connections[self] = None
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Take the end."""
-        self.station.connections.pop(self, None)
+        self.listeners.connections.pop(self, None)
         self.transport = None
 
     def reset(self) -> None:
@@ -101,9 +104,9 @@
         if self.transport is not None:
             self.transport.close()
 
-    def place(self) -> Place:
+    def reserve_reply(self) -> PendingReply:
         """Take the place of the next answer."""
-        place = Place(self)
+        place = PendingReply(self)
         self._places.append(place)
         return place
 
@@ -111,7 +114,7 @@
         """Write the answers that are due."""
         while self._places and self._places[0].data is not None:
             place = self._places.pop(0)
-            if self.transport is None or self.station.silent:
+            if self.transport is None or self.listeners.silent:
                 continue
             assert place.data is not None
             self.transport.write(place.data)
@@ -119,19 +122,19 @@
                 place.then()
 
 
-class Place:
+class PendingReply:
     """The place of one answer on its connection."""
 
     __slots__ = ("data", "line", "then")
 
-    def __init__(self, line: Line) -> None:
+    def __init__(self, line: EmulatorConnection) -> None:
         self.line = line
         self.data: bytes | None = None
         self.then: Callable[[], None] | None = None
 
     def answer(self, data: bytes, then: Callable[[], None] | None = None) -> None:
         """Give the answer, which travels for the connection's one-way delay; `then` follows it."""
-        self.line.station.loop.call_later(self.line.delay, self._arrive, data, then)
+        self.line.listeners.loop.call_later(self.line.delay, self._arrive, data, then)
 
     def _arrive(self, data: bytes, then: Callable[[], None] | None) -> None:
         self.data, self.then = data, then
--- a/pebblepass/emulators/node.py
+++ b/pebblepass/emulators/node.py
@@ -11,11 +11,17 @@
 import hiredis
 
 from pebblepass.emulators.advertised import AdvertisedTimeout, read_advertised_timeout
-from pebblepass.emulators.core import ColdBudget, CoreFacts
-from pebblepass.emulators.effects import Effects
-from pebblepass.emulators.listening import Line, Place, Silence, Station, no_silence
-from pebblepass.emulators.serving import Serving
-from pebblepass.emulators.witness import Witness
+from pebblepass.emulators.core import ColdBudget, CoreParameters
+from pebblepass.emulators.core_runner import CoreRunner
+from pebblepass.emulators.effects import EffectLog
+from pebblepass.emulators.listeners import (
+    EmulatorConnection,
+    ListenerGroup,
+    PendingReply,
+    SetAddressSilent,
+    leave_address_reachable,
+)
+from pebblepass.emulators.observer import EmulatorObserver
 from pebblepass.wire.resp import MULTI_GET_COMMAND, bulk
 
 GARBLED = (b"*3\r\n$9\r\nnot nine\r\n", b"\x00\xfe\x17\r\n", b"*2\r\n*1\r\n$1\r\nx\r\n", b"$-7\r\n")
@@ -24,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Works:
+class WorkRange:
     """What one class of requests costs a core, in seconds, least and most."""
 
     least: float
@@ -36,11 +42,11 @@
     """Everything that a stand-in mirror node is told."""
 
     id: str
-    core: CoreFacts
+    core: CoreParameters
     memory: int
     """Copies that it keeps at most; the one used longest ago goes first."""
     report_period: float
-    works: dict[str, Works]
+    works: dict[str, WorkRange]
     miss_work: float
     """The work of a miss, as a share of a hit's."""
     error_rate: float
@@ -52,14 +58,14 @@
 
 
 @dataclass(slots=True)
-class Trouble:
+class AnswerFaults:
     """How a node answers while it is in trouble: the share of its answers that each touches."""
 
     half: float = 0.0
     garble: float = 0.0
     reset: float = 0.0
     draining: bool = False
-    fallen: bool = False
+    overloaded: bool = False
 
 
 @dataclass(slots=True)
@@ -69,11 +75,11 @@
     key: str
     idempotency: str | None
     write: bool
-    place: Place
+    place: PendingReply
     hit: bool = False
 
 
-class MirrorNode:
+class EmulatedNode:
     """One mirror node. It stores; what it lacks it reports as a miss."""
 
     def __init__(
@@ -81,19 +87,19 @@
         loop: asyncio.AbstractEventLoop,
         setup: NodeSetup,
         rng: random.Random,
-        effects: Effects,
-        witness: Witness,
-        missed: Callable[[str, MirrorNode], None],
-        silence: Silence = no_silence,
+        effects: EffectLog,
+        observer: EmulatorObserver,
+        missed: Callable[[str, EmulatedNode], None],
+        silence: SetAddressSilent = leave_address_reachable,
         read: Callable[[str, str], None] = lambda _, __: None,
     ) -> None:
         """`missed` is told a request and this node; `read` the key of a copy that was read, and the id."""
         self.loop, self.setup, self.rng = loop, setup, rng
-        self._effects, self._witness, self._missed, self._read = effects, witness, missed, read
-        self.station = Station(loop, tuple(setup.delays), silence)
-        self.trouble = Trouble()
+        self._effects, self._observer, self._missed, self._read = effects, observer, missed, read
+        self.listeners = ListenerGroup(loop, tuple(setup.delays), silence)
+        self.faults = AnswerFaults()
         self.copies: OrderedDict[str, None] = OrderedDict()
-        self.serving: Serving[_Asked] = Serving(loop, setup.core, self._done)
+        self.core_runner: CoreRunner[_Asked] = CoreRunner(loop, setup.core, self._done)
         self._cold: ColdBudget | None = None
         self._report, self._report_until = b"", 0.0
         self._recent = (sum((w.least + w.most) / 2 for w in setup.works.values()) / len(setup.works)) * 1000
@@ -101,11 +107,11 @@
     async def start(self, cold: bool = False) -> None:
         """Listen; a node that starts cold warms up first and keeps no copies yet."""
         self._begin(cold)
-        await self.station.open(lambda zone: _NodeLine(self, self.setup.delays[zone]))
+        await self.listeners.open(lambda zone: _NodeLine(self, self.setup.delays[zone]))
 
     def _begin(self, cold: bool) -> None:
         setup = self.setup
-        self.serving.begin(cold)
+        self.core_runner.restart(cold)
         started = self.loop.time()
         self._cold = (
             ColdBudget(setup.core, started, setup.overload_multiple, setup.fall_window) if cold else None
@@ -114,25 +120,25 @@
 
     # What breaks
 
-    def die(self) -> None:
+    def kill(self) -> None:
         """The process dies: connections are reset, new ones refused, all that it held is gone."""
-        self.station.refuse()
-        self.station.break_all()
+        self.listeners.stop_accepting()
+        self.listeners.reset_connections()
         self.copies.clear()
         self._begin(cold=False)
 
-    def revive(self) -> None:
+    def restart(self) -> None:
         """The process starts again, cold, at the same addresses."""
-        self.trouble = Trouble()
+        self.faults = AnswerFaults()
         self._begin(cold=True)
-        self.station.reopen()
+        self.listeners.reopen()
 
     def drop_copies(self, share: float) -> None:
         """That share of the kept copies goes void."""
         for key in [key for key in self.copies if self.rng.random() < share]:
             del self.copies[key]
 
-    def keep(self, key: str) -> None:
+    def store_copy(self, key: str) -> None:
         """Store a copy."""
         self.copies[key] = None
         self.copies.move_to_end(key)
@@ -141,9 +147,9 @@
 
     # What is asked
 
-    def asked(self, words: list[bytes], line: _NodeLine, first_byte_at: float) -> None:
+    def handle_request(self, words: list[bytes], line: _NodeLine, first_byte_at: float) -> None:
         """Take a command whose last byte has left its router."""
-        place = line.place()
+        place = line.reserve_reply()
         name = words[0].upper() if words else b""
         if name == b"PING":
             place.answer(b"+PONG\r\n")
@@ -160,22 +166,22 @@
         else:
             info = dict(part.partition("=")[::2] for part in words[3].decode().split(","))
             request = words[2].decode()
-            self._witness.attempt_came(request, self.setup.id, self.loop.time())
+            self._observer.attempt_received(request, self.setup.id, self.loop.time())
             self._report_timeout(request, words[3], first_byte_at)
             asked = _Asked(
                 request, info.get("c", ""), words[1].decode(), info.get("k"), name == b"KV.SET", place
             )
-            self.loop.call_later(line.delay, self._offer, asked, self.serving.born)
+            self.loop.call_later(line.delay, self._offer, asked, self.core_runner.incarnation)
 
     def _report_timeout(self, request: str, info: bytes, first_byte_at: float) -> None:
-        """Report to the witness how much time an attempt says that its client has left."""
+        """Report to the observer how much time an attempt says that its client has left."""
         timeout_ms, now = read_advertised_timeout(info), self.loop.time()
-        self._witness.timeout_advertised(
+        self._observer.timeout_advertised(
             AdvertisedTimeout(request, self.setup.id, timeout_ms, first_byte_at, now)
         )
 
-    def _offer(self, asked: _Asked, born: int) -> None:
-        if born != self.serving.born or self.station.silent:
+    def _offer(self, asked: _Asked, incarnation: int) -> None:
+        if incarnation != self.core_runner.incarnation or self.listeners.silent:
             return
         now = self.loop.time()
         works = self.setup.works.get(asked.request_class)
@@ -186,15 +192,15 @@
         asked.hit = asked.write or asked.key in self.copies
         if not asked.hit:
             work *= self.setup.miss_work
-        told = self._witness.knows_start(asked.request, self.setup.id)
-        over = self._cold.take(now, work, told) if self._cold is not None else None
+        informed = self._observer.router_knows_start(asked.request, self.setup.id)
+        over = self._cold.add_work(now, work, informed) if self._cold is not None else None
         if over is not None:
-            self._witness.pushed_over(self.setup.id, over, now)
-            self.trouble.fallen = True
-            self.die()
+            self._observer.cold_node_overloaded(self.setup.id, over, now)
+            self.faults.overloaded = True
+            self.kill()
             return
-        if self.trouble.draining or not self.serving.offer(asked, work):
-            self._witness.attempt_ended(asked.request, self.setup.id, "busy", now)
+        if self.faults.draining or not self.core_runner.offer(asked, work):
+            self._observer.attempt_answered(asked.request, self.setup.id, "busy", now)
             asked.place.answer(b"-BUSY %b\r\n" % self.report())
 
     def _done(self, asked: _Asked, now: float) -> None:
@@ -203,12 +209,12 @@
         if asked.write:
             self._effects.run(asked.request, asked.request_class, asked.idempotency, now)
         if self.rng.random() < self.setup.error_rate:
-            self._witness.attempt_ended(asked.request, self.setup.id, "error", now)
+            self._observer.attempt_answered(asked.request, self.setup.id, "error", now)
             asked.place.answer(b"-ERR failed\r\n")
             return
         if not asked.hit:
             self._missed(asked.request, self)
-            self._witness.attempt_ended(asked.request, self.setup.id, "miss", now)
+            self._observer.attempt_answered(asked.request, self.setup.id, "miss", now)
             asked.place.answer(b"*3\r\n$-1\r\n$4\r\nmiss\r\n" + bulk(self.report()))
             return
         if not asked.write and asked.key in self.copies:
@@ -220,7 +226,7 @@
 
     def _answer(self, asked: _Asked, answer: bytes, now: float) -> None:
         """Answer, unless the node is in a trouble that spoils this one."""
-        trouble, line = self.trouble, asked.place.line
+        trouble, line = self.faults, asked.place.line
         draw = self.rng.random()
         if draw < trouble.half:
             asked.place.answer(answer[: len(answer) // 2], line.close)
@@ -229,16 +235,16 @@
         elif draw < trouble.reset:
             asked.place.answer(answer[: len(answer) // 3], line.reset)
         else:
-            self._witness.attempt_ended(asked.request, self.setup.id, "hit", now)
+            self._observer.attempt_answered(asked.request, self.setup.id, "hit", now)
             asked.place.answer(answer)
             return
-        self._witness.attempt_ended(asked.request, self.setup.id, "spoilt", now)
+        self._observer.attempt_answered(asked.request, self.setup.id, "spoilt", now)
 
     def report(self) -> bytes:
         """The load report, as of its last refresh."""
         now = self.loop.time()
         if now >= self._report_until:
-            self._report = b"latency_ms=%.2f,queue=%d" % (self._recent, self.serving.core.queue)
+            self._report = b"latency_ms=%.2f,queue=%d" % (self._recent, self.core_runner.core.queue_length)
             self._report_until = now + self.setup.report_period
         return self._report
 
@@ -276,26 +282,26 @@
         return first_at
 
 
-class _NodeLine(Line):
+class _NodeLine(EmulatorConnection):
     """A router's connection to a node."""
 
-    def __init__(self, node: MirrorNode, delay: float) -> None:
-        super().__init__(node.station, delay)
+    def __init__(self, node: EmulatedNode, delay: float) -> None:
+        super().__init__(node.listeners, delay)
         self._node = node
         self._reader = hiredis.Reader()
         self._first_bytes = FirstBytes()
 
     def data_received(self, data: bytes) -> None:
         """Read commands; what can't be read closes the connection."""
-        if self.station.silent:
+        if self.listeners.silent:
             return
-        self._first_bytes.came(len(data), self.station.loop.time())
+        self._first_bytes.came(len(data), self.listeners.loop.time())
         try:
             self._reader.feed(data)
             while (words := self._reader.gets()) is not False:
                 if not isinstance(words, list) or not all(isinstance(word, bytes) for word in words):
                     raise hiredis.ProtocolError("not a command")
                 first_byte_at = self._first_bytes.command_ended(encoded_length(words))
-                self._node.asked(words, self, first_byte_at)
+                self._node.handle_request(words, self, first_byte_at)
         except (hiredis.ProtocolError, UnicodeDecodeError):
             self.close()
--- a/pebblepass/emulators/ports.py
+++ b/pebblepass/emulators/ports.py
@@ -6,7 +6,7 @@
 import socket
 from contextlib import suppress
 
-from pebblepass.emulators.listening import LOOPBACK
+from pebblepass.emulators.listeners import LOOPBACK
 
 FIRST, LAST = 10_000, 30_000  # below those that the kernel deals out to outgoing connections
 BLOCK = 100
--- a/pebblepass/emulators/registry.py
+++ b/pebblepass/emulators/registry.py
@@ -10,8 +10,8 @@
 import httptools
 import msgspec
 
-from pebblepass.emulators.listening import LOOPBACK, Line, Place, Station
-from pebblepass.emulators.witness import Witness
+from pebblepass.emulators.listeners import LOOPBACK, EmulatorConnection, ListenerGroup, PendingReply
+from pebblepass.emulators.observer import EmulatorObserver
 from pebblepass.wire.address import Address
 
 LATEST_S = 6.0  # what the agent has counts as told so much later at the latest
@@ -22,7 +22,7 @@
 @dataclass(slots=True)
 class _Watch:
     index: int
-    place: Place
+    place: PendingReply
     timer: asyncio.TimerHandle
 
 
@@ -30,31 +30,35 @@
     """One router's view of the list: changes come late, and go on to whoever watches."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, router: str, entries: list[dict[str, Any]], witness: Witness
+        self,
+        loop: asyncio.AbstractEventLoop,
+        router: str,
+        entries: list[dict[str, Any]],
+        observer: EmulatorObserver,
     ) -> None:
-        self._loop, self._router, self._witness = loop, router, witness
+        self._loop, self._router, self._observer = loop, router, observer
         self._entries = {entry["instanceId"]: entry for entry in entries}
         self._changes: list[tuple[int, dict[str, Any]]] = []
         self._held_back: list[dict[str, Any]] = []
         self.generation = 1
         self._watches: list[_Watch] = []
-        self._station = Station(loop, (ZONE,))
+        self._listeners = ListenerGroup(loop, (ZONE,))
         self._down = False
 
     async def start(self) -> None:
         """Listen."""
-        await self._station.open(lambda _: _AgentLine(self, self._station))
+        await self._listeners.open(lambda _: _AgentLine(self, self._listeners))
 
     @property
     def address(self) -> Address:
         """Where the router finds it."""
-        return LOOPBACK, self._station.ports[ZONE]
+        return LOOPBACK, self._listeners.ports[ZONE]
 
     def listing(self) -> dict[str, Any]:
         """The whole list."""
         return {"generation": self.generation, "reset": True, "instances": list(self._entries.values())}
 
-    def change(self, entry: dict[str, Any]) -> None:
+    def apply_change(self, entry: dict[str, Any]) -> None:
         """The agent has been sent a change of one entry."""
         if self._down:
             self._held_back.append(entry)
@@ -75,35 +79,35 @@
         """Go down: watches end and new connections are refused; come back with what was sent meanwhile."""
         self._down = down
         if down:
-            self._station.refuse()
-            self._station.break_all()
+            self._listeners.stop_accepting()
+            self._listeners.reset_connections()
             for watch in self._watches:
                 watch.timer.cancel()
             self._watches.clear()
             return
-        self._station.reopen()
+        self._listeners.reopen()
         held, self._held_back = self._held_back, []
         for entry in held:
-            self.change(entry)
+            self.apply_change(entry)
 
     async def move(self) -> RegistryAgent:
         """Go on at another address; the old one takes no new connections and ends after 1.5 s."""
-        moved = RegistryAgent(self._loop, self._router, list(self._entries.values()), self._witness)
+        moved = RegistryAgent(self._loop, self._router, list(self._entries.values()), self._observer)
         moved.generation, moved._changes = self.generation, list(self._changes)
         await moved.start()
-        self._station.refuse()
-        self._loop.call_later(1.5, self._station.break_all)
+        self._listeners.stop_accepting()
+        self._loop.call_later(1.5, self._listeners.reset_connections)
         return moved
 
     def close(self) -> None:
         """End."""
-        self._station.refuse()
-        self._station.break_all()
+        self._listeners.stop_accepting()
+        self._listeners.reset_connections()
 
-    def asked(self, target: str, line: Line) -> None:
+    def handle_request(self, target: str, line: EmulatorConnection) -> None:
         """Take a request."""
         parts = urlsplit(target)
-        place = line.place()
+        place = line.reserve_reply()
         if parts.path != "/registry/instances":
             place.answer(_answer(404, {}))
             return
@@ -125,7 +129,7 @@
         else:
             self._watches.append(watch)
 
-    def _time_out(self, place: Place) -> None:
+    def _time_out(self, place: PendingReply) -> None:
         for watch in self._watches:
             if watch.place is place:
                 self._watches.remove(watch)
@@ -149,7 +153,7 @@
     def _tell(self, entries: list[dict[str, Any]]) -> None:
         now = self._loop.time()
         for entry in entries:
-            self._witness.was_told(self._router, entry["instanceId"], entry["lifecycle"], now)
+            self._observer.registry_update_sent(self._router, entry["instanceId"], entry["lifecycle"], now)
 
 
 def _answer(status: int, body: dict[str, Any]) -> bytes:
@@ -159,11 +163,11 @@
     return head % (status, reason, len(data)) + data
 
 
-class _AgentLine(Line):
+class _AgentLine(EmulatorConnection):
     """A router's connection to its agent."""
 
-    def __init__(self, agent: RegistryAgent, station: Station) -> None:
-        super().__init__(station, 0.0)
+    def __init__(self, agent: RegistryAgent, listeners: ListenerGroup) -> None:
+        super().__init__(listeners, 0.0)
         self._agent = agent
         self._parser = httptools.HttpRequestParser(self)
         self._target = b""
@@ -182,4 +186,4 @@
     def on_message_complete(self) -> None:
         """Called by httptools."""
         target, self._target = self._target.decode("ascii", "replace"), b""
-        self._agent.asked(target, self)
+        self._agent.handle_request(target, self)
--- a/pebblepass/emulators/store.py
+++ b/pebblepass/emulators/store.py
@@ -11,12 +11,18 @@
 import httptools
 
 from pebblepass.emulators.advertised import AdvertisedTimeout, read_advertised_timeout
-from pebblepass.emulators.core import CoreFacts
-from pebblepass.emulators.effects import Effects
-from pebblepass.emulators.listening import Line, Place, Silence, Station, no_silence
+from pebblepass.emulators.core import CoreParameters
+from pebblepass.emulators.core_runner import CoreRunner
+from pebblepass.emulators.effects import EffectLog
+from pebblepass.emulators.listeners import (
+    EmulatorConnection,
+    ListenerGroup,
+    PendingReply,
+    SetAddressSilent,
+    leave_address_reachable,
+)
 from pebblepass.emulators.node import make_value
-from pebblepass.emulators.serving import Serving
-from pebblepass.emulators.witness import Witness
+from pebblepass.emulators.observer import EmulatorObserver
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +30,7 @@
     """Everything that a stand-in store is told."""
 
     id: str
-    core: CoreFacts
+    core: CoreParameters
     work: float
     """Seconds that one request takes, on average."""
     error_rate: float
@@ -38,10 +44,10 @@
     fields: dict[str, str]
     key: str
     write: bool
-    place: Place
+    place: PendingReply
 
 
-class PackageStore:
+class EmulatedStore:
     """The one slow origin. What it has served is stored where the request missed."""
 
     def __init__(
@@ -49,38 +55,43 @@
         loop: asyncio.AbstractEventLoop,
         setup: StoreSetup,
         rng: random.Random,
-        effects: Effects,
-        witness: Witness,
+        effects: EffectLog,
+        observer: EmulatorObserver,
         fetched: Callable[[str, str], None],
         written: Callable[[str], None],
-        silence: Silence = no_silence,
+        silence: SetAddressSilent = leave_address_reachable,
     ) -> None:
         self.loop, self.setup, self.rng = loop, setup, rng
-        self._effects, self._witness = effects, witness
+        self._effects, self._observer = effects, observer
         self._fetched, self._written = fetched, written
-        self.station = Station(loop, tuple(setup.delays), silence)
-        self.serving: Serving[_Asked] = Serving(loop, setup.core, self._done)
+        self.listeners = ListenerGroup(loop, tuple(setup.delays), silence)
+        self.core_runner: CoreRunner[_Asked] = CoreRunner(loop, setup.core, self._done)
         self.fetches = self.writes = 0
 
     async def start(self) -> None:
         """Listen."""
-        await self.station.open(lambda zone: _StoreLine(self, self.setup.delays[zone]))
+        await self.listeners.open(lambda zone: _StoreLine(self, self.setup.delays[zone]))
 
-    def die(self) -> None:
+    def kill(self) -> None:
         """The store goes down: connections are reset, new ones refused, all that it held is gone."""
-        self.station.refuse()
-        self.station.break_all()
-        self.serving.begin(cold=False)
+        self.listeners.stop_accepting()
+        self.listeners.reset_connections()
+        self.core_runner.restart(cold=False)
 
-    def revive(self) -> None:
+    def restart(self) -> None:
         """The store is back."""
-        self.station.reopen()
+        self.listeners.reopen()
 
-    def asked(
-        self, method: bytes, target: str, headers: dict[bytes, bytes], line: Line, first_byte_at: float
+    def handle_request(
+        self,
+        method: bytes,
+        target: str,
+        headers: dict[bytes, bytes],
+        line: EmulatorConnection,
+        first_byte_at: float,
     ) -> None:
         """Take a request whose last byte has left its router."""
-        place = line.place()
+        place = line.reserve_reply()
         if method == b"GET" and target in ("/health/live", "/stats"):
             place.answer(_answer(200, self.report()))
             return
@@ -88,31 +99,31 @@
         info = headers.get(b"request-info", b"").decode()
         if method in (b"GET", b"PUT") and request:
             timeout_ms, now = read_advertised_timeout(info.encode()), self.loop.time()
-            self._witness.timeout_advertised(
+            self._observer.timeout_advertised(
                 AdvertisedTimeout(request, self.setup.id, timeout_ms, first_byte_at, now)
             )
         if method not in (b"GET", b"PUT") or not request or not info:
             place.answer(_answer(400, b""))
             return
         fields = dict(part.partition("=")[::2] for part in info.split(","))
-        self._witness.attempt_came(request, self.setup.id, self.loop.time())
+        self._observer.attempt_received(request, self.setup.id, self.loop.time())
         asked = _Asked(request, fields, unquote(target[1:]), method == b"PUT", place)
-        self.loop.call_later(line.delay, self._offer, asked, self.serving.born)
+        self.loop.call_later(line.delay, self._offer, asked, self.core_runner.incarnation)
 
-    def _offer(self, asked: _Asked, born: int) -> None:
-        if born != self.serving.born:
+    def _offer(self, asked: _Asked, incarnation: int) -> None:
+        if incarnation != self.core_runner.incarnation:
             return
         now = self.loop.time()
         work = self.setup.work * self.rng.uniform(0.6, 1.4)
-        if not self.serving.offer(asked, work):
-            self._witness.attempt_ended(asked.request, self.setup.id, "busy", now)
+        if not self.core_runner.offer(asked, work):
+            self._observer.attempt_answered(asked.request, self.setup.id, "busy", now)
             asked.place.answer(_answer(503, b"", b"Not-Started: 1\r\n", self.report()))
 
     def _done(self, asked: _Asked, now: float) -> None:
         self.writes += asked.write
         self.fetches += not asked.write
         if self.rng.random() < self.setup.error_rate:
-            self._witness.attempt_ended(asked.request, self.setup.id, "error", now)
+            self._observer.attempt_answered(asked.request, self.setup.id, "error", now)
             asked.place.answer(_answer(500, b"", report=self.report()))
             return
         if asked.write:
@@ -121,13 +132,13 @@
         else:
             self._fetched(asked.request, asked.key)
         outcome = "stored" if asked.write else "fetched"
-        self._witness.attempt_ended(asked.request, self.setup.id, outcome, now)
+        self._observer.attempt_answered(asked.request, self.setup.id, outcome, now)
         value = make_value(self.rng, asked.key, asked.request, self.setup.id, self.setup.value_bytes)
         asked.place.answer(_answer(200, value, report=self.report()))
 
     def report(self) -> bytes:
         """The load report."""
-        return b"latency_ms=%.2f,queue=%d" % (self.setup.work * 1000, self.serving.core.queue)
+        return b"latency_ms=%.2f,queue=%d" % (self.setup.work * 1000, self.core_runner.core.queue_length)
 
 
 _REASONS = {200: b"OK", 400: b"Bad Request", 500: b"Internal Server Error", 503: b"Service Unavailable"}
@@ -139,11 +150,11 @@
     return b"%b%b%b\r\n%b" % (head, headers, load, body)
 
 
-class _StoreLine(Line):
+class _StoreLine(EmulatorConnection):
     """A router's connection to the store."""
 
-    def __init__(self, store: PackageStore, delay: float) -> None:
-        super().__init__(store.station, delay)
+    def __init__(self, store: EmulatedStore, delay: float) -> None:
+        super().__init__(store.listeners, delay)
         self._store = store
         self._parser = httptools.HttpRequestParser(self)
         self._target = b""
@@ -159,7 +170,7 @@
 
     def on_message_begin(self) -> None:
         """Called by httptools."""
-        self._first_byte_at = self.station.loop.time()
+        self._first_byte_at = self.listeners.loop.time()
 
     def on_url(self, url: bytes) -> None:
         """Called by httptools."""
@@ -173,4 +184,4 @@
         """Called by httptools."""
         target, headers = self._target.decode(), self._headers
         self._target, self._headers = b"", {}
-        self._store.asked(self._parser.get_method(), target, headers, self, self._first_byte_at)
+        self._store.handle_request(self._parser.get_method(), target, headers, self, self._first_byte_at)
--- a/pebblepass/scale/run.py
+++ b/pebblepass/scale/run.py
@@ -17,10 +17,10 @@
 
 import msgspec
 
-from pebblepass.emulators.listening import Line
+from pebblepass.emulators.listeners import EmulatorConnection
+from pebblepass.emulators.observer import NullObserver
 from pebblepass.emulators.ports import take_port
 from pebblepass.emulators.registry import RegistryAgent
-from pebblepass.emulators.witness import Nobody
 from pebblepass.fault_injection.relay import LOOPBACK, Relays
 from pebblepass.scale.figures import Look, by_role, of_changes
 from pebblepass.scale.hollow import Order, Place, Report, Specification
@@ -64,10 +64,10 @@
         super().__init__(*given)
         self.calls: list[tuple[float, bool]] = []
 
-    def asked(self, target: str, line: Line) -> None:
+    def handle_request(self, target: str, connection: EmulatorConnection) -> None:
         """Take a request."""
         self.calls.append((time.monotonic(), "index=" not in target))
-        super().asked(target, line)
+        super().handle_request(target, connection)
 
     def since(self, at: float) -> dict[str, float]:
         """The calls since a time: how many, whole ones, and the most in a second."""
@@ -404,7 +404,7 @@
         await self._all_hold(plan.voter_names(), 1, 0)
         self._version = 1
         if plan.full:
-            self._agent = RegistryAgent(loop, "scale", [], Nobody())
+            self._agent = RegistryAgent(loop, "scale", [], NullObserver())
             await self._agent.start()
 
         async def join() -> dict[str, Any]:
@@ -465,7 +465,7 @@
 
     async def _discovery(self) -> dict[str, Any]:
         plan, entries = self._plan, self._plan.listed()
-        agent = self._lists = CountingAgent(asyncio.get_running_loop(), "scale", entries, Nobody())
+        agent = self._lists = CountingAgent(asyncio.get_running_loop(), "scale", entries, NullObserver())
         await agent.start()
         begun = time.monotonic_ns()
         for number in range(plan.hollow_processes):
@@ -480,11 +480,11 @@
         told["calls_per_router_s"] = calls / plan.hollow / (time.monotonic() - quiet)
         told["cpu_per_call_s"] = (time.process_time() - quiet_cpu) / max(calls, 1)
         begun = time.monotonic_ns()
-        agent.change({**entries[0], "lifecycle": "draining"})
+        agent.apply_change({**entries[0], "lifecycle": "draining"})
         told["change_s"] = await self._all_listed(agent.generation, begun)
         agent.set_down(True)
         await asyncio.sleep(OUTAGE_S)
-        agent.change({**entries[1], "lifecycle": "draining"})
+        agent.apply_change({**entries[1], "lifecycle": "draining"})
         begun = time.monotonic_ns()
         agent.set_down(False)
         told["after_outage_s"] = await self._all_listed(agent.generation, begun)
--- a/pebblepass/simulation/emulated_services.py
+++ b/pebblepass/simulation/emulated_services.py
@@ -11,12 +11,12 @@
 from pebblepass.decisions.interface import Server as ListedServer
 from pebblepass.decisions.settings import read_settings
 from pebblepass.decisions.slot_table import SLOTS, SlotTable
-from pebblepass.emulators.core import CoreFacts
-from pebblepass.emulators.effects import Effects
-from pebblepass.emulators.listening import Silence
-from pebblepass.emulators.node import DRAIN_S, MirrorNode, NodeSetup, Works
+from pebblepass.emulators.core import CoreParameters
+from pebblepass.emulators.effects import EffectLog
+from pebblepass.emulators.listeners import SetAddressSilent
+from pebblepass.emulators.node import DRAIN_S, EmulatedNode, NodeSetup, WorkRange
 from pebblepass.emulators.registry import RegistryAgent
-from pebblepass.emulators.store import PackageStore, StoreSetup
+from pebblepass.emulators.store import EmulatedStore, StoreSetup
 from pebblepass.simulation.plan import STORE_ID, FaultEvent, NodeFacts, Plan, RouterFacts, Streams
 from pebblepass.simulation.recovery import Recorder
 from pebblepass.simulation.rule_checker import RuleChecker
@@ -91,7 +91,7 @@
         plan: Plan,
         rule_checker: RuleChecker,
         unix_ns: Callable[[], int],
-        silence: Silence,
+        silence: SetAddressSilent,
         recorder: Recorder,
     ) -> None:
         self.loop, self.plan, self.rule_checker, self._recorder = loop, plan, rule_checker, recorder
@@ -99,18 +99,18 @@
         self._unix_ns, self._silence = unix_ns, silence
         scenario = plan.scenario
         streams = Streams(plan.seed)
-        self.effects = Effects(
-            {cls.name: cls.window_s for cls in scenario.classes}, rule_checker.effect_doubled
+        self.effects = EffectLog(
+            {cls.name: cls.window_s for cls in scenario.classes}, rule_checker.effect_repeated
         )
-        self._missed_at: dict[str, list[MirrorNode]] = {}
+        self._missed_at: dict[str, list[EmulatedNode]] = {}
         self.nodes = {facts.id: self._node(facts, streams) for facts in plan.nodes}
         self._spares = [self._node(facts, streams) for facts in plan.spares]
         store_zone = scenario.fleet.zones[0]
-        self.store = PackageStore(
+        self.store = EmulatedStore(
             loop,
             StoreSetup(
                 id=STORE_ID,
-                core=CoreFacts(1.0, plan.store.slots, plan.store.queue, shared=False),
+                core=CoreParameters(1.0, plan.store.slots, plan.store.queue, shared=False),
                 work=plan.store.work,
                 error_rate=plan.store.error_rate,
                 value_bytes=scenario.traffic.value_bytes,
@@ -128,13 +128,13 @@
         self._zones = {facts.id: facts.zone for facts in (*plan.nodes, *plan.spares)}
         self._started_ms: dict[str, int] = {}
 
-    def _node(self, facts: NodeFacts, streams: Streams) -> MirrorNode:
+    def _node(self, facts: NodeFacts, streams: Streams) -> EmulatedNode:
         scenario = self.plan.scenario
-        return MirrorNode(
+        return EmulatedNode(
             self.loop,
             NodeSetup(
                 id=facts.id,
-                core=CoreFacts(
+                core=CoreParameters(
                     speed=facts.speed,
                     slots=facts.slots,
                     queue=facts.queue,
@@ -148,7 +148,7 @@
                 memory=facts.memory,
                 report_period=facts.report_period,
                 works={
-                    cls.name: Works(cls.work_ms.least / 1000, cls.work_ms.most / 1000)
+                    cls.name: WorkRange(cls.work_ms.least / 1000, cls.work_ms.most / 1000)
                     for cls in scenario.classes
                 },
                 miss_work=scenario.node.miss_work,
@@ -191,10 +191,10 @@
         table.update([ListedServer(name, kind=KIND) for name in self.nodes], [])
         for key in reversed(self.plan.popular):
             holder = table.rank(crc32(key.encode()) % SLOTS, 0)[0]
-            self.nodes[holder.entry.id].keep(key)
+            self.nodes[holder.entry.id].store_copy(key)
 
     def _entry(self, name: str, zone: str, lifecycle: str) -> dict[str, Any]:
-        host, port = self.nodes[name].station.address(zone)
+        host, port = self.nodes[name].listeners.address(zone)
         return {
             "instanceId": name,
             "hostPort": f"{host}:{port}",
@@ -207,7 +207,7 @@
         }
 
     def _store_entry(self, zone: str) -> dict[str, Any]:
-        host, port = self.store.station.address(zone)
+        host, port = self.store.listeners.address(zone)
         return {
             "instanceId": STORE_ID,
             "hostPort": f"{host}:{port}",
@@ -221,14 +221,14 @@
 
     # Copies
 
-    def _missed(self, request: str, node: MirrorNode) -> None:
+    def _missed(self, request: str, node: EmulatedNode) -> None:
         self._missed_at.setdefault(request, []).append(node)
 
     def _fetched(self, request: str, key: str) -> None:
         nodes = self._missed_at.pop(request, ())
         elsewhere = any(key in node.copies for node in self.nodes.values() if node not in nodes)
         for node in nodes:
-            node.keep(key)
+            node.store_copy(key)
         at = self.loop.time() - self._begun
         self._recorder.record_fetch(at, request, key, [node.setup.id for node in nodes], elsewhere)
 
@@ -247,7 +247,7 @@
             self.loop.call_later(delay, self._tell, router.id, entry)
 
     def _tell(self, router: str, entry: dict[str, Any]) -> None:
-        self.agents[router].change(entry)
+        self.agents[router].apply_change(entry)
 
     def happen(self, event: FaultEvent) -> str:
         """Let something happen to a node, the store, the registry or the copies; returns a line of it."""
@@ -262,8 +262,8 @@
                     each.drop_copies(event.share)
                 return f"{event.share:.0%} of the kept copies go void"
             case "store-down":
-                self.store.die()
-                self.loop.call_later(later, self.store.revive)
+                self.store.kill()
+                self.loop.call_later(later, self.store.restart)
                 return f"the store is down for {later:g} s"
             case "registry-down":
                 for agent in self.agents.values():
@@ -271,36 +271,36 @@
                 self.loop.call_later(later, self._registry_back)
                 return f"the registry is down for {later:g} s"
             case "node-kill":
-                node.die()
+                node.kill()
                 self._announce(name, "removed")
                 return f"{name} dies"
             case "node-silent":
-                node.station.set_silent(True)
-                self.loop.call_later(later, node.station.set_silent, False)
+                node.listeners.set_silent(True)
+                self.loop.call_later(later, node.listeners.set_silent, False)
                 return f"{name} is cut off for {later:g} s"
             case "node-drain":
-                node.trouble.draining = True
+                node.faults.draining = True
                 self._announce(name, "draining")
                 self.loop.call_later(DRAIN_S + self.plan.scenario.fleet.told_s.most, self._drained, name)
                 return f"{name} drains"
             case "node-restart":
-                node.die()
+                node.kill()
                 self.loop.call_later(later, self._restarted, name)
                 return f"{name} dies, to start again {later:g} s later"
             case "node-replace":
                 return self._replace(name)
             case "node-slow":
-                node.serving.set_factor(event.factor)
-                self.loop.call_later(later, node.serving.set_factor, 1.0)
+                node.core_runner.set_speed_factor(event.factor)
+                self.loop.call_later(later, node.core_runner.set_speed_factor, 1.0)
                 return f"{name} has {event.factor:.0%} of its speed for {later:g} s"
             case "node-refuse":
-                node.station.refuse()
-                self.loop.call_later(later, node.station.reopen)
+                node.listeners.stop_accepting()
+                self.loop.call_later(later, node.listeners.reopen)
                 return f"{name} refuses connections for {later:g} s"
             case "node-half" | "node-garble" | "node-reset":
                 trouble = event.kind.removeprefix("node-")
-                setattr(node.trouble, trouble, event.share)
-                self.loop.call_later(later, setattr, node.trouble, trouble, 0.0)
+                setattr(node.faults, trouble, event.share)
+                self.loop.call_later(later, setattr, node.faults, trouble, 0.0)
                 return f"{name}: {event.share:.0%} of its answers are spoilt ({trouble}) for {later:g} s"
         raise ValueError(f"nothing known happens as {event.kind}")
 
@@ -310,22 +310,22 @@
 
     def _drained(self, name: str) -> None:
         node = self.nodes[name]
-        node.station.refuse()
-        node.station.break_all()
+        node.listeners.stop_accepting()
+        node.listeners.reset_connections()
         self._announce(name, "removed")
 
     def _restarted(self, name: str) -> None:
         self.rule_checker.server_started(name)
         self._started_ms[name] = self._unix_ns() // 1_000_000
-        self.nodes[name].revive()
+        self.nodes[name].restart()
         self._announce(name, "up")
 
     def _replace(self, name: str) -> str:
         """Another node, under its own id, comes up at the address of one that dies."""
         old, new = self.nodes[name], self._spares.pop(0)
-        old.die()
+        old.kill()
         self._announce(name, "removed")
-        new.station.ports = dict(old.station.ports)
+        new.listeners.ports = dict(old.listeners.ports)
         self.nodes[new.setup.id] = new
         self._started_ms[new.setup.id] = self._unix_ns() // 1_000_000
         self.rule_checker.server_started(new.setup.id)
--- a/pebblepass/simulation/load_generator.py
+++ b/pebblepass/simulation/load_generator.py
@@ -49,7 +49,9 @@
         """A router's clients connect here."""
         pool = ClientPool(self.loop, address)
         router = self.plan.routers[place].id
-        pool.stray = lambda _: self.rule_checker.record_unexpected_bytes(router, self.loop.time())
+        pool.on_unexpected_bytes = lambda _: self.rule_checker.record_unexpected_bytes(
+            router, self.loop.time()
+        )
         self.pools.append(pool)
 
     def notice(self, place: int, down: bool) -> None:
@@ -165,9 +167,9 @@
         words.append(info.encode())
         if cls.write:
             words.append(b"of %b" % operation.key.encode())
-        proof = f"{operation.key} {self._id} ".encode()
-        self._request = Request(tuple(words), proof, self._taken, self._answered)
-        self._front.pools[self._place].ask(self._request)
+        expected_prefix = f"{operation.key} {self._id} ".encode()
+        self._request = Request(tuple(words), expected_prefix, self._taken, self._answered)
+        self._front.pools[self._place].send(self._request)
 
     def _taken(self) -> None:
         self._was_taken = True
@@ -189,7 +191,7 @@
         self._asking.came_to_nothing(harmless=False)
 
     def _stop_listening(self) -> None:
-        self._request.drop()
+        self._request.abandon()
         if self._was_taken:
             self._lost("no answer in its time")
         else:
@@ -198,7 +200,7 @@
     def _leave(self) -> None:
         """Go away; an answer that was on its way when the router could not know still counts as one."""
         self._asking.over = self._leaving = True
-        if not self._request.leave():
+        if not self._request.end_sending():
             self._end("gone" if self._was_taken else "unreached")
 
     def _lost(self, how: str) -> None:
@@ -211,7 +213,11 @@
             self._end("gone")
         elif answer is Answer.UNREACHED:
             self._end("unreached")
-        elif answer is Answer.CLOSED and not rule_checker.was_sent(self._id) and not self._request.fresh:
+        elif (
+            answer is Answer.CLOSED
+            and not rule_checker.was_sent(self._id)
+            and not self._request.first_on_connection
+        ):
             # PROTOCOL: a close that crosses a request on a kept connection; it goes out once more.
             self._send()
             return
@@ -267,8 +273,8 @@
         info = f"c={cls.name},t={operations[0].namespace},d={left}".encode()
         words = (b"KV.MGET", b"%d" % len(keys), *keys, self._name.encode(), info)
         self._request = Request(words, b"", self._taken, self._answered)
-        self._request.proofs = tuple(b"%b %b." % (key, self._name.encode()) for key in keys)
-        self._front.pools[self._place].ask(self._request)
+        self._request.expected_prefixes = tuple(b"%b %b." % (key, self._name.encode()) for key in keys)
+        self._front.pools[self._place].send(self._request)
 
     def _taken(self) -> None:
         self._was_taken = True
@@ -287,7 +293,7 @@
         self._end([self._front.loss(self._place, request, self._begun, how) for request in self._ids])
 
     def _stop_listening(self) -> None:
-        self._request.drop()
+        self._request.abandon()
         if self._was_taken:
             self._lost("no answer in its time")
         else:
@@ -298,7 +304,7 @@
         sent = self._was_taken and any(map(rule_checker.was_sent, self._ids))
         if answer is Answer.UNREACHED:
             self._end(["unreached"] * len(self._operations))
-        elif answer is Answer.CLOSED and not sent and not self._request.fresh:
+        elif answer is Answer.CLOSED and not sent and not self._request.first_on_connection:
             self._send()  # PROTOCOL: a close that crosses a request on a kept connection
         elif answer in (Answer.CLOSED, Answer.CUT) and sent:
             self._lost("the connection was closed without its answer")
--- a/pebblepass/simulation/rule_checker.py
+++ b/pebblepass/simulation/rule_checker.py
@@ -11,7 +11,7 @@
 from hashlib import sha256
 
 from pebblepass.emulators.advertised import AdvertisedTimeout
-from pebblepass.emulators.effects import Doubled
+from pebblepass.emulators.effects import RepeatedEffect
 from pebblepass.simulation.deadlines import US_PER_MS, US_PER_S, DeadlineCount, excess_us
 
 DRAIN_GRACE_S = 0.5
@@ -122,7 +122,7 @@
 
     # Nodes and the store
 
-    def attempt_came(self, request: str, server: str, now: float) -> None:
+    def attempt_received(self, request: str, server: str, now: float) -> None:
         """Hold an attempt against the rules on answers and drains."""
         self.trace.update(b"%b to %b %d\n" % (request.encode(), server.encode(), int(now * 1e6)))
         self.attempts[server] = self.attempts.get(server, 0) + 1
@@ -150,7 +150,7 @@
         asked = self._asked.get(request)
         count = self.deadlines
         if asked is None:
-            count.attempts += 1  # `attempt_came` finds that no client has asked it
+            count.attempts += 1  # `attempt_received` finds that no client has asked it
             return
         excess = excess_us(advertised, asked.client_deadline)
         is_above = excess is not None and excess > round(self._transit_slack * US_PER_S)
@@ -165,19 +165,19 @@
             what = f"advertised {told}, {excess / US_PER_MS:.3f} ms too much"
             self._break(Rule.DEADLINE, at, f"{which} {what}")
 
-    def attempt_ended(self, request: str, server: str, outcome: str, now: float) -> None:
+    def attempt_answered(self, request: str, server: str, outcome: str, now: float) -> None:
         """Note which answers were spoilt."""
         if outcome == "spoilt" and request in self._asked:
             self._asked[request].spoilt = True
 
-    def effect_doubled(self, doubled: Doubled) -> None:
+    def effect_repeated(self, doubled: RepeatedEffect) -> None:
         """An effect has happened twice."""
         what = f"{doubled.request}: a {doubled.request_class} took effect more than once"
         self._break(Rule.ONCE, doubled.at, what)
 
     # The list
 
-    def was_told(self, router: str, server: str, state: str, now: float) -> None:
+    def registry_update_sent(self, router: str, server: str, state: str, now: float) -> None:
         """A router knows a server's state from now on; being told again changes nothing."""
         if self._told.get((router, server), ("", 0.0))[0] != state:
             self._told[router, server] = (state, now)
@@ -193,13 +193,15 @@
         self._told = {key: told for key, told in self._told.items() if key[0] != router}
         self._starts_known = {key for key in self._starts_known if key[0] != router}
 
-    def knows_start(self, request: str, server: str) -> bool:
+    def router_knows_start(self, request: str, server: str) -> bool:
         """Whether the router that holds this request was told of the server's last start."""
         asked = self._asked.get(request)
         return asked is not None and (asked.router, server) in self._starts_known
 
-    def pushed_over(self, server: str, share_told: float, now: float) -> None:
+    def cold_node_overloaded(self, server: str, informed_share: float, now: float) -> None:
         """A cold node fell over; the rule is broken where most of the work came from who knew."""
         self.pushed.append(server)
-        if share_told >= TOLD_PART:
-            self._break(Rule.COLD, now, f"{server}: pushed over, {share_told:.0%} of it by routers that knew")
+        if informed_share >= TOLD_PART:
+            self._break(
+                Rule.COLD, now, f"{server}: pushed over, {informed_share:.0%} of it by routers that knew"
+            )
--- a/pebblepass/simulation/runner.py
+++ b/pebblepass/simulation/runner.py
@@ -13,7 +13,7 @@
 
 from pebblepass.daemon.daemon import Daemon
 from pebblepass.daemon.loop import DaemonLoop
-from pebblepass.emulators.listening import LOOPBACK, Silence, no_silence
+from pebblepass.emulators.listeners import LOOPBACK, SetAddressSilent, leave_address_reachable
 from pebblepass.emulators.ports import take_port
 from pebblepass.simulation.clock import VirtualLoop
 from pebblepass.simulation.emulated_services import EmulatedServices, platform_settings
@@ -48,7 +48,7 @@
     clock: str
     loop: asyncio.AbstractEventLoop
     unix_ns: Callable[[], int]
-    silence: Silence
+    silence: SetAddressSilent
     slack: float
     transit_slack: float
     router: Callable[[int], RouterPort]
@@ -154,17 +154,17 @@
         for agent in self.world.agents.values():
             agent.close()
         for node in self.world.nodes.values():
-            node.station.refuse()
-            node.station.break_all()
-        self.world.store.station.refuse()
-        self.world.store.station.break_all()
+            node.listeners.stop_accepting()
+            node.listeners.reset_connections()
+        self.world.store.listeners.stop_accepting()
+        self.world.store.listeners.reset_connections()
         await asyncio.sleep(0)
 
     def _sample(self) -> None:
         """Take the figures of the second that ends."""
         second = self._loop.time() - self._begun
         world = self.world
-        busy = {name: node.serving.core.busy for name, node in world.nodes.items()}
+        busy = {name: node.core_runner.core.busy_s for name, node in world.nodes.items()}
         self.series.take(second, self.front.open, world.store.fetches, busy)
         states = [state for router in self.routers if (state := router.state()) is not None]
         copies = [node.copies for node in world.nodes.values()]
@@ -333,7 +333,7 @@
             clock="real",
             loop=loop,
             unix_ns=time.time_ns,
-            silence=no_silence,
+            silence=leave_address_reachable,
             slack=REAL_SLACK_S,
             transit_slack=REAL_TRANSIT_S,
             router=router,
--- a/tests/daemon/test_standing_terms.py
+++ b/tests/daemon/test_standing_terms.py
@@ -109,8 +109,8 @@
             observed.deadlines[request] = deadline
             super().record_taken(request, router, deadline, client_deadline)
 
-        def attempt_came(self, request: str, server: str, now: float) -> None:
-            super().attempt_came(request, server, now)
+        def attempt_received(self, request: str, server: str, now: float) -> None:
+            super().attempt_received(request, server, now)
             observed.attempts[self._asked[request].router].append(now)
 
         def record_answer(self, request: str, now: float) -> None:
--- a/tests/emulators/test_advertised.py
+++ b/tests/emulators/test_advertised.py
@@ -10,24 +10,24 @@
 import pytest
 
 from pebblepass.emulators.advertised import AdvertisedTimeout, read_advertised_timeout
-from pebblepass.emulators.core import CoreFacts
-from pebblepass.emulators.effects import Effects
-from pebblepass.emulators.node import MirrorNode, NodeSetup, Works
-from pebblepass.emulators.store import PackageStore, StoreSetup
-from pebblepass.emulators.witness import Nobody
+from pebblepass.emulators.core import CoreParameters
+from pebblepass.emulators.effects import EffectLog
+from pebblepass.emulators.node import EmulatedNode, NodeSetup, WorkRange
+from pebblepass.emulators.observer import NullObserver
+from pebblepass.emulators.store import EmulatedStore, StoreSetup
 from pebblepass.simulation.clock import START_S, VirtualLoop
 from pebblepass.wire import http
 from pebblepass.wire.address import Address
 from pebblepass.wire.resp import command
 from tests.virtual import run_virtual
 
-CORE = CoreFacts(speed=1.0, slots=8, queue=8)
+CORE = CoreParameters(speed=1.0, slots=8, queue=8)
 DELAYS = {"here": 0.01}
 INFO = b"c=read,t=acme,d=%b,k=1"
 PIECE_GAP_S = 0.05
 
 
-class Listener(Nobody):
+class Listener(NullObserver):
     """Keeps what was advertised."""
 
     def __init__(self) -> None:
@@ -40,19 +40,19 @@
 
 async def start_node(loop: VirtualLoop, listener: Listener) -> Address:
     """Start a mirror node."""
-    setup = NodeSetup("s0", CORE, 10, 1.0, {"read": Works(0.001, 0.001)}, 0.5, 0.0, (10, 10), DELAYS)
-    node = MirrorNode(loop, setup, random.Random(1), Effects({}, print), listener, lambda _, __: None)
+    setup = NodeSetup("s0", CORE, 10, 1.0, {"read": WorkRange(0.001, 0.001)}, 0.5, 0.0, (10, 10), DELAYS)
+    node = EmulatedNode(loop, setup, random.Random(1), EffectLog({}, print), listener, lambda _, __: None)
     await node.start()
-    return node.station.address("here")
+    return node.listeners.address("here")
 
 
 async def start_store(loop: VirtualLoop, listener: Listener) -> Address:
     """Start a package store."""
     setup = StoreSetup("store", CORE, 0.001, 0.0, (10, 10), DELAYS)
-    rng, effects = random.Random(1), Effects({}, print)
-    store = PackageStore(loop, setup, rng, effects, listener, lambda _, __: None, lambda _: None)
+    rng, effects = random.Random(1), EffectLog({}, print)
+    store = EmulatedStore(loop, setup, rng, effects, listener, lambda _, __: None, lambda _: None)
     await store.start()
-    return store.station.address("here")
+    return store.listeners.address("here")
 
 
 Start = Callable[[VirtualLoop, Listener], Awaitable[Address]]
--- a/tests/emulators/test_core.py
+++ b/tests/emulators/test_core.py
@@ -7,9 +7,9 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from pebblepass.emulators.core import ColdBudget, Core, CoreFacts
+from pebblepass.emulators.core import ColdBudget, Core, CoreParameters
 
-PLAIN = CoreFacts(speed=1.0, slots=2, queue=2)
+PLAIN = CoreParameters(speed=1.0, slots=2, queue=2)
 
 
 def ends(core: Core[str], until: float) -> list[tuple[float, str]]:
@@ -38,7 +38,7 @@
 def test_more_wait_in_a_bounded_queue_and_the_rest_is_turned_away() -> None:
     core: Core[str] = Core(PLAIN, 0.0)
     assert [core.offer(0.0, name, 1.0) for name in "abcde"] == [True, True, True, True, False]
-    assert (core.held, core.queue) == (4, 2)
+    assert (core.request_count, core.queue_length) == (4, 2)
     assert [job for _, job in ends(core, 10)] == ["a", "b", "c", "d"]
 
 
@@ -73,7 +73,7 @@
     core: Core[str] = Core(PLAIN, 0.0)
     core.offer(0.0, "a", 1.0)
     core.advance(0.5)
-    core.factor = 0.25
+    core.speed_factor = 0.25
     assert ends(core, 10) == [(2.5, "a")]
 
 
@@ -89,7 +89,7 @@
 def test_no_work_is_lost_or_done_twice(
     offers: list[tuple[float, float]], slots: int, cold: bool, pause: float
 ) -> None:
-    facts = CoreFacts(
+    facts = CoreParameters(
         speed=0.9,
         slots=slots,
         queue=100,
@@ -107,36 +107,36 @@
         assert core.offer(at, str(number), work)
     log += ends(core, 10_000.0)
     assert sorted(int(job) for _, job in log) == list(range(len(offers)))
-    assert core.held == 0
+    assert core.request_count == 0
     total = sum(work for _, work in offers)
-    assert core.busy >= total / facts.speed - 1e-6  # never faster than its speed
+    assert core.busy_s >= total / facts.speed - 1e-6  # never faster than its speed
     assert [at for at, _ in log] == sorted(at for at, _ in log)
 
 
 def budget(cold_time: float = 8.0) -> ColdBudget:
-    facts = CoreFacts(speed=1.0, slots=4, queue=10, cold_capacity=0.5, warm_up_time=cold_time)
+    facts = CoreParameters(speed=1.0, slots=4, queue=10, cold_capacity=0.5, warm_up_time=cold_time)
     return ColdBudget(facts, 0.0, 4.0, 2.0)
 
 
 def test_a_cold_core_takes_four_times_what_it_can_do_and_no_more() -> None:
     held = budget()
-    assert held.take(0.0, 4.0, told=True) is None
-    assert held.take(0.0, 0.4, told=True) is None  # the slack for chance
-    assert held.take(0.0, 0.2, told=True) == pytest.approx(1.0)
+    assert held.add_work(0.0, 4.0, informed=True) is None
+    assert held.add_work(0.0, 0.4, informed=True) is None  # the slack for chance
+    assert held.add_work(0.0, 0.2, informed=True) == pytest.approx(1.0)
 
 
 def test_what_was_sent_by_routers_that_did_not_know_is_told_apart() -> None:
     held = budget()
-    assert held.take(0.0, 3.0, told=False) is None
-    assert held.take(0.1, 3.0, told=True) == pytest.approx(0.5)
+    assert held.add_work(0.0, 3.0, informed=False) is None
+    assert held.add_work(0.1, 3.0, informed=True) == pytest.approx(0.5)
 
 
 def test_what_was_sent_longer_ago_than_the_window_does_not_count() -> None:
     held = budget()
-    assert held.take(0.0, 4.4, told=True) is None
-    assert held.take(2.1, 4.4, told=True) is None
+    assert held.add_work(0.0, 4.4, informed=True) is None
+    assert held.add_work(2.1, 4.4, informed=True) is None
 
 
 def test_a_warm_core_is_never_pushed_over() -> None:
     held = budget(cold_time=1.0)
-    assert held.take(3.1, 1000.0, told=True) is None
+    assert held.add_work(3.1, 1000.0, informed=True) is None
--- a/tests/emulators/test_effects.py
+++ b/tests/emulators/test_effects.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from pebblepass.emulators.effects import Doubled, Effects
+from pebblepass.emulators.effects import EffectLog, RepeatedEffect
 
 
-def register() -> tuple[Effects, list[Doubled]]:
-    doubled: list[Doubled] = []
-    return Effects({"yank": 5.0, "order": 0.0}, doubled.append), doubled
+def register() -> tuple[EffectLog, list[RepeatedEffect]]:
+    doubled: list[RepeatedEffect] = []
+    return EffectLog({"yank": 5.0, "order": 0.0}, doubled.append), doubled
 
 
 def test_a_repeat_within_the_window_is_dropped() -> None:
@@ -21,7 +21,7 @@
     effects, doubled = register()
     effects.run("one", "yank", "k", 0.0)
     effects.run("one", "yank", "k", 5.1)
-    assert doubled == [Doubled("one", "yank", 5.1)]
+    assert doubled == [RepeatedEffect("one", "yank", 5.1)]
 
 
 def test_the_window_runs_from_the_first_run_and_not_from_a_dropped_repeat() -> None:
--- a/tests/multi_get/site.py
+++ b/tests/multi_get/site.py
@@ -15,10 +15,10 @@
 from pebblepass.daemon.config import read_config
 from pebblepass.daemon.daemon import Daemon
 from pebblepass.daemon.multi_get.registry import MultiGetRegistry
-from pebblepass.emulators.listening import LOOPBACK, Line, Place, Station
+from pebblepass.emulators.listeners import LOOPBACK, EmulatorConnection, ListenerGroup, PendingReply
+from pebblepass.emulators.observer import NullObserver
 from pebblepass.emulators.ports import take_port
 from pebblepass.emulators.registry import RegistryAgent
-from pebblepass.emulators.witness import Nobody
 from pebblepass.operator_config import MultiGetSection
 from pebblepass.simulation.clock import VirtualLoop
 from pebblepass.wire.resp import bulk, command
@@ -37,7 +37,7 @@
     return "ok"
 
 
-class Served(Station):
+class Served(ListenerGroup):
     """A node or the store: answers each key as its fate says."""
 
     def __init__(self, site: Site, name: str, is_store: bool = False) -> None:
@@ -61,7 +61,7 @@
         return f"{key} of {request.partition('.')[0]}".encode()
 
 
-class NodeLine(Line):
+class NodeLine(EmulatorConnection):
     def __init__(self, node: Served) -> None:
         super().__init__(node, WAY_S)
         self.node = node
@@ -74,9 +74,9 @@
             if words[0] == b"KV.MGET":
                 self.asked_many(words)
             else:
-                self.asked(words[1].decode(), words[2].decode(), self.place())
+                self.asked(words[1].decode(), words[2].decode(), self.reserve_reply())
 
-    def asked(self, key: str, request: str, place: Place) -> None:
+    def asked(self, key: str, request: str, place: PendingReply) -> None:
         node, after = self.node, WORK_S
         fate = node.fate(key, request)
         if fate.startswith("slow"):
@@ -112,10 +112,10 @@
             else:
                 value = self.node.value(key.decode(), request)
                 parts.append(b"*3\r\n%b$3\r\nhit\r\n$-1\r\n" % bulk(value))
-        self.place().answer(b"*%d\r\n%b" % (len(keys), b"".join(parts)))
+        self.reserve_reply().answer(b"*%d\r\n%b" % (len(keys), b"".join(parts)))
 
 
-class StoreLine(Line):
+class StoreLine(EmulatorConnection):
     def __init__(self, store: Served) -> None:
         super().__init__(store, WAY_S)
         self.store = store
@@ -137,7 +137,7 @@
     def on_message_complete(self) -> None:
         site, key = self.store.site, unquote(self.target[1:].decode())
         self.target = b""
-        fate, request, place = self.store.fate(key, self.request), self.request, self.place()
+        fate, request, place = self.store.fate(key, self.request), self.request, self.reserve_reply()
         if fate == "silent":
             return
         site.fetching += 1
@@ -151,7 +151,7 @@
         }
         self.store.loop.call_later(WORK_S, self.done, place, answers[fate])
 
-    def done(self, place: Place, answer: bytes) -> None:
+    def done(self, place: PendingReply, answer: bytes) -> None:
         self.store.site.fetching -= 1
         place.answer(answer)
 
@@ -202,7 +202,7 @@
         places = [*self.nodes, self.store]
         for place in places:
             await place.begin()
-        self.agent = RegistryAgent(self.loop, "r0", [self.entry(place) for place in places], Nobody())
+        self.agent = RegistryAgent(self.loop, "r0", [self.entry(place) for place in places], NullObserver())
         await self.agent.start()
         self.port = take_port()
         told = {
@@ -238,8 +238,8 @@
         self.daemon.stop()
         self.agent.close()
         for place in [*self.nodes, self.store]:
-            place.refuse()
-            place.break_all()
+            place.stop_accepting()
+            place.reset_connections()
 
     def row(self) -> dict[str, Any]:
         """The ledger's account of the reads."""
--- a/tests/multi_get/test_registry.py
+++ b/tests/multi_get/test_registry.py
@@ -83,7 +83,7 @@
         client.ask_many(KEYS * 4, d=5000)
         await site.until(lambda: len(site.attempts) >= 8)
         drained_at = site.loop.time()
-        site.agent.change(site.entry(site.nodes[0], "draining"))
+        site.agent.apply_change(site.entry(site.nodes[0], "draining"))
         assert marks(await client.answer()) == values(KEYS * 4)
         late = [at for at, place, _, _ in site.attempts if place == "s0" and at > drained_at + 0.5]
         assert late == []
@@ -116,7 +116,7 @@
 def test_all_nodes_down_and_every_key_is_marked_at_once() -> None:
     async def test(site: Site) -> None:
         for place in [*site.nodes, site.store]:
-            place.refuse()
+            place.stop_accepting()
         client = await site.client()
         begun = site.loop.time()
         assert set(marks(await client.many(KEYS, d=1000))) == {"refused"}
--- a/tests/simulation/test_rule_checker.py
+++ b/tests/simulation/test_rule_checker.py
@@ -5,7 +5,7 @@
 import pytest
 
 from pebblepass.emulators.advertised import AdvertisedTimeout
-from pebblepass.emulators.effects import Doubled
+from pebblepass.emulators.effects import RepeatedEffect
 from pebblepass.simulation.deadlines import DeadlineCount
 from pebblepass.simulation.rule_checker import Rule, RuleChecker
 
@@ -22,7 +22,7 @@
 
 def test_an_answer_in_time_breaks_nothing() -> None:
     made = rule_checker()
-    made.attempt_came("q", "s0", 9.0)
+    made.attempt_received("q", "s0", 9.0)
     made.record_answer("q", 10.07)
     assert broken(made) == []
 
@@ -49,77 +49,77 @@
 def test_a_send_after_the_answer_breaks_the_first_rule() -> None:
     made = rule_checker()
     made.record_answer("q", 9.0)
-    made.attempt_came("q", "s0", 9.0005)
+    made.attempt_received("q", "s0", 9.0005)
     assert broken(made) == []
-    made.attempt_came("q", "s0", 9.002)
+    made.attempt_received("q", "s0", 9.002)
     assert broken(made) == [Rule.ANSWERED]
 
 
 def test_a_send_that_no_client_asked_for_breaks_the_first_rule() -> None:
     made = rule_checker()
-    made.attempt_came("unheard-of", "s0", 9.0)
+    made.attempt_received("unheard-of", "s0", 9.0)
     assert broken(made) == [Rule.ANSWERED]
 
 
 def test_a_doubled_effect_breaks_the_second_rule() -> None:
     made = rule_checker()
-    made.effect_doubled(Doubled("q", "order", 9.0))
+    made.effect_repeated(RepeatedEffect("q", "order", 9.0))
     assert broken(made) == [Rule.ONCE]
 
 
 @pytest.mark.parametrize("state", ["draining", "removed"])
 def test_a_send_after_the_grace_breaks_the_third_rule(state: str) -> None:
     made = rule_checker()
-    made.was_told("r0", "s0", state, 1.0)
-    made.attempt_came("q", "s0", 1.55)
+    made.registry_update_sent("r0", "s0", state, 1.0)
+    made.attempt_received("q", "s0", 1.55)
     assert broken(made) == []
-    made.attempt_came("q", "s0", 1.56)
+    made.attempt_received("q", "s0", 1.56)
     assert broken(made) == [Rule.DRAINED]
 
 
 def test_being_told_again_does_not_renew_the_grace() -> None:
     made = rule_checker()
-    made.was_told("r0", "s0", "draining", 1.0)
-    made.was_told("r0", "s0", "draining", 1.5)
-    made.attempt_came("q", "s0", 1.56)
+    made.registry_update_sent("r0", "s0", "draining", 1.0)
+    made.registry_update_sent("r0", "s0", "draining", 1.5)
+    made.attempt_received("q", "s0", 1.56)
     assert broken(made) == [Rule.DRAINED]
 
 
 def test_another_router_or_a_server_that_is_back_may_be_sent_to() -> None:
     made = rule_checker()
-    made.was_told("r1", "s0", "draining", 1.0)
-    made.was_told("r0", "s1", "draining", 1.0)
-    made.was_told("r0", "s1", "up", 2.0)
-    made.attempt_came("q", "s0", 9.0)
-    made.attempt_came("q", "s1", 9.0)
+    made.registry_update_sent("r1", "s0", "draining", 1.0)
+    made.registry_update_sent("r0", "s1", "draining", 1.0)
+    made.registry_update_sent("r0", "s1", "up", 2.0)
+    made.attempt_received("q", "s0", 9.0)
+    made.attempt_received("q", "s1", 9.0)
     assert broken(made) == []
 
 
 def test_a_router_that_starts_anew_has_been_told_nothing() -> None:
     made = rule_checker()
-    made.was_told("r0", "s0", "draining", 1.0)
+    made.registry_update_sent("r0", "s0", "draining", 1.0)
     made.router_started("r0")
-    made.attempt_came("q", "s0", 9.0)
+    made.attempt_received("q", "s0", 9.0)
     assert broken(made) == []
 
 
 def test_a_node_pushed_over_by_routers_that_knew_breaks_the_fourth_rule() -> None:
     made = rule_checker()
-    made.pushed_over("s0", 0.6, 9.0)
+    made.cold_node_overloaded("s0", 0.6, 9.0)
     assert broken(made) == []
-    made.pushed_over("s1", 0.7, 9.0)
+    made.cold_node_overloaded("s1", 0.7, 9.0)
     assert broken(made) == [Rule.COLD]
     assert made.pushed == ["s0", "s1"]
 
 
 def test_who_knows_of_a_start() -> None:
     made = rule_checker()
-    made.was_told("r0", "s0", "up", 1.0)
-    assert made.knows_start("q", "s0")
+    made.registry_update_sent("r0", "s0", "up", 1.0)
+    assert made.router_knows_start("q", "s0")
     made.server_started("s0")
-    assert not made.knows_start("q", "s0")
-    made.was_told("r0", "s0", "up", 2.0)
-    assert made.knows_start("q", "s0")
+    assert not made.router_knows_start("q", "s0")
+    made.registry_update_sent("r0", "s0", "up", 2.0)
+    assert made.router_knows_start("q", "s0")
 
 
 # Deadline propagation: the slack is 1 ms here, and 500 ms are left at 9.5 s
