--- a/pebblepass/simulation/__init__.py
+++ b/pebblepass/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Rehearsals: a scenario played against the real daemon code, counted and checked by the kit itself."""
+"""Rehearsals: run a scenario against the daemon's code with emulated servers, and check rules and counts."""
--- a/pebblepass/simulation/clock.py
+++ b/pebblepass/simulation/clock.py
@@ -1,12 +1,12 @@
-"""A virtual clock over real loopback sockets: an event loop on which the same run comes out the same twice.
+"""An event loop with a virtual clock and deterministic readiness, over real loopback sockets.
 
-Both ends of every connection are in this process, so the loop need not ask the kernel what is ready: it
-counts what each end has written and the other not yet read, the connections that wait to be accepted, and
-how each end was closed. A socket is ready when that count says so, in the order in which the sockets were
-made, and a read waits until the kernel has brought all that was counted. Time stands still while any socket
-is ready and jumps to the next timer when none is; nothing ever sleeps.
+Both ends of every connection are in this process, so the loop computes readiness itself and does not poll the
+kernel: it counts the bytes that each end has written and the other has not read, the connections that wait
+to be accepted, and how each end was closed. Ready sockets are reported in the order of their creation, and a
+read waits until the kernel has delivered all counted bytes. The clock stops while any socket is ready, and
+jumps to the next timer when none is; the loop never sleeps.
 
-The bytes still go through the kernel, and descriptors, transports and protocols are asyncio's own.
+The bytes go through the kernel; descriptors, transports and protocols are those of asyncio.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 from contextlib import suppress
 from typing import Any, cast
 
-START_S = 1000.0  # of the virtual clock: not 0, which means 'long ago' in the list of servers
-UNIX_START_NS = 1_700_000_000 * 10**9  # the virtual Unix time of the start
-WINDOW = 64 << 10  # bytes under way in one direction; under the kernel's own smallest buffers
-ARRIVAL_MS = 10_000  # of real time, for the kernel to bring what was sent on loopback
+START_S = 1000.0  # of the virtual clock; not 0, which means 'long ago' in the list of servers
+UNIX_START_NS = 1_700_000_000 * 10**9  # the virtual Unix time at the start
+WINDOW = 64 << 10  # bytes in transit in one direction; below the kernel's smallest buffers
+ARRIVAL_MS = 10_000  # of real time, for the kernel to deliver bytes on loopback
 BACKLOG = 4096
 LINGER_0 = b"\x01\x00\x00\x00\x00\x00\x00\x00"
 
@@ -33,46 +33,46 @@
 
 
 class StalledError(RuntimeError):
-    """Nothing is ready and no timer is set: the run would stand still for ever."""
+    """No socket is ready and no timer is set, so the run would never continue."""
 
 
-class Half:
-    """One direction of a connection: what was written to it and is not yet read, and how it ended."""
+class Direction:
+    """One direction of a connection: the bytes written and not yet read, and how it was closed."""
 
-    __slots__ = ("bytes", "ended", "reader", "reset", "writer")
+    __slots__ = ("bytes", "closed", "reader", "reset", "writer")
 
     def __init__(self) -> None:
         self.bytes = 0
-        self.ended = self.reset = False
+        self.closed = self.reset = False
         self.reader: CountedSocket | None = None
         self.writer: CountedSocket | None = None
 
     @property
     def room(self) -> int:
-        """Bytes that may be written now."""
+        """The number of bytes that may be written now."""
         return WINDOW - self.bytes
 
 
 class CountedSocket(socket.socket):
-    """A TCP socket that counts what it sends and reads; made by the network below only."""
+    """A TCP socket that counts the bytes it sends and reads; created by `Network` only."""
 
     network: Network
     number: int
-    incoming: Half | None = None
-    outgoing: Half | None = None
-    pending: deque[tuple[Half, Half]] | None = None
-    """A listener's: the two directions of each connection that waits to be accepted."""
+    incoming: Direction | None = None
+    outgoing: Direction | None = None
+    pending: deque[tuple[Direction, Direction]] | None = None
+    """For a listener: the two directions of each connection that waits to be accepted."""
     address: Address | None = None
 
     def connect(self, address: Any) -> None:
-        """Connect to a listener of this network; the kernel's handshake is waited out."""
+        """Connect to a listener of this network; waits for the kernel's handshake."""
         self.network.connect(self, (address[0], address[1]))
 
     def accept(self) -> tuple[socket.socket, Any]:
         """Accept the connection that has waited longest."""
         if not self.pending:
-            raise BlockingIOError(errno.EAGAIN, "no connection waits")
-        self.network.arrived(self, select.POLLIN)
+            raise BlockingIOError(errno.EAGAIN, "no connection is waiting")
+        self.network.wait_for_kernel(self, select.POLLIN)
         fd, address = self._accept()  # type: ignore[attr-defined]
         accepted = self.network.adopt(fd)
         accepted.incoming, accepted.outgoing = self.pending.popleft()
@@ -82,211 +82,211 @@
 
     def send(self, data: Any, flags: int = 0) -> int:
         """Send as much as the window has room for."""
-        out, back = self.outgoing, self.incoming
-        if out is None or back is None:
+        outgoing, incoming = self.outgoing, self.incoming
+        if outgoing is None or incoming is None:
             raise OSError(errno.ENOTCONN, "not connected")
-        if back.reset or out.ended:
-            raise BrokenPipeError(errno.EPIPE, "the connection is over")
-        if out.reader is None and out.reset:
-            # As on a real network: what reaches a closed socket is thrown away and answered with a reset.
-            back.reset = True
+        if incoming.reset or outgoing.closed:
+            raise BrokenPipeError(errno.EPIPE, "the connection is closed")
+        if outgoing.reader is None and outgoing.reset:
+            # As in TCP, bytes that reach a closed socket are discarded and answered with a reset.
+            incoming.reset = True
             self.network.touch(self)
             return len(data)
-        part = memoryview(data)[: out.room]
+        part = memoryview(data)[: outgoing.room]
         if not part:
             raise BlockingIOError(errno.EAGAIN, "the window is full")
         sent = super().send(part, flags)
         if sent != len(part):
             raise RuntimeError(f"the kernel took {sent} of {len(part)} bytes")
-        out.bytes += sent
-        if out.reader is not None:
-            self.network.touch(out.reader)
+        outgoing.bytes += sent
+        if outgoing.reader is not None:
+            self.network.touch(outgoing.reader)
         return sent
 
     def sendmsg(self, buffers: Any, *_: Any) -> int:
-        """Send from several buffers; asyncio does so from Python 3.12 on."""
+        """Send from several buffers; asyncio calls this from Python 3.12 on."""
         return self.send(b"".join(buffers))
 
     def recv(self, size: int, flags: int = 0) -> bytes:
-        """Read all that was counted, up to `size`, however many pieces the kernel brings it in."""
-        half = self.incoming
-        if half is None:
+        """Read all counted bytes, up to `size`, in however many pieces the kernel delivers them."""
+        direction = self.incoming
+        if direction is None:
             raise OSError(errno.ENOTCONN, "not connected")
-        wanted = min(size, half.bytes)
+        wanted = min(size, direction.bytes)
         if not wanted:
-            if half.reset:
+            if direction.reset:
                 raise ConnectionResetError(errno.ECONNRESET, "reset by the other end")
-            if half.ended:
+            if direction.closed:
                 return b""
-            raise BlockingIOError(errno.EAGAIN, "nothing has come")
+            raise BlockingIOError(errno.EAGAIN, "no bytes to read")
         parts, missing = [], wanted
         while missing:
-            self.network.arrived(self, select.POLLIN)
+            self.network.wait_for_kernel(self, select.POLLIN)
             part = super().recv(missing, flags)
             parts.append(part)
             missing -= len(part)
-        half.bytes -= wanted
-        if half.writer is not None:
-            self.network.touch(half.writer)
+        direction.bytes -= wanted
+        if direction.writer is not None:
+            self.network.touch(direction.writer)
         return b"".join(parts)
 
     def shutdown(self, how: int) -> None:
-        """End one or both directions."""
+        """Close one or both directions."""
         if how in (socket.SHUT_WR, socket.SHUT_RDWR) and self.outgoing is not None:
-            self._end(self.outgoing)
+            self._close_direction(self.outgoing)
         super().shutdown(how)
 
     def close(self) -> None:
-        """Close; with bytes unread, or after `SO_LINGER` of 0, the other end sees a reset."""
+        """Close the socket; the other end sees a reset if bytes are unread or `SO_LINGER` is 0."""
         if self.fileno() >= 0:
             self.network.forget(self)
             if self.incoming is not None and self.outgoing is not None:
                 linger = self.getsockopt(socket.SOL_SOCKET, socket.SO_LINGER, 8)
                 if self.incoming.bytes or linger == LINGER_0:
                     self.outgoing.reset = True
-                if self.incoming.ended and self.outgoing.reader is None:
-                    # An orderly end leaves a port in TIME_WAIT for a minute, and thousands use up the range.
-                    # The other end has closed already and reads no more: a reset loses nothing.
+                if self.incoming.closed and self.outgoing.reader is None:
+                    # An orderly close leaves a port in TIME_WAIT for a minute, and thousands exhaust the port
+                    # range. The other end has closed already and reads no more, so a reset loses no bytes.
                     self.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_0)
-                self._end(self.outgoing)
+                self._close_direction(self.outgoing)
                 self.incoming.reader = self.outgoing.writer = None
-                self.incoming.reset = True  # for who still writes to it
+                self.incoming.reset = True  # so that later writes of the other end fail
         super().close()
         if self.address is not None:
             address, self.address = self.address, None
-            self.network.keep(address)
+            self.network.reserve(address)
 
-    def _end(self, half: Half) -> None:
-        half.ended = True
-        if half.reader is not None:
-            self.network.touch(half.reader)
+    def _close_direction(self, direction: Direction) -> None:
+        direction.closed = True
+        if direction.reader is not None:
+            self.network.touch(direction.reader)
 
     @property
     def readable(self) -> bool:
-        """Whether a read, or an accept, would give something."""
+        """Whether a read or an accept would succeed."""
         if self.pending is not None:
             return bool(self.pending)
-        half = self.incoming
-        return half is not None and (half.bytes > 0 or half.ended or half.reset)
+        direction = self.incoming
+        return direction is not None and (direction.bytes > 0 or direction.closed or direction.reset)
 
     @property
     def writable(self) -> bool:
-        """Whether a write would be taken, or fail."""
-        out, back = self.outgoing, self.incoming
-        if out is None or back is None:
+        """Whether a write would succeed or fail, and not block."""
+        outgoing, incoming = self.outgoing, self.incoming
+        if outgoing is None or incoming is None:
             return False
-        return out.room > 0 or back.reset or out.reset
+        return outgoing.room > 0 or incoming.reset or outgoing.reset
 
 
 class Network:
-    """Every counted socket of one loop, and the listeners they connect to."""
+    """The sockets and listeners of one loop."""
 
     def __init__(self) -> None:
         self.by_fd: dict[int, CountedSocket] = {}
         self.listeners: dict[Address, CountedSocket] = {}
         self.touched: dict[int, CountedSocket] = {}
-        """Sockets, by number, whose state may have changed since they were last seen not to be ready."""
+        """Sockets, by number, that may have become ready since they were last found not ready."""
         self.silent: set[Address] = set()
-        """Addresses of machines that are cut off: connections to them never come up."""
+        """Addresses of unreachable machines: connections to them are never established."""
         self._numbers = 0
-        self._kept: dict[Address, socket.socket] = {}
+        self._reserved: dict[Address, socket.socket] = {}
 
     def adopt(self, fd: int | None = None) -> CountedSocket:
-        """Make a socket, or take over a descriptor that the kernel has accepted."""
-        made = CountedSocket(socket.AF_INET, socket.SOCK_STREAM, 0, fileno=fd)
-        made.setblocking(False)
+        """Create a socket, or wrap a descriptor that the kernel has accepted."""
+        created = CountedSocket(socket.AF_INET, socket.SOCK_STREAM, 0, fileno=fd)
+        created.setblocking(False)
         if fd is None:
             for option in (socket.SO_SNDBUF, socket.SO_RCVBUF):
-                made.setsockopt(socket.SOL_SOCKET, option, 4 * WINDOW)
-        made.network, made.number = self, self._numbers
+                created.setsockopt(socket.SOL_SOCKET, option, 4 * WINDOW)
+        created.network, created.number = self, self._numbers
         self._numbers += 1
-        self.by_fd[made.fileno()] = made
-        return made
+        self.by_fd[created.fileno()] = created
+        return created
 
     def listen(self, host: str, port: int, backlog: int) -> CountedSocket:
-        """Bind a listener; raises OSError where the address can't be had."""
-        made = self.adopt()
-        if (kept := self._kept.pop((host, port), None)) is not None:
-            kept.close()
+        """Bind a listener; raises OSError where the address is not available."""
+        created = self.adopt()
+        if (reserved := self._reserved.pop((host, port), None)) is not None:
+            reserved.close()
         try:
-            made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            made.bind((host, port))
-            socket.socket.listen(made, max(backlog, BACKLOG))
+            created.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            created.bind((host, port))
+            socket.socket.listen(created, max(backlog, BACKLOG))
         except OSError:
-            made.close()
+            created.close()
             raise
-        made.pending = deque()
-        made.address = (host, made.getsockname()[1])
-        self.listeners[made.address] = made
-        return made
+        created.pending = deque()
+        created.address = (host, created.getsockname()[1])
+        self.listeners[created.address] = created
+        return created
 
-    def keep(self, address: Address) -> None:
-        """Keep the address of a listener that has closed, until it listens again.
+    def reserve(self, address: Address) -> None:
+        """Reserve the address of a closed listener until it listens again.
 
-        Guards against the kernel, which gives a port at which nobody listens to any outgoing connection.
+        Otherwise the kernel may use the free port for an outgoing connection.
         """
-        kept = self._kept[address] = socket.socket()
-        kept.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        reserved = self._reserved[address] = socket.socket()
+        reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         with suppress(OSError):
-            kept.bind(address)
+            reserved.bind(address)
 
     def close(self) -> None:
-        """Give up all addresses."""
-        for kept in self._kept.values():
-            kept.close()
-        self._kept.clear()
+        """Release all reserved addresses."""
+        for reserved in self._reserved.values():
+            reserved.close()
+        self._reserved.clear()
 
     def connect(self, client: CountedSocket, address: Address) -> None:
-        """Carry out a connect; it is refused, comes up at once, or never does."""
+        """Connect a socket; this is refused, succeeds at once, or never completes."""
         if address in self.silent:
-            raise BlockingIOError(errno.EINPROGRESS, "the machine is silent")
+            raise BlockingIOError(errno.EINPROGRESS, "the machine is unreachable")
         listener = self.listeners.get(address)
         if listener is None or listener.pending is None:
-            raise ConnectionRefusedError(errno.ECONNREFUSED, "nobody listens")
+            raise ConnectionRefusedError(errno.ECONNREFUSED, "no listener")
         try:
             socket.socket.connect(client, address)
         except BlockingIOError:
-            self.arrived(client, select.POLLOUT)
+            self.wait_for_kernel(client, select.POLLOUT)
             if code := client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                 raise OSError(code, "connect failed") from None
-        to, back = Half(), Half()
-        client.outgoing, client.incoming = to, back
-        to.writer = back.reader = client
-        listener.pending.append((to, back))
+        outgoing, incoming = Direction(), Direction()
+        client.outgoing, client.incoming = outgoing, incoming
+        outgoing.writer = incoming.reader = client
+        listener.pending.append((outgoing, incoming))
         self.touch(listener)
 
-    def arrived(self, who: CountedSocket, events: int) -> None:
-        """Wait, in real time, until the kernel has brought what the count says is under way."""
+    def wait_for_kernel(self, sock: CountedSocket, events: int) -> None:
+        """Wait, in real time, until the kernel has delivered bytes or connections that are counted."""
         poll = select.poll()
-        poll.register(who.fileno(), events)
+        poll.register(sock.fileno(), events)
         if not poll.poll(ARRIVAL_MS):
-            raise RuntimeError("what was sent on loopback has not come")
+            raise RuntimeError("the kernel has not delivered what was sent on loopback")
 
-    def touch(self, who: CountedSocket) -> None:
-        """Look at this socket at the next turn."""
-        self.touched[who.number] = who
+    def touch(self, sock: CountedSocket) -> None:
+        """Check the readiness of this socket in the next iteration of the loop."""
+        self.touched[sock.number] = sock
 
-    def forget(self, who: CountedSocket) -> None:
-        """Take a socket out that closes; connections that wait at a listener are reset."""
-        self.by_fd.pop(who.fileno(), None)
-        self.touched.pop(who.number, None)
-        if who.address is not None:
-            self.listeners.pop(who.address, None)
-        for to, back in who.pending or ():
-            to.reset = back.reset = True
-            if back.reader is not None:
-                self.touch(back.reader)
+    def forget(self, sock: CountedSocket) -> None:
+        """Remove a socket that closes; connections that wait at a listener are reset."""
+        self.by_fd.pop(sock.fileno(), None)
+        self.touched.pop(sock.number, None)
+        if sock.address is not None:
+            self.listeners.pop(sock.address, None)
+        for outgoing, incoming in sock.pending or ():
+            outgoing.reset = incoming.reset = True
+            if incoming.reader is not None:
+                self.touch(incoming.reader)
 
 
 class CountedSelector(selectors.BaseSelector):
-    """Tells readiness by the network's count, and moves the time where there is none."""
+    """Reports readiness from the counts of the network, and advances the clock when no socket is ready."""
 
-    def __init__(self, network: Network, move: Callable[[float], None]) -> None:
-        self._network, self._move = network, move
+    def __init__(self, network: Network, advance: Callable[[float], None]) -> None:
+        self._network, self._advance = network, advance
         self._keys: dict[int, selectors.SelectorKey] = {}
 
     def register(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
-        """Watch a descriptor; those that are not counted (the loop's own pipe) are never ready."""
+        """Watch a descriptor; one that is not a counted socket (the loop's own pipe) is never ready."""
         fd = fileobj if isinstance(fileobj, int) else fileobj.fileno()
         if fd in self._keys:
             raise KeyError(f"{fd} is registered")
@@ -296,34 +296,34 @@
         return key
 
     def unregister(self, fileobj: Any) -> selectors.SelectorKey:
-        """Watch a descriptor no longer."""
+        """Stop watching a descriptor."""
         return self._keys.pop(fileobj if isinstance(fileobj, int) else fileobj.fileno())
 
     def modify(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
-        """Watch a descriptor for something else."""
+        """Change the events that a descriptor is watched for."""
         self.unregister(fileobj)
         return self.register(fileobj, events, data)
 
     def get_map(self) -> Mapping[Any, selectors.SelectorKey]:
-        """What is watched, by descriptor."""
+        """Return the watched descriptors."""
         return self._keys
 
     def get_key(self, fileobj: Any) -> selectors.SelectorKey:
-        """The key of a descriptor; raises KeyError where it is not watched."""
+        """Return the key of a descriptor; raises KeyError where it is not watched."""
         return self._keys[fileobj if isinstance(fileobj, int) else fileobj.fileno()]
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Return what is ready, in the order in which the sockets were made; else move the time."""
+        """Return the ready sockets in order of creation; if there are none, advance the clock."""
         ready = []
         touched = self._network.touched
         for number in sorted(touched):
-            who = touched[number]
-            key = self._keys.get(who.fileno())
+            sock = touched[number]
+            key = self._keys.get(sock.fileno())
             events = 0
             if key is not None:
-                if key.events & selectors.EVENT_READ and who.readable:
+                if key.events & selectors.EVENT_READ and sock.readable:
                     events |= selectors.EVENT_READ
-                if key.events & selectors.EVENT_WRITE and who.writable:
+                if key.events & selectors.EVENT_WRITE and sock.writable:
                     events |= selectors.EVENT_WRITE
             if key is not None and events:
                 ready.append((key, events))
@@ -333,11 +333,11 @@
             if timeout is None:
                 raise StalledError("nothing is ready and no timer is set")
             if timeout > 0:
-                self._move(timeout)
+                self._advance(timeout)
         return ready
 
     def close(self) -> None:
-        """Watch nothing."""
+        """Stop watching all descriptors."""
         self._keys.clear()
 
 
@@ -347,8 +347,8 @@
     def __init__(self) -> None:
         self.network = Network()
         self._now = START_S
-        super().__init__(CountedSelector(self.network, self._move))
-        self._clock_resolution = 1e-9  # asyncio's: timers due within it are run
+        super().__init__(CountedSelector(self.network, self._advance))
+        self._clock_resolution = 1e-9  # attribute of asyncio: timers due within this time run now
 
     def time(self) -> float:
         """Return the virtual time in seconds."""
@@ -363,19 +363,19 @@
         return UNIX_START_NS + int((self._now - START_S) * 1e9)
 
     def close(self) -> None:
-        """End the loop, and give up the addresses held."""
+        """Close the loop and release the reserved addresses."""
         super().close()
         self.network.close()
 
     def poll_socket(self, descriptor: int, events: int) -> int:
         """Return which of these events of `poll`, or errors, are pending at a simulated descriptor."""
-        held = self.network.by_fd.get(descriptor)
-        half = held.incoming if held is not None else None
-        if half is None:
+        sock = self.network.by_fd.get(descriptor)
+        direction = sock.incoming if sock is not None else None
+        if direction is None:
             return select.POLLNVAL
-        found = select.POLLIN if half.bytes or half.ended or half.reset else 0
-        found |= select.POLLRDHUP if half.ended or half.reset else 0
-        return found & events | (select.POLLERR | select.POLLHUP if half.reset else 0)
+        found = select.POLLIN if direction.bytes or direction.closed or direction.reset else 0
+        found |= select.POLLRDHUP if direction.closed or direction.reset else 0
+        return found & events | (select.POLLERR | select.POLLHUP if direction.reset else 0)
 
     def accept_pending(self, listener: Any, on_accept: Callable[[socket.socket], None], limit: int) -> int:
         """Accept up to `limit` connections from a listener's backlog; returns how many."""
@@ -387,14 +387,14 @@
         return accepted
 
     def stall(self, seconds: float) -> None:
-        """Let time go by within the callback that calls this, as work that holds up the loop does."""
-        self._move(seconds)
+        """Advance the clock within the calling callback, as work that blocks the loop does."""
+        self._advance(seconds)
 
     def set_silent(self, address: Address, on: bool) -> None:
-        """Cut a machine off: connections to this address never come up until it is back."""
+        """Set whether a machine is unreachable; connections to one that is are never established."""
         (self.network.silent.add if on else self.network.silent.discard)(address)
 
-    def _move(self, seconds: float) -> None:
+    def _advance(self, seconds: float) -> None:
         self._now += seconds
 
     async def create_server(
@@ -407,17 +407,17 @@
     async def create_connection(  # type: ignore[override]
         self, protocol_factory: Any, host: Any = None, port: Any = None, **_: Any
     ) -> tuple[asyncio.Transport, asyncio.BaseProtocol]:
-        """Connect to a loopback address; raises OSError where nobody listens."""
-        made = self.network.adopt()
+        """Connect to a loopback address; raises OSError where there is no listener."""
+        created = self.network.adopt()
         try:
-            await self.sock_connect(made, (_loopback(host), port))
-            return await super().create_connection(protocol_factory, sock=made)
+            await self.sock_connect(created, (_loopback(host), port))
+            return await super().create_connection(protocol_factory, sock=created)
         except BaseException:
-            made.close()
+            created.close()
             raise
 
     def run_in_executor(self, executor: Any, func: Any, *args: Any) -> asyncio.Future[Any]:  # type: ignore[override]
-        """Do the work at once: another thread's would take virtual time by chance."""
+        """Run the function at once: the virtual time of a result from a thread would vary."""
         done: asyncio.Future[Any] = self.create_future()
         try:
             done.set_result(func(*args))
@@ -426,7 +426,7 @@
         return done
 
     async def sock_connect(self, sock: socket.socket, address: Any) -> None:
-        """Connect; to a silent machine this never returns."""
+        """Connect; to an unreachable machine this never returns."""
         try:
             cast(CountedSocket, sock).connect(address)
         except BlockingIOError:
@@ -439,4 +439,4 @@
             return str(host)
     except ValueError:
         pass
-    raise OSError(errno.EADDRNOTAVAIL, f"{host!r} is no loopback address")
+    raise OSError(errno.EADDRNOTAVAIL, f"{host!r} is not an IPv4 loopback address")
--- a/pebblepass/simulation/plan.py
+++ b/pebblepass/simulation/plan.py
@@ -1,7 +1,7 @@
-"""The plan: who asks what when, what each part is like, and what breaks; drawn from a scenario and a seed.
+"""The plan of a rehearsal, drawn from a scenario and a seed: servers, operations of clients, and faults.
 
-Pure: no clock, no I/O. Random numbers come from streams split by name, so that a part that is added does not
-shift the others' draws; they depend on neither PYTHONHASHSEED nor the version of Python.
+No clock and no I/O. Each part draws its random numbers from a stream of its own, so that adding a part does
+not change what the others draw. The draws depend on neither PYTHONHASHSEED nor the version of Python.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 
 
 class Streams:
-    """Random sources by name, all from one seed."""
+    """Named random number generators, all derived from one seed."""
 
     def __init__(self, seed: int) -> None:
         self._seed = seed
 
     def of(self, name: str) -> random.Random:
-        """The source of this name, from its start."""
+        """Return a new generator for this name, at the start of its sequence."""
         return random.Random(f"{self._seed}/{name}")
 
 
 @dataclass(frozen=True, slots=True)
 class NodeFacts:
-    """What one mirror node is like; times in seconds."""
+    """Properties of one mirror node; times in seconds."""
 
     id: str
     zone: str
@@ -47,17 +47,17 @@
     warm_up_time: float
     report_period: float
     memory: int
-    """Copies that it can keep."""
+    """Copies that the node can keep."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreFacts:
-    """What the package store is like."""
+    """Properties of the package store."""
 
     slots: int
-    """Requests that run side by side, each at full speed."""
+    """Requests that are served concurrently, each at full speed."""
     work: float
-    """Seconds that one takes."""
+    """Service time of one request, in seconds."""
     queue: int
     error_rate: float
 
@@ -84,15 +84,15 @@
     key: str
     zone: str
     router: int
-    """The router that the front deals it to."""
+    """The index of the router that the load balancer picks while it is up."""
     over: bool
-    """Beyond its namespace's share."""
+    """Whether it exceeds the quota of its namespace."""
     try_shares: tuple[float, ...]
     backoffs: tuple[float, ...]
     leaves: float
-    """A draw from 0 to 1: where clients leave, those under the share do."""
+    """A draw from 0 to 1; the client disconnects if it is below the share of clients that do so."""
     command: int = -1
-    """The command of many keys that it belongs to; -1: it is asked by itself."""
+    """The number of the multi-key command that it belongs to; -1: a request of its own."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -111,26 +111,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Everything that a rehearsal needs to know before it starts."""
+    """Everything that is drawn before a rehearsal starts."""
 
     scenario: Scenario
     seed: int
     nodes: tuple[NodeFacts, ...]
     spares: tuple[NodeFacts, ...]
-    """Nodes that come into the list in the place of others."""
+    """Nodes that replace others."""
     store: StoreFacts
     routers: tuple[RouterFacts, ...]
     delays: dict[tuple[str, str], float]
-    """One way between two zones, in seconds."""
+    """The one-delay delay between two zones, in seconds."""
     operations: tuple[Operation, ...]
     fault_events: tuple[FaultEvent, ...]
     disturbances: tuple[tuple[float, str], ...]
-    """What clients bring, as words: when it begins, and what it is."""
+    """Start and description of each disturbance of the traffic."""
     popular: tuple[str, ...]
-    """Keys, the most popular first, that a pooled cache of the fleet's size holds."""
+    """The keys that one cache of the size of the whole fleet would hold, the most popular first."""
 
     def digest(self) -> str:
-        """A digest of who asks what when and of what breaks; the same whatever plays it."""
+        """Return a digest of the plan, the same in virtual and in real time."""
         text = hashlib.sha256()
         for part in (
             *self.nodes,
@@ -168,11 +168,12 @@
 
 
 def make_plan(scenario: Scenario, seed: int) -> Plan:
-    """Draw a plan."""
+    """Draw the plan of a scenario."""
     streams = Streams(seed)
     fleet = scenario.fleet
     keys = _Keys(scenario, streams)
     zones = fleet.zones
+    # A quarter more than each node's part of the keys of the pooled cache.
     memory = max(4, len(keys.pooled) * 5 // (fleet.nodes * 4))
     nodes = tuple(
         _node(scenario, streams, f"s{i}", zones[i % len(zones)], memory) for i in range(fleet.nodes)
@@ -183,10 +184,10 @@
     )
     rng = streams.of("network")
     delays = {}
-    for i, here in enumerate(zones):
-        for there in zones[i:]:
-            way = _draw(rng, fleet.same_ms if here == there else fleet.cross_ms) / 1000
-            delays[here, there] = delays[there, here] = way
+    for i, zone in enumerate(zones):
+        for other_zone in zones[i:]:
+            delay = _draw(rng, fleet.same_ms if zone == other_zone else fleet.cross_ms) / 1000
+            delays[zone, other_zone] = delays[other_zone, zone] = delay
     routers = tuple(
         RouterFacts(f"r{i}", zones[i % len(zones)], streams.of(f"router r{i}").getrandbits(63))
         for i in range(fleet.routers)
@@ -199,9 +200,9 @@
         store=_store(scenario, streams, keys),
         routers=routers,
         delays=delays,
-        operations=tuple(_with_syncs(scenario, streams, keys, routers)),
-        fault_events=_happenings(scenario, streams),
-        disturbances=_told_troubles(scenario, streams),
+        operations=tuple(_with_sync_commands(scenario, streams, keys, routers)),
+        fault_events=_fault_events(scenario, streams),
+        disturbances=_disturbance_descriptions(scenario, streams),
         popular=keys.pooled,
     )
 
@@ -209,9 +210,9 @@
 def _store(scenario: Scenario, streams: Streams, keys: _Keys) -> StoreFacts:
     rng, store, rate = streams.of("store"), scenario.store, scenario.traffic.rate
     writes = fsum(cls.share for cls in scenario.classes if cls.write)
-    usual = rate * (1 - writes) * (1 - keys.hits)
+    usual_fetches = rate * (1 - writes) * (1 - keys.hits)
     work = _draw(rng, store.work_ms) / 1000
-    capacity = usual * _draw(rng, store.capacity) + rate * writes
+    capacity = usual_fetches * _draw(rng, store.capacity) + rate * writes
     slots = max(1, round(capacity * work))
     return StoreFacts(
         slots=slots,
@@ -222,7 +223,7 @@
 
 
 class _Keys:
-    """The packages and how popular they are."""
+    """The packages, with Zipf popularity."""
 
     def __init__(self, scenario: Scenario, streams: Streams) -> None:
         traffic = scenario.traffic
@@ -231,19 +232,19 @@
         weights = [1 / (i + 1) ** traffic.skew for i in range(traffic.keys)]
         self._sums = list(accumulate(weights))
         self.hits = _draw(rng, traffic.pooled_hits)
-        held = _lru_size([weight / self._sums[-1] for weight in weights], self.hits)
-        self.pooled = tuple(self._names[:held])
+        copies = _lru_size([weight / self._sums[-1] for weight in weights], self.hits)
+        self.pooled = tuple(self._names[:copies])
 
     def draw(self, rng: random.Random) -> str:
-        place = bisect_left(self._sums, rng.random() * self._sums[-1])
-        return self._names[min(place, len(self._names) - 1)]
+        index = bisect_left(self._sums, rng.random() * self._sums[-1])
+        return self._names[min(index, len(self._names) - 1)]
 
 
 def _lru_size(popularity: list[float], hits: float) -> int:
-    """How many copies one cache that drops the least recently used needs for this share of hits.
+    """Return the size of an LRU cache, in copies, that serves this share of hits.
 
-    Che's approximation (Che, Tung, Wang: Hierarchical Web Caching Systems, 2002): a copy stays for one time
-    that is the same for all keys.
+    Che's approximation (Che, Tung, Wang: Hierarchical Web Caching Systems, 2002): an unused copy stays for
+    the same time whatever its key.
     """
     low, high = 0.0, 1.0
     while _lru_hits(popularity, high) < hits:
@@ -254,25 +255,25 @@
     return min(len(popularity), round(fsum(1 - exp(-share * high) for share in popularity)) + 1)
 
 
-def _lru_hits(popularity: list[float], stay: float) -> float:
-    return fsum(share * (1 - exp(-share * stay)) for share in popularity)
+def _lru_hits(popularity: list[float], lifetime: float) -> float:
+    return fsum(share * (1 - exp(-share * lifetime)) for share in popularity)
 
 
 def _operations(
     scenario: Scenario, streams: Streams, keys: _Keys, routers: tuple[RouterFacts, ...]
 ) -> list[Operation]:
     traffic = scenario.traffic
-    rng, disturbances = streams.of("clients"), _shares(scenario, streams)
-    skewed = {
-        place: streams.of(f"skew {place}").sample(range(len(routers)), min(trouble.routers, len(routers)))
-        for place, trouble in enumerate(scenario.disturbances)
-        if trouble.kind == "skew"
+    rng, disturbances = streams.of("clients"), _disturbance_shares(scenario, streams)
+    skewed_routers = {
+        index: streams.of(f"skew {index}").sample(range(len(routers)), min(disturbance.routers, len(routers)))
+        for index, disturbance in enumerate(scenario.disturbances)
+        if disturbance.kind == "skew"
     }
     classes, namespaces = scenario.classes, scenario.namespaces
     class_sums = list(accumulate(cls.share for cls in classes))
     namespace_sums = list(accumulate(namespace.share for namespace in namespaces))
     phase = rng.random()
-    peak = traffic.rate * (1 + traffic.swing) * (1 + fsum(s for (t, s) in disturbances if t.kind == "burst"))
+    peak = traffic.rate * (1 + traffic.swing) * (1 + fsum(s for (d, s) in disturbances if d.kind == "burst"))
     quota = _Quota(scenario)
     operations: list[Operation] = []
     at = 0.0
@@ -280,31 +281,34 @@
         at += rng.expovariate(1.0) / peak
         if at >= scenario.length_s:
             return operations
+        # The rate swings with a period of 17 s.
         base = traffic.rate * (1 + traffic.swing * sin(2 * pi * (at / 17 + phase)))
-        now = [
-            (place, trouble, share) for place, (trouble, share) in enumerate(disturbances) if _on(trouble, at)
+        active = [
+            (index, disturbance, share)
+            for index, (disturbance, share) in enumerate(disturbances)
+            if _is_active(disturbance, at)
         ]
-        burst = fsum(share for _, trouble, share in now if trouble.kind == "burst")
-        # Every draw is made for every candidate, so that one ask's fate does not shift the next one's draws.
-        thinned, kind, popular, lean = (rng.random() for _ in range(4))
+        burst = fsum(share for _, disturbance, share in active if disturbance.kind == "burst")
+        # Every candidate makes every draw, so that dropping one does not change the draws of the next.
+        thinning_draw, burst_draw, once_draw, skew_draw = (rng.random() for _ in range(4))
         cls = classes[bisect_left(class_sums, rng.random() * class_sums[-1])]
         namespace = namespaces[bisect_left(namespace_sums, rng.random() * namespace_sums[-1])].name
         key = keys.draw(rng)
         router = rng.randrange(len(routers))
-        skew_pick = rng.random()
+        skew_router_draw = rng.random()
         try_shares = tuple(_draw(rng, traffic.try_share) for _ in range(traffic.retries + 1))
         backoffs = tuple(_draw(rng, traffic.backoff_ms) / 1000 for _ in range(traffic.retries + 1))
         leaves = rng.random()
-        if thinned * peak >= base * (1 + burst):
+        if thinning_draw * peak >= base * (1 + burst):
             continue
-        if burst and kind * (1 + burst) < burst:
+        if burst and burst_draw * (1 + burst) < burst:
             cls, key = _first_read(classes), BURST_KEY
-        elif not cls.write and popular < fsum(share for _, t, share in now if t.kind == "one-time"):
+        elif not cls.write and once_draw < fsum(share for _, d, share in active if d.kind == "one-time"):
             key = f"once/{len(operations)}/{at:.6f}"
-        leaning = [(place, share) for place, trouble, share in now if trouble.kind == "skew"]
-        if leaning and lean < leaning[0][1]:
-            picked = skewed[leaning[0][0]]
-            router = picked[int(skew_pick * len(picked))]
+        skews = [(index, share) for index, disturbance, share in active if disturbance.kind == "skew"]
+        if skews and skew_draw < skews[0][1]:
+            picked = skewed_routers[skews[0][0]]
+            router = picked[int(skew_router_draw * len(picked))]
         operations.append(
             Operation(
                 number=len(operations),
@@ -314,7 +318,7 @@
                 key=key,
                 zone=routers[router].zone,
                 router=router,
-                over=quota.over(namespace, at),
+                over=quota.exceeds(namespace, at),
                 try_shares=try_shares,
                 backoffs=backoffs,
                 leaves=leaves,
@@ -322,10 +326,10 @@
         )
 
 
-def _with_syncs(
+def _with_sync_commands(
     scenario: Scenario, streams: Streams, keys: _Keys, routers: tuple[RouterFacts, ...]
 ) -> list[Operation]:
-    """All asks by their time, with those of commands that read many keys: each of their keys is an ask."""
+    """Return all operations in order of time; each key of a multi-key command is an operation."""
     operations, sync = _operations(scenario, streams, keys, routers), scenario.sync
     if sync is None:
         return operations
@@ -333,56 +337,56 @@
     shares = list(accumulate(namespace.share for namespace in scenario.namespaces))
     while (at := at + rng.expovariate(1.0) / sync.commands) < scenario.length_s:
         namespace = scenario.namespaces[bisect_left(shares, rng.random() * shares[-1])].name
-        router, wanted = rng.randrange(len(routers)), dict[str, None]()
-        while len(wanted) < sync.keys:
-            wanted[keys.draw(rng)] = None
+        router, command_keys = rng.randrange(len(routers)), dict[str, None]()
+        while len(command_keys) < sync.keys:
+            command_keys[keys.draw(rng)] = None
         zone = routers[router].zone
-        for key in wanted:
+        for key in command_keys:
             operation = Operation(
                 0, at, cls.name, namespace, key, zone, router, False, (1.0,), (0.0,), 1.0, number
             )
             operations.append(operation)
         number += 1
     operations.sort(key=lambda operation: operation.at)
-    return [replace(operation, number=place) for place, operation in enumerate(operations)]
+    return [replace(operation, number=number) for number, operation in enumerate(operations)]
 
 
 def _first_read(classes: tuple[RequestClass, ...]) -> RequestClass:
     return next((cls for cls in classes if not cls.write), classes[0])
 
 
-def _on(trouble: Disturbance, at: float) -> bool:
-    return trouble.at_s <= at < trouble.at_s + trouble.for_s
+def _is_active(disturbance: Disturbance, at: float) -> bool:
+    return disturbance.at_s <= at < disturbance.at_s + disturbance.for_s
 
 
-def _shares(scenario: Scenario, streams: Streams) -> list[tuple[Disturbance, float]]:
+def _disturbance_shares(scenario: Scenario, streams: Streams) -> list[tuple[Disturbance, float]]:
     return [
-        (trouble, _draw(streams.of(f"trouble {place} {trouble.kind}"), trouble.share))
-        for place, trouble in enumerate(scenario.disturbances)
+        (disturbance, _draw(streams.of(f"trouble {index} {disturbance.kind}"), disturbance.share))
+        for index, disturbance in enumerate(scenario.disturbances)
     ]
 
 
-_TROUBLE_WORDS = {
+_DISTURBANCE_DESCRIPTIONS = {
     "burst": "{share:.0%} more requests, all for one new package",
-    "one-time": "{share:.0%} of the reads ask for keys that are wanted once",
+    "one-time": "{share:.0%} of the reads are of keys that are read only once",
     "skew": "{share:.0%} of all traffic goes to {routers} router(s)",
 }
 
 
-def _told_troubles(scenario: Scenario, streams: Streams) -> tuple[tuple[float, str], ...]:
+def _disturbance_descriptions(scenario: Scenario, streams: Streams) -> tuple[tuple[float, str], ...]:
     return tuple(
         (
-            trouble.at_s,
-            _TROUBLE_WORDS[trouble.kind].format(share=share, routers=trouble.routers)
-            + f" for {trouble.for_s:g} s",
+            disturbance.at_s,
+            _DISTURBANCE_DESCRIPTIONS[disturbance.kind].format(share=share, routers=disturbance.routers)
+            + f" for {disturbance.for_s:g} s",
         )
-        for trouble, share in _shares(scenario, streams)
-        if trouble.kind in _TROUBLE_WORDS
+        for disturbance, share in _disturbance_shares(scenario, streams)
+        if disturbance.kind in _DISTURBANCE_DESCRIPTIONS
     )
 
 
 class _Quota:
-    """Which requests lie beyond a namespace's share: a bucket of one second's allowance each."""
+    """Finds the operations beyond the quota of their namespace, by a token bucket of one second for each."""
 
     def __init__(self, scenario: Scenario) -> None:
         rate = scenario.traffic.rate
@@ -390,7 +394,7 @@
         self._left = dict(self._allowance)
         self._at = dict.fromkeys(self._allowance, 0.0)
 
-    def over(self, namespace: str, at: float) -> bool:
+    def exceeds(self, namespace: str, at: float) -> bool:
         allowance = self._allowance[namespace]
         left = min(allowance, self._left[namespace] + (at - self._at[namespace]) * allowance)
         self._at[namespace] = at
@@ -398,29 +402,29 @@
         return left < 1
 
 
-def _happenings(scenario: Scenario, streams: Streams) -> tuple[FaultEvent, ...]:
+def _fault_events(scenario: Scenario, streams: Streams) -> tuple[FaultEvent, ...]:
     fault_events = [
-        FaultEvent(trouble.at_s, trouble.kind, 0.0, 0, share, 1.0)
-        for trouble, share in _shares(scenario, streams)
-        if trouble.kind == "invalidation"
+        FaultEvent(disturbance.at_s, disturbance.kind, 0.0, 0, share, 1.0)
+        for disturbance, share in _disturbance_shares(scenario, streams)
+        if disturbance.kind == "invalidation"
     ]
-    taken: set[int] = set()
+    used: set[int] = set()
     for number, fault in enumerate(scenario.faults):
-        place = _place(scenario, fault, streams.of(f"fault {number} {fault.kind}"), taken)
+        place = _fault_place(scenario, fault, streams.of(f"fault {number} {fault.kind}"), used)
         fault_events.append(FaultEvent(fault.at_s, fault.kind, fault.for_s, place, fault.share, fault.factor))
     return tuple(sorted(fault_events, key=lambda event: event.at))
 
 
-def _place(scenario: Scenario, fault: Fault, rng: random.Random, taken: set[int]) -> int:
-    """The node or router that a fault touches; nodes that are drawn are drawn once while there are any."""
+def _fault_place(scenario: Scenario, fault: Fault, rng: random.Random, used: set[int]) -> int:
+    """Return the index of the node or router of a fault; drawn nodes differ until all were drawn once."""
     if fault.kind.startswith("router"):
         return rng.randrange(scenario.fleet.routers) if fault.place is None else fault.place
     if not fault.kind.startswith("node"):
         return 0
     if fault.place is None:
-        free = [i for i in range(scenario.fleet.nodes) if i not in taken] or list(range(scenario.fleet.nodes))
+        free = [i for i in range(scenario.fleet.nodes) if i not in used] or list(range(scenario.fleet.nodes))
         place = rng.choice(free)
     else:
         place = fault.place
-    taken.add(place)
+    used.add(place)
     return place
--- a/pebblepass/simulation/scenario.py
+++ b/pebblepass/simulation/scenario.py
@@ -1,7 +1,7 @@
-"""Scenarios: what a rehearsal is told, as a checked TOML file.
+"""Scenarios: the input of a rehearsal, a TOML file that is validated when it is loaded.
 
-Ranges are two numbers, least and most; a rehearsal draws one value from each. Times ending in `_s` are
-seconds, in `_ms` milliseconds.
+A range is two numbers, least and most, from which a rehearsal draws one value. Times are in seconds where
+the name ends in `_s`, and in milliseconds where it ends in `_ms`.
 """
 
 from __future__ import annotations
@@ -39,18 +39,18 @@
 ]
 DisturbanceKind = Literal["burst", "invalidation", "one-time", "skew"]
 
-MOST_PROCESSES = 2048
-"""Routers, and mirror nodes, that a scenario may have."""
+MAX_PROCESSES = 2048
+"""The most routers, and the most mirror nodes, of a scenario."""
 
 Positive = Annotated[float, Meta(gt=0)]
-RouterCount = Annotated[int, Meta(ge=1, le=MOST_PROCESSES, description="routers of all data centres")]
-NodeCount = Annotated[int, Meta(ge=1, le=MOST_PROCESSES, description="mirror nodes of all data centres")]
+RouterCount = Annotated[int, Meta(ge=1, le=MAX_PROCESSES, description="routers in all data centres")]
+NodeCount = Annotated[int, Meta(ge=1, le=MAX_PROCESSES, description="mirror nodes in all data centres")]
 Share = Annotated[float, Meta(ge=0, le=1)]
 Place = Annotated[int, Meta(ge=0)]
 
 
 class Range(NamedTuple):
-    """The least and the most of what is drawn."""
+    """The bounds of a value that is drawn."""
 
     least: Annotated[float, Meta(ge=0)]
     most: Annotated[float, Meta(ge=0)]
@@ -59,9 +59,9 @@
 class _Checked(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     def __post_init__(self) -> None:
         for name in self.__struct_fields__:
-            held = getattr(self, name)
-            if isinstance(held, Range) and held.least > held.most:
-                raise ValueError(f"{name}: the least stands before the most")
+            value = getattr(self, name)
+            if isinstance(value, Range) and value.least > value.most:
+                raise ValueError(f"{name}: the least must come before the most")
 
 
 class Fleet(_Checked, frozen=True):
@@ -74,134 +74,144 @@
     )
     routers: RouterCount = 3
     nodes: NodeCount = 12
-    cross_ms: Annotated[Range, Meta(description="one way between two data centres")] = Range(2.8, 5.2)
-    same_ms: Annotated[Range, Meta(description="one way within a data centre")] = Range(0.11, 0.32)
-    told_s: Annotated[Range, Meta(description="a change of the list reaches a router so much later")] = Range(
-        0.52, 5.0
-    )
+    cross_ms: Annotated[Range, Meta(description="one-way delay between two data centres")] = Range(2.8, 5.2)
+    same_ms: Annotated[Range, Meta(description="one-way delay within a data centre")] = Range(0.11, 0.32)
+    told_s: Annotated[
+        Range, Meta(description="delay until a change of the endpoint list reaches a router")
+    ] = Range(0.52, 5.0)
     memory_mb: Annotated[int, Meta(ge=16, description="a router's memory limit")] = 192
-    sockets: Annotated[int, Meta(ge=64, description="a router's descriptors")] = 1024
+    sockets: Annotated[int, Meta(ge=64, description="a router's limit of descriptors")] = 1024
 
 
 class Node(_Checked, frozen=True):
-    """`[node]`: one mirror node of one core; each node draws its own values."""
+    """`[node]`: a mirror node with one core; each node draws its own values."""
 
-    speed: Annotated[
-        Range, Meta(description="the core's speed, 1 being the one that works are stated for")
-    ] = Range(0.85, 1.1)
-    slots: Annotated[Range, Meta(description="requests that run side by side and share the core")] = Range(
-        2, 6
+    speed: Annotated[Range, Meta(description="speed of the core; 1: the speed that `work_ms` refers to")] = (
+        Range(0.85, 1.1)
     )
-    queue: Annotated[Range, Meta(description="requests that wait at most; more are turned away")] = Range(
-        8, 35
+    slots: Annotated[Range, Meta(description="requests that are served concurrently and share the core")] = (
+        Range(2, 6)
     )
-    thrash_at: Annotated[Range, Meta(description="requests held from which on the core loses speed")] = Range(
+    queue: Annotated[Range, Meta(description="most requests that wait; more are rejected")] = Range(8, 35)
+    thrash_at: Annotated[Range, Meta(description="open requests above which the core loses speed")] = Range(
         8, 13
     )
-    thrash: Annotated[Range, Meta(description="the speed lost for each request more")] = Range(0.034, 0.14)
-    pause_every_s: Annotated[Range, Meta(description="from one pause to the next")] = Range(4.1, 12)
-    pause_ms: Annotated[Range, Meta(description="the length of a pause in which nothing runs")] = Range(0, 31)
-    cold_share: Annotated[Range, Meta(description="the share of its speed that a node starts with")] = Range(
+    thrash: Annotated[Range, Meta(description="slowdown for each further request")] = Range(0.034, 0.14)
+    pause_every_s: Annotated[Range, Meta(description="interval between the starts of pauses")] = Range(
+        4.1, 12
+    )
+    pause_ms: Annotated[Range, Meta(description="length of a pause, in which nothing runs")] = Range(0, 31)
+    cold_share: Annotated[Range, Meta(description="share of its speed that a node starts with")] = Range(
         0.32, 0.59
     )
-    cold_s: Annotated[Range, Meta(description="after which a node that has started is warm")] = Range(
+    cold_s: Annotated[Range, Meta(description="time after its start at which a node is warm")] = Range(
         3.9, 8.9
     )
-    report_ms: Annotated[Range, Meta(description="a load report is refreshed so often")] = Range(110, 420)
-    miss_work: Annotated[Share, Meta(description="the work of a miss, as a share of a hit's")] = 0.15
-    error_rate: Annotated[Share, Meta(description="the share of requests that end in an error")] = 0.0002
+    report_ms: Annotated[Range, Meta(description="interval at which a load report is refreshed")] = Range(
+        110, 420
+    )
+    miss_work: Annotated[Share, Meta(description="work of a miss, as a share of a hit's")] = 0.15
+    error_rate: Annotated[Share, Meta(description="share of requests that end in an error")] = 0.0002
 
 
 class Store(_Checked, frozen=True):
-    """`[store]`: the package store, sized by the fetches that a pooled cache would leave."""
+    """`[store]`: the package store; its capacity is relative to the misses of a pooled cache."""
 
-    capacity: Annotated[Range, Meta(description="what it can do, as a multiple of the usual misses")] = Range(
-        1.8, 2.3
+    capacity: Annotated[Range, Meta(description="reads it can serve, as a multiple of the usual misses")] = (
+        Range(1.8, 2.3)
     )
-    work_ms: Annotated[Range, Meta(description="how long one request takes it when nothing else runs")] = (
-        Range(60, 110)
+    work_ms: Annotated[Range, Meta(description="service time of one request when nothing else runs")] = Range(
+        60, 110
     )
-    queue: Annotated[Range, Meta(description="requests that wait at most; more get 503")] = Range(24, 48)
-    error_rate: Annotated[Share, Meta(description="the share of requests that end in 500")] = 0.0005
+    queue: Annotated[Range, Meta(description="most requests that wait; more get 503")] = Range(24, 48)
+    error_rate: Annotated[Share, Meta(description="share of requests that end in 500")] = 0.0005
 
 
 class RequestClass(_Checked, frozen=True):
-    """`[[class]]`: one class of requests."""
+    """`[[class]]`: a class of requests."""
 
-    name: Annotated[str, Meta(min_length=1, description="its name, as in `c=`")]
-    share: Annotated[Share, Meta(description="its share of all requests")]
-    work_ms: Annotated[Range, Meta(description="the work of one request")]
+    name: Annotated[str, Meta(min_length=1, description="name, as in `c=`")]
+    share: Annotated[Share, Meta(description="share of all requests")]
+    work_ms: Annotated[Range, Meta(description="work of one request")]
     aim_ms: Annotated[Positive, Meta(description="an answer within this time earns the full worth")]
-    deadline_ms: Annotated[Positive, Meta(description="after this time the client has given up")]
-    worth: Annotated[Positive, Meta(description="what one request is worth")]
-    late_worth: Annotated[Share, Meta(description="the share of the worth that a late answer earns")] = 0.25
+    deadline_ms: Annotated[Positive, Meta(description="time after which the client gives up")]
+    worth: Annotated[Positive, Meta(description="worth of one request")]
+    late_worth: Annotated[Share, Meta(description="share of the worth that a late answer earns")] = 0.25
     effect: Annotated[
-        Literal["safe", "keyed", "unsafe"], Meta(description="what a repeat does: nothing, dropped, harm")
+        Literal["safe", "keyed", "unsafe"],
+        Meta(description="a repeated request has no effect, is dropped, or does harm"),
     ] = "safe"
     window_s: Annotated[
-        float, Meta(ge=0, description="for how long repeats of a keyed write are dropped")
+        float, Meta(ge=0, description="time for which repeats of a keyed write are dropped")
     ] = 0.0
-    write: Annotated[bool, Meta(description="whether it changes the package")] = False
+    write: Annotated[bool, Meta(description="whether it writes")] = False
 
 
 class Namespace(_Checked, frozen=True):
-    """`[[namespace]]`: one namespace and its share."""
+    """`[[namespace]]`: a namespace, its share of the traffic and its quota."""
 
-    name: Annotated[str, Meta(min_length=1, description="its name, as in `t=`")]
-    share: Annotated[Share, Meta(description="its share of the traffic")]
-    quota: Annotated[Positive, Meta(description="its allowance, as a multiple of its usual traffic")] = 1.3
+    name: Annotated[str, Meta(min_length=1, description="name, as in `t=`")]
+    share: Annotated[Share, Meta(description="share of the traffic")]
+    quota: Annotated[Positive, Meta(description="quota, as a multiple of its usual traffic")] = 1.3
 
 
 class Traffic(_Checked, frozen=True):
-    """`[traffic]`: what clients ask for, and how they wait and repeat."""
+    """`[traffic]`: requests of the clients, their timeouts and their retries."""
 
-    rate: Annotated[Positive, Meta(description="requests a second over all routers, first tries only")] = (
+    rate: Annotated[Positive, Meta(description="requests per second over all routers, without retries")] = (
         120.0
     )
-    swing: Annotated[Share, Meta(description="how far the rate swings about its mean")] = 0.25
-    keys: Annotated[int, Meta(ge=10, le=200_000, description="packages that are asked for")] = 4000
-    skew: Annotated[float, Meta(ge=0, le=2, description="the exponent of the packages' popularity")] = 0.9
+    swing: Annotated[Share, Meta(description="amplitude of the rate, as a share of its mean")] = 0.25
+    keys: Annotated[int, Meta(ge=10, le=200_000, description="number of packages")] = 4000
+    skew: Annotated[
+        float, Meta(ge=0, le=2, description="exponent of the Zipf popularity of the packages")
+    ] = 0.9
     pooled_hits: Annotated[
-        Range, Meta(description="reads that one cache of the fleet's size would serve")
+        Range, Meta(description="share of reads that one cache of the fleet's size would serve")
     ] = Range(0.85, 0.97)
-    value_bytes: Annotated[Range, Meta(description="the length of a value")] = Range(200, 3000)
-    retries: Annotated[int, Meta(ge=0, le=5, description="a client's repeats at most")] = 2
-    try_share: Annotated[Range, Meta(description="a try is given up after this share of the time left")] = (
+    value_bytes: Annotated[Range, Meta(description="length of a value")] = Range(200, 3000)
+    retries: Annotated[int, Meta(ge=0, le=5, description="most retries of a client")] = 2
+    try_share: Annotated[Range, Meta(description="a request times out after this share of its deadline")] = (
         Range(0.5, 0.8)
     )
-    backoff_ms: Annotated[Range, Meta(description="the wait before a client's repeat")] = Range(12, 100)
-    over_share_worth: Annotated[Share, Meta(description="what traffic beyond a share is worth")] = 0.05
-    notice_s: Annotated[Range, Meta(description="the front notices a dead router so late")] = Range(0.96, 4.0)
+    backoff_ms: Annotated[Range, Meta(description="delay before a retry")] = Range(12, 100)
+    over_share_worth: Annotated[Share, Meta(description="worth of traffic beyond a quota, as a share")] = 0.05
+    notice_s: Annotated[Range, Meta(description="delay until the load balancer detects a dead router")] = (
+        Range(0.96, 4.0)
+    )
 
 
 class Sync(_Checked, frozen=True):
-    """`[sync]`: package tools that read many index entries in one command, beside all else."""
+    """`[sync]`: package tools that read many index entries in one command, in addition to `[traffic]`."""
 
-    commands: Annotated[Positive, Meta(description="commands a second over all routers")] = 1.0
+    commands: Annotated[Positive, Meta(description="commands per second over all routers")] = 1.0
     keys: Annotated[int, Meta(ge=1, le=1024, description="keys of one command, all different")] = 100
 
 
 class Disturbance(_Checked, frozen=True):
-    """`[[trouble]]`: something that the clients or the data bring."""
+    """`[[trouble]]`: a disturbance of the traffic or of the cached copies."""
 
-    kind: Annotated[DisturbanceKind, Meta(description="what happens")]
-    at_s: Annotated[float, Meta(ge=0, description="when it begins")]
-    for_s: Annotated[float, Meta(ge=0, description="how long it lasts")] = 0.0
+    kind: Annotated[DisturbanceKind, Meta(description="kind of disturbance")]
+    at_s: Annotated[float, Meta(ge=0, description="start")]
+    for_s: Annotated[float, Meta(ge=0, description="duration")] = 0.0
     share: Annotated[
-        Range, Meta(description="of the kept copies, of the reads, of the traffic, or the rate added")
+        Range,
+        Meta(
+            description="share of the cached copies, reads or traffic affected, or of the rate that is added"
+        ),
     ] = Range(0.32, 0.74)
-    routers: Annotated[int, Meta(ge=1, description="routers that carry the skewed share")] = 1
+    routers: Annotated[int, Meta(ge=1, description="routers that receive the skewed share")] = 1
 
 
 class Fault(_Checked, frozen=True):
-    """`[[fault]]`: a part that breaks."""
+    """`[[fault]]`: a fault of a server, a router or the clients."""
 
-    kind: Annotated[FaultKind, Meta(description="what breaks")]
-    at_s: Annotated[float, Meta(ge=0, description="when it begins")]
-    for_s: Annotated[float, Meta(ge=0, description="how long it lasts")] = 2.0
-    place: Annotated[Place | None, Meta(description="which node or router; left out: drawn")] = None
-    share: Annotated[Share, Meta(description="the share of answers or clients that it touches")] = 1.0
-    factor: Annotated[Positive, Meta(description="the speed that is left, as a factor")] = 0.2
+    kind: Annotated[FaultKind, Meta(description="kind of fault")]
+    at_s: Annotated[float, Meta(ge=0, description="start")]
+    for_s: Annotated[float, Meta(ge=0, description="duration")] = 2.0
+    place: Annotated[Place | None, Meta(description="index of the node or router; left out: drawn")] = None
+    share: Annotated[Share, Meta(description="share of answers or clients affected")] = 1.0
+    factor: Annotated[Positive, Meta(description="remaining speed, as a factor")] = 0.2
 
 
 DEFAULT_CLASSES = (
@@ -243,41 +253,44 @@
 
 
 class Scenario(_Checked, frozen=True):
-    """A whole scenario."""
+    """A scenario."""
 
-    title: Annotated[str, Meta(min_length=1, description="one line for the report")]
-    length_s: Annotated[float, Meta(gt=0, le=3600, description="how long clients ask")]
+    title: Annotated[str, Meta(min_length=1, description="title of the report, one line")]
+    length_s: Annotated[float, Meta(gt=0, le=3600, description="time for which clients send requests")]
     fleet: Annotated[Fleet, Meta(description="data centres, routers, nodes")] = Fleet()
-    node: Annotated[Node, Meta(description="a mirror node")] = Node()
+    node: Annotated[Node, Meta(description="mirror nodes")] = Node()
     store: Annotated[Store, Meta(description="the package store")] = Store()
-    traffic: Annotated[Traffic, Meta(description="what clients ask for")] = Traffic()
-    sync: Annotated[Sync | None, Meta(description="reads of many keys; left out: none")] = None
+    traffic: Annotated[Traffic, Meta(description="traffic of the clients")] = Traffic()
+    sync: Annotated[Sync | None, Meta(description="multi-key reads; left out: none")] = None
     classes: Annotated[
         tuple[RequestClass, ...], msgspec.Meta(min_length=1, description="classes of requests")
     ] = msgspec.field(default=DEFAULT_CLASSES, name="class")
     namespaces: Annotated[tuple[Namespace, ...], msgspec.Meta(min_length=1, description="namespaces")] = (
         msgspec.field(default=DEFAULT_NAMESPACES, name="namespace")
     )
-    disturbances: Annotated[tuple[Disturbance, ...], Meta(description="what clients or the data bring")] = (
-        msgspec.field(default=(), name="trouble")
-    )
-    faults: Annotated[tuple[Fault, ...], Meta(description="parts that break")] = msgspec.field(
-        default=(), name="fault"
+    disturbances: Annotated[
+        tuple[Disturbance, ...], Meta(description="disturbances of the traffic and the cached copies")
+    ] = msgspec.field(default=(), name="trouble")
+    faults: Annotated[tuple[Fault, ...], Meta(description="faults of servers, routers and clients")] = (
+        msgspec.field(default=(), name="fault")
     )
 
     def __post_init__(self) -> None:
-        for words, parts in (("class", self.classes), ("namespace", self.namespaces)):
+        for section, parts in (("class", self.classes), ("namespace", self.namespaces)):
             names = [part.name for part in parts]
             if len(set(names)) < len(names):
-                raise ValueError(f"two entries of [[{words}]] have one name")
+                raise ValueError(f"two entries of [[{section}]] have the same name")
             if abs(sum(part.share for part in parts) - 1) > 0.001:
-                raise ValueError(f"the shares of [[{words}]] must add up to 1")
-        dated: list[tuple[str, str, float]]
-        dated = [(f"trouble[{i}]", trouble.kind, trouble.at_s) for i, trouble in enumerate(self.disturbances)]
-        dated += [(f"fault[{i}]", fault.kind, fault.at_s) for i, fault in enumerate(self.faults)]
-        for place, kind, at in dated:
+                raise ValueError(f"the shares of [[{section}]] must add up to 1")
+        starts: list[tuple[str, str, float]]
+        starts = [
+            (f"trouble[{i}]", disturbance.kind, disturbance.at_s)
+            for i, disturbance in enumerate(self.disturbances)
+        ]
+        starts += [(f"fault[{i}]", fault.kind, fault.at_s) for i, fault in enumerate(self.faults)]
+        for entry, kind, at in starts:
             if at >= self.length_s:
-                raise ValueError(f"{place}: {kind} at {at:g} s comes after the end at {self.length_s:g} s")
+                raise ValueError(f"{entry}: {kind} at {at:g} s comes after the end at {self.length_s:g} s")
         if self.sync is not None and self.sync.keys * 2 > self.traffic.keys:
             raise ValueError(
                 "sync.keys: at most half of traffic.keys, as all keys of a command are different"
@@ -285,10 +298,10 @@
         for number, fault in enumerate(self.faults):
             count = self.fleet.routers if fault.kind.startswith("router") else self.fleet.nodes
             if fault.place is not None and fault.place >= count:
-                raise ValueError(f"fault[{number}]: there are only {count} such places")
+                raise ValueError(f"fault[{number}]: there are only {count}, numbered from 0")
 
     def scaled(self, routers: int | None, nodes: int | None, rate: float | None) -> Scenario:
-        """The same scenario at another scale; raises FileError where it can't be had."""
+        """Return this scenario at another scale; raises FileError where that is not valid."""
         fleet, traffic = self.fleet, self.traffic
         changes = {"fleet": msgspec.structs.replace(fleet, routers=routers or fleet.routers)}
         changes["fleet"] = msgspec.structs.replace(changes["fleet"], nodes=nodes or fleet.nodes)
@@ -300,8 +313,8 @@
             raise FileError(f"at this scale: {error}") from None
 
 
-def shipped() -> list[str]:
-    """The names of the scenarios that come with the kit."""
+def shipped_scenarios() -> list[str]:
+    """Return the names of the scenarios in this package."""
     folder = files("pebblepass.simulation").joinpath("scenarios")
     return sorted(
         entry.name.removesuffix(".toml") for entry in folder.iterdir() if entry.name.endswith(".toml")
@@ -309,10 +322,10 @@
 
 
 def load_scenario(name: str) -> Scenario:
-    """Load a shipped scenario by its name, or a file by its path; raises FileError in one plain line."""
-    if name in shipped():
+    """Load a shipped scenario by its name, or a file by its path; raises FileError."""
+    if name in shipped_scenarios():
         shipped_file = files("pebblepass.simulation").joinpath("scenarios").joinpath(f"{name}.toml")
         return decode_toml(name, shipped_file.read_bytes(), Scenario)
     if "/" not in name and not name.endswith(".toml"):
-        raise FileError(f"{name}: no such scenario; there are {', '.join(shipped())}, or name a file")
+        raise FileError(f"{name}: no such scenario; give one of {', '.join(shipped_scenarios())}, or a path")
     return read_toml(Path(name), Scenario)
--- a/tests/simulation/test_index_sync.py
+++ b/tests/simulation/test_index_sync.py
@@ -1,4 +1,4 @@
-"""Reads of many keys in a rehearsal: each key is a try of its own, and the figures are the kit's."""
+"""Multi-key reads in a rehearsal: each key counts as a request, and the routers' accounts agree."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_every_key_is_accounted_for_and_every_rule_holds_while_parts_break(seed: int) -> None:
+def test_every_key_is_counted_and_rules_hold_under_faults(seed: int) -> None:
     plan = make_plan(SMALL, seed)
     keys = sum(operation.command >= 0 for operation in plan.operations)
     assert keys == 25 * len({operation.command for operation in plan.operations if operation.command >= 0})
@@ -39,24 +39,24 @@
     assert sum(tally["asked"] for tally in report["routers"].values()) >= len(plan.operations)
 
 
-def test_a_killed_router_takes_its_commands_with_it_and_nothing_else_is_lost() -> None:
+def test_killed_router_loses_only_its_own_commands() -> None:
     scenario = msgspec.structs.replace(SMALL, faults=(Fault(kind="router-kill", at_s=2, place=0),))
     assert verdict(rehearse(make_plan(scenario, 3))) == []
 
 
-def test_the_same_seed_gives_the_same_report_to_the_byte() -> None:
+def test_same_seed_gives_identical_report() -> None:
     first, second = (json.dumps(rehearse(make_plan(SMALL, 5)), sort_keys=True) for _ in range(2))
     assert first == second
 
 
-def test_a_plan_without_lists_is_what_it_was() -> None:
+def test_multi_key_reads_do_not_change_the_other_operations() -> None:
     without = msgspec.structs.replace(SMALL, sync=None)
-    alone, beside = make_plan(without, 4).operations, make_plan(SMALL, 4).operations
-    assert [(operation.at, operation.key) for operation in alone] == [
-        (a.at, a.key) for a in beside if a.command < 0
+    single_operations, all_operations = make_plan(without, 4).operations, make_plan(SMALL, 4).operations
+    assert [(operation.at, operation.key) for operation in single_operations] == [
+        (a.at, a.key) for a in all_operations if a.command < 0
     ]
 
 
-def test_a_list_longer_than_the_keys_allow_is_one_line() -> None:
+def test_command_of_more_than_half_the_keys_is_rejected() -> None:
     with pytest.raises(FileError, match=r"sync.keys: at most half of traffic.keys"):
         decode_toml("x", b"title = 'x'\nlength_s = 5\n[traffic]\nkeys = 100\n[sync]\nkeys = 60\n", Scenario)
--- a/tests/simulation/test_rehearsal.py
+++ b/tests/simulation/test_rehearsal.py
@@ -1,4 +1,4 @@
-"""Whole rehearsals: the same twice, every rule's breaker caught, and all tries accounted for."""
+"""Complete rehearsals: reproducible reports, every broken rule detected, every request counted."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 from tests.processes import ending, kill_processes_with, spawn
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-LIMIT_S = 120  # of real time, for one command on a busy machine
+COMMAND_TIMEOUT_S = 120  # of real time, for one command on a busy machine
 
 ALL_DISTURBANCES = (
     Disturbance(kind="burst", at_s=2, for_s=8, share=Range(0.5, 0.5)),
@@ -67,7 +67,7 @@
 
 
 def healthy(faults: tuple[Fault, ...]) -> Scenario:
-    """Fast nodes with a copy of all that is asked for, and nothing wrong with any of them."""
+    """Return a scenario of fast nodes with copies of all keys, and these faults."""
     reads = RequestClass(
         name="read", share=1.0, work_ms=Range(1.4, 1.6), aim_ms=1000, deadline_ms=3000, worth=1
     )
@@ -89,12 +89,12 @@
 
 
 def broken_rules(report: dict[str, Any]) -> list[str]:
-    return [rule for rule, told in report["rules"].items() if not told["held"]]
+    return [rule for rule, result in report["rules"].items() if not result["held"]]
 
 
-def command(*words: str, **environ: str) -> subprocess.Popen[bytes]:
+def start_command(*arguments: str, **environ: str) -> subprocess.Popen[bytes]:
     return spawn(
-        [sys.executable, "-m", "pebblepass.cli", "rehearse", *words],
+        [sys.executable, "-m", "pebblepass.cli", "rehearse", *arguments],
         cwd=ROOT,
         env={**os.environ, **environ},
         stdout=subprocess.PIPE,
@@ -103,43 +103,45 @@
 
 
 @contextlib.contextmanager
-def loaded() -> Iterator[None]:
-    """Every core kept busy by a loop."""
-    busy = [subprocess.Popen([sys.executable, "-c", "while True: pass"]) for _ in range(os.cpu_count() or 1)]
+def busy_cores() -> Iterator[None]:
+    """Keep every core busy with a loop."""
+    processes = [
+        subprocess.Popen([sys.executable, "-c", "while True: pass"]) for _ in range(os.cpu_count() or 1)
+    ]
     try:
         yield
     finally:
-        for each in busy:
-            each.kill()
-            each.wait()
+        for process in processes:
+            process.kill()
+            process.wait()
 
 
-def test_ten_runs_of_one_seed_are_the_same_to_the_byte_idle_or_loaded(tmp_path: Path) -> None:
-    def runs(first: int) -> list[bytes]:
+def test_same_seed_gives_identical_reports_on_idle_and_busy_machine(tmp_path: Path) -> None:
+    def run_five(first: int) -> list[bytes]:
         files = [tmp_path / f"{number}.json" for number in range(first, first + 5)]
         started = [
-            command("broken-parts", "--seed", "7", "--report", str(file), PYTHONHASHSEED=str(place))
-            for place, file in enumerate(files)
+            start_command("broken-parts", "--seed", "7", "--report", str(file), PYTHONHASHSEED=str(index))
+            for index, file in enumerate(files)
         ]
-        for each in started:
-            _, error = each.communicate(timeout=LIMIT_S)
-            assert each.returncode == 0, error
+        for process in started:
+            _, error = process.communicate(timeout=COMMAND_TIMEOUT_S)
+            assert process.returncode == 0, error
         return [file.read_bytes() for file in files]
 
-    idle = runs(0)
-    with loaded():
-        busy = runs(5)
-    assert set(idle) == set(busy)
-    assert len(set(idle)) == 1
+    idle_reports = run_five(0)
+    with busy_cores():
+        busy_reports = run_five(5)
+    assert set(idle_reports) == set(busy_reports)
+    assert len(set(idle_reports)) == 1
 
 
-def test_another_seed_gives_another_report() -> None:
+def test_different_seeds_give_different_reports() -> None:
     reports = [rehearse(make_plan(small(), seed)) for seed in (1, 2)]
     assert reports[0]["trace"] != reports[1]["trace"]
     assert reports[0]["plan"] != reports[1]["plan"]
 
 
-def test_four_troubles_at_once_and_every_try_is_accounted_for() -> None:
+def test_every_request_is_counted_under_all_disturbances() -> None:
     plan = make_plan(small(disturbances=ALL_DISTURBANCES), 3)
     report = rehearse(plan)
     assert verdict(report) == []
@@ -149,7 +151,7 @@
             assert tally["asked"] == sum(tally[outcome] for outcome in OUTCOMES)
             total.update(tally)
     assert total["served"] > 100
-    assert total["refused"] > 100  # the disturbances were felt
+    assert total["refused"] > 100  # the disturbances had an effect
     routers: Counter[str] = Counter()
     for tally in report["routers"].values():
         routers.update(tally)
@@ -157,20 +159,20 @@
     assert total["asked"] >= len(plan.operations)
 
 
-def test_the_troubles_cost_service() -> None:
-    calm = rehearse(make_plan(small(), 3))
-    rough = rehearse(make_plan(small(disturbances=ALL_DISTURBANCES), 3))
-    assert rough["service"]["weighted"] < calm["service"]["weighted"] - 0.05
+def test_disturbances_reduce_service() -> None:
+    undisturbed = rehearse(make_plan(small(), 3))
+    disturbed = rehearse(make_plan(small(disturbances=ALL_DISTURBANCES), 3))
+    assert disturbed["service"]["weighted"] < undisturbed["service"]["weighted"] - 0.05
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_part_after_part_breaks_and_every_rule_holds(seed: int) -> None:
+def test_rules_hold_under_one_fault_after_another(seed: int) -> None:
     report = rehearse(make_plan(load_scenario("broken-parts"), seed))
     assert verdict(report) == []
     assert len(report["events"]) == 16
 
 
-FAULTS_IN_MIDST = (
+OVERLAPPING_FAULTS = (
     Fault(kind="clients-leave", at_s=1, for_s=9, share=0.5),
     Fault(kind="router-kill", at_s=4, place=0),
     Fault(kind="node-drain", at_s=3),
@@ -178,9 +180,9 @@
 )
 
 
-def test_clients_that_leave_a_router_killed_and_a_drain_while_long_values_are_streamed() -> None:
+def test_rules_hold_under_overlapping_faults_with_long_values() -> None:
     scenario = small(
-        faults=FAULTS_IN_MIDST,
+        faults=OVERLAPPING_FAULTS,
         traffic=Traffic(rate=40, swing=0, value_bytes=Range(70_000, 150_000)),
     )
     report = rehearse(make_plan(scenario, 5))
@@ -193,7 +195,7 @@
     assert total["served"] > 100
 
 
-# Routers that break one rule each: a check that can't fail is worth nothing.
+# Routers that break one rule each, to show that the check of the rule can fail.
 
 ORDER = RequestClass(
     name="order",
@@ -208,16 +210,16 @@
 FETCH = msgspec.structs.replace(DEFAULT_CLASSES[0], share=0.9)
 
 
-class DeafToDrains(RouterHost):
-    """Never hears that a server drains or is gone."""
+class IgnoresDrains(RouterHost):
+    """Ignores that a server drains or is removed."""
 
     def servers_changed(self, listing: EndpointList) -> bool:
-        kept = tuple(s for s in listing.change.servers if s.state is ServerState.READY)
-        return super().servers_changed(replace(listing, change=replace(listing.change, servers=kept)))
+        ready = tuple(s for s in listing.change.servers if s.state is ServerState.READY)
+        return super().servers_changed(replace(listing, change=replace(listing.change, servers=ready)))
 
 
 class AnswersTwice(RouterHost):
-    """Writes a second answer behind the first."""
+    """Writes a second answer after the first."""
 
     def forget_if_settled(self, request: OpenRequest) -> None:
         if request.closed and not request.out and request.id in self._requests:
@@ -236,17 +238,17 @@
             super()._send(action)
 
 
-class FloodsNewcomers(RouterHost):
-    """Sends every read to the server that has started last."""
+class OverloadsNewServers(RouterHost):
+    """Sends every read to the server that started last."""
 
     newest = ""
 
     def servers_changed(self, listing: EndpointList) -> bool:
-        taken = super().servers_changed(listing)
+        accepted = super().servers_changed(listing)
         for server in listing.change.servers:
             if server.started and server.state is ServerState.READY:
                 self.newest = server.id
-        return taken
+        return accepted
 
     def _send(self, action: Send) -> None:
         if self.newest and action.server not in self._origins:
@@ -254,31 +256,31 @@
         super()._send(action)
 
 
-class Forgets(RouterHost):
-    """Never answers every tenth request."""
+class DropsAnswers(RouterHost):
+    """Leaves every tenth request unanswered."""
 
-    taken = 0
+    answers = 0
 
     def _answer(self, request_id: str, data: bytes, refused: str = "", failed: str = "") -> None:
-        self.taken += 1
-        if self.taken % 10:
+        self.answers += 1
+        if self.answers % 10:
             super()._answer(request_id, data, refused, failed)
 
 
-def broken_daemon(host: type[RouterHost]) -> type[Daemon]:
-    class Broken(Daemon):
+def daemon_with_host(host: type[RouterHost]) -> type[Daemon]:
+    class FaultyDaemon(Daemon):
         host_class = host
 
-    return Broken
+    return FaultyDaemon
 
 
-BREAKERS = [
-    (DeafToDrains, "drains kept", small(faults=(Fault(kind="node-drain", at_s=2, place=0),))),
+FAULTY_HOSTS = [
+    (IgnoresDrains, "drains kept", small(faults=(Fault(kind="node-drain", at_s=2, place=0),))),
     (AnswersTwice, "every request answered", small()),
-    (Forgets, "every request answered", small(disturbances=ALL_DISTURBANCES)),
+    (DropsAnswers, "every request answered", small(disturbances=ALL_DISTURBANCES)),
     (RepeatsWrites, "no effect twice", small(classes=(FETCH, ORDER))),
     (
-        FloodsNewcomers,
+        OverloadsNewServers,
         "no cold node pushed over",
         small(
             fleet=Fleet(routers=2, nodes=8, told_s=Range(0.5, 0.6)),
@@ -290,87 +292,89 @@
 ]
 
 
-@pytest.mark.parametrize(("host", "rule", "scenario"), BREAKERS)
-def test_a_router_that_breaks_one_rule_fails_by_that_rule_alone(
+@pytest.mark.parametrize(("host", "rule", "scenario"), FAULTY_HOSTS)
+def test_router_that_breaks_one_rule_fails_by_that_rule_alone(
     host: type[RouterHost], rule: str, scenario: Scenario
 ) -> None:
     plan = make_plan(scenario, 3)
     assert broken_rules(rehearse(plan)) == []
-    report = rehearse(plan, make=broken_daemon(host))
+    report = rehearse(plan, make=daemon_with_host(host))
     assert broken_rules(report) == [rule]
     assert verdict(report)[0].startswith(f"rule broken: {rule}")
 
 
-def test_a_fault_in_the_daemons_code_fails_the_rehearsal() -> None:
-    class Stumbles(RouterHost):
+def test_exception_in_the_daemon_fails_the_rehearsal() -> None:
+    class RaisesOnDisconnect(RouterHost):
         def client_disconnected(self, reply: Any) -> None:
-            raise ZeroDivisionError("stumbled")
+            raise ZeroDivisionError("injected fault")
 
     scenario = small(faults=(Fault(kind="clients-leave", at_s=1, for_s=9, share=0.2),))
-    report = rehearse(make_plan(scenario, 3), make=broken_daemon(Stumbles))
-    assert any("stumbled" in line for line in report["crashes"])
+    report = rehearse(make_plan(scenario, 3), make=daemon_with_host(RaisesOnDisconnect))
+    assert any("injected fault" in line for line in report["crashes"])
     assert any(line.startswith("crashed") for line in verdict(report))
 
 
 @pytest.mark.parametrize("pause_ms", [20, 50, 100])
-def test_a_stalled_loop_costs_a_healthy_fleet_no_second_attempt(
-    pause_ms: int, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Answers that stand unread while the router is held up count for what they are."""
+def test_blocked_event_loop_causes_no_second_attempt(pause_ms: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Answers that arrive while the router's event loop is blocked must not count as late."""
     stalls = tuple(
-        Fault(kind="router-stall", at_s=1 + place / 7, for_s=pause_ms / 1000, place=0) for place in range(40)
+        Fault(kind="router-stall", at_s=1 + number / 7, for_s=pause_ms / 1000, place=0)
+        for number in range(40)
     )
     outcomes: list[str] = []
-    attempt = Ledger.record_attempt
+    record_attempt = Ledger.record_attempt
 
-    def noted(self: Ledger, cls: str, namespace: str | None, outcome: str, to_origin: bool) -> None:
+    def record_outcome(self: Ledger, cls: str, namespace: str | None, outcome: str, to_origin: bool) -> None:
         outcomes.append(outcome)
-        attempt(self, cls, namespace, outcome, to_origin)
+        record_attempt(self, cls, namespace, outcome, to_origin)
 
-    monkeypatch.setattr(Ledger, "record_attempt", noted)
+    monkeypatch.setattr(Ledger, "record_attempt", record_outcome)
     report = rehearse(make_plan(healthy(stalls), 3))
     assert verdict(report) == []
-    assert set(outcomes) <= {"ok", "miss"}  # none was given up, and so none was made again
+    assert set(outcomes) <= {"ok", "miss"}  # no attempt timed out, so none was repeated
     for tally in report["tries"].values():
         assert tally["read"]["served"] == tally["read"]["asked"] > 1000
 
 
-def test_a_port_in_use_says_so(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_port_in_use_raises_rehearsal_error(monkeypatch: pytest.MonkeyPatch) -> None:
     with socket.create_server(("127.0.0.1", 0)) as other:
         monkeypatch.setattr(runner, "take_port", lambda: other.getsockname()[1])
         with pytest.raises(RehearsalError, match=r"r0 can't listen at .* in use"):
             rehearse(make_plan(small(), 1))
 
 
-def test_ports_of_two_processes_are_never_the_same() -> None:
-    """Also while nobody listens at them, as between a router's end and its next start."""
-    words = "from pebblepass.emulators import ports; print(ports.take_port(), flush=True); input()"
-    command = [sys.executable, "-c", words]
-    both = [
+def test_processes_take_ports_from_different_blocks() -> None:
+    """Holds also while no socket listens on them, as between a router's end and its next start."""
+    script = "from pebblepass.emulators import ports; print(ports.take_port(), flush=True); input()"
+    command = [sys.executable, "-c", script]
+    processes = [
         subprocess.Popen(command, cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE) for _ in range(2)
     ]
-    blocks = {(int(p.stdout.readline()) - FIRST) // BLOCK for p in both if p.stdout is not None}
-    mine = PortBlock()
-    assert len({*blocks, (mine.take() - FIRST) // BLOCK}) == 3
-    for process in both:
-        process.communicate(b"\n", timeout=LIMIT_S)
+    blocks = {(int(p.stdout.readline()) - FIRST) // BLOCK for p in processes if p.stdout is not None}
+    own_block = PortBlock()
+    assert len({*blocks, (own_block.take() - FIRST) // BLOCK}) == 3
+    for process in processes:
+        process.communicate(b"\n", timeout=COMMAND_TIMEOUT_S)
 
 
-def test_a_port_that_is_listened_at_is_not_dealt_out() -> None:
+def test_port_with_a_listener_is_skipped() -> None:
     block = PortBlock()
     first = block.take()
     with socket.create_server(("127.0.0.1", first + 1)):
         assert block.take() == first + 2
 
 
-def test_compared_reports_tell_only_what_differs() -> None:
-    calm, rough = (rehearse(make_plan(small(disturbances=t), 3)) for t in ((), ALL_DISTURBANCES))
-    assert compare(calm, calm) == {}
-    figures = compare(calm, rough)
-    assert figures["service weighted"] == (calm["service"]["weighted"], rough["service"]["weighted"])
+def test_compare_returns_only_different_figures() -> None:
+    undisturbed, disturbed = (rehearse(make_plan(small(disturbances=d), 3)) for d in ((), ALL_DISTURBANCES))
+    assert compare(undisturbed, undisturbed) == {}
+    figures = compare(undisturbed, disturbed)
+    assert figures["service weighted"] == (
+        undisturbed["service"]["weighted"],
+        disturbed["service"]["weighted"],
+    )
 
 
-def test_the_report_does_not_tell_of_ports_or_of_this_machine() -> None:
+def test_report_contains_no_addresses_or_paths() -> None:
     text = as_json(rehearse(make_plan(small(), 1))).decode()
     assert "127.0.0.1" not in text
     assert os.fspath(ROOT) not in text
@@ -379,21 +383,21 @@
 # The command
 
 
-def test_release_morning_ends_in_a_report_and_the_exit_code_zero(tmp_path: Path) -> None:
+def test_release_morning_writes_report_and_exits_with_0(tmp_path: Path) -> None:
     page, file = tmp_path / "a.html", tmp_path / "a.json"
-    process = command("release-morning", "--seed", "7", "--report", str(file), "--html", str(page))
-    out, error = process.communicate(timeout=LIMIT_S)
+    process = start_command("release-morning", "--seed", "7", "--report", str(file), "--html", str(page))
+    out, error = process.communicate(timeout=COMMAND_TIMEOUT_S)
     assert process.returncode == 0, error
     assert b"public" in out
     assert b"municipal" in out
-    assert b"\x1b" not in out  # a plain table where there is no terminal
+    assert b"\x1b" not in out  # no escape sequences where the output is not a terminal
     assert page.read_text().count("<svg") == 10
     assert "<script" not in page.read_text()
     assert "http" not in page.read_text()
     assert msgspec.json.decode(file.read_bytes())["service"]["weighted"] > 0.3
 
 
-BAD = [
+INVALID_SCENARIOS = [
     ("title = 'x'\nlength_s = 3\nspeed = 1", "speed: unknown key"),
     ("title = 'x'\nlength_s = 3\n[traffic]\nrate = -1", "traffic.rate: expected `float` > 0.0"),
     (
@@ -401,7 +405,7 @@
         "trouble[0]: burst at 4 s comes after the end at 3 s",
     ),
     ("title = 'x'\nlength_s = 3\n[[fault]]\nkind = 'rain'\nat_s = 1", "fault[0].kind: invalid enum value"),
-    ("title = 'x'\nlength_s = 3\n[node]\nspeed = [2, 1]", "node: speed: the least stands before the most"),
+    ("title = 'x'\nlength_s = 3\n[node]\nspeed = [2, 1]", "node: speed: the least must come before the most"),
     ("title = 'x'\nlength_s = 3\n[[fault]]\nkind = 'node-kill'\nat_s = 1\nplace = 99", "fault[0]: there are"),
     (
         "title = 'x'\nlength_s = 3\n[[namespace]]\nname = 'a'\nshare = 0.5",
@@ -411,84 +415,82 @@
 ]
 
 
-@pytest.mark.parametrize(("text", "words"), BAD)
-def test_a_scenario_that_cannot_be_used_is_one_line_and_nothing_starts(
-    tmp_path: Path, text: str, words: str
-) -> None:
+@pytest.mark.parametrize(("text", "message"), INVALID_SCENARIOS)
+def test_invalid_scenario_prints_one_line_and_exits_with_2(tmp_path: Path, text: str, message: str) -> None:
     file = tmp_path / "bad.toml"
     file.write_text(text)
-    process = command(str(file))
-    out, error = process.communicate(timeout=LIMIT_S)
+    process = start_command(str(file))
+    out, error = process.communicate(timeout=COMMAND_TIMEOUT_S)
     assert process.returncode == 2
     assert out == b""
-    assert error.decode().startswith(f"pebblepass: {file}: {words}")
+    assert error.decode().startswith(f"pebblepass: {file}: {message}")
     assert len(error.splitlines()) == 1
 
 
 @pytest.mark.parametrize(
-    "words", [("nowhere",), ("quiet", "--report", "/nowhere/a.json"), ("quiet", "--seed", "-1")]
+    "arguments", [("nowhere",), ("quiet", "--report", "/nowhere/a.json"), ("quiet", "--seed", "-1")]
 )
-def test_wrong_usage_is_exit_code_two(words: tuple[str, ...]) -> None:
-    process = command(*words)
-    out, error = process.communicate(timeout=LIMIT_S)
+def test_wrong_usage_exits_with_2(arguments: tuple[str, ...]) -> None:
+    process = start_command(*arguments)
+    out, error = process.communicate(timeout=COMMAND_TIMEOUT_S)
     assert process.returncode == 2
     assert out == b""
     assert error
 
 
-def test_ctrl_c_stops_at_once_and_prints_what_it_has() -> None:
-    process = command("release-morning", "--nodes", "40", "--rate", "2000")
+def test_sigint_ends_the_run_and_prints_partial_report() -> None:
+    process = start_command("release-morning", "--nodes", "40", "--rate", "2000")
     with ending(process):
         assert process.stderr is not None
         assert b"playing" in process.stderr.readline()
         process.send_signal(signal.SIGINT)
-        out, error = process.communicate(timeout=LIMIT_S)
+        out, error = process.communicate(timeout=COMMAND_TIMEOUT_S)
     assert process.returncode == 130, error
     assert b"(interrupted)" in out
     assert b"Traceback" not in error
 
 
-# In real time: processes, and their limits
+# Real time: routers in processes of their own
 
 
-def test_the_same_plan_against_processes_adds_up_and_leaves_none_behind(tmp_path: Path) -> None:
+def test_real_time_run_balances_and_leaves_no_process(tmp_path: Path) -> None:
     file, scenario = tmp_path / "a.json", tmp_path / "short.toml"
     scenario.write_text(SHORT)
-    process = command(
+    process = start_command(
         str(scenario), "--real-time", "--seed", "3", "--report", str(file), TMPDIR=str(tmp_path)
     )
-    _, error = process.communicate(timeout=LIMIT_S)
-    assert process.returncode in (0, 1), error  # a busy machine may be late, and late counts as late
+    _, error = process.communicate(timeout=COMMAND_TIMEOUT_S)
+    assert process.returncode in (0, 1), error  # 1: on a busy machine answers may be late
     report = msgspec.json.decode(file.read_bytes())
     assert report["plan"] == make_plan(load_scenario(str(scenario)), 3).digest()
     assert report["balance"] == report["crashes"] == []
     assert report["clock"] == "real"
     assert report["figures"] == {"compared": ["r0", "r1", "r2"], "differences": []}
     assert all(16 << 10 < peak < 192 << 10 for peak in report["peak_memory_kb"].values())
-    assert processes_in(tmp_path) == []
+    assert router_processes_in(tmp_path) == []
 
 
-def test_ctrl_c_in_real_time_leaves_no_process(tmp_path: Path) -> None:
-    process = command("quiet", "--real-time", TMPDIR=str(tmp_path))
+def test_sigint_in_real_time_leaves_no_process(tmp_path: Path) -> None:
+    process = start_command("quiet", "--real-time", TMPDIR=str(tmp_path))
     try:
         with ending(process):
             assert process.stderr is not None
             assert b"playing" in process.stderr.readline()
-            assert len(processes_in(tmp_path)) == 3
+            assert len(router_processes_in(tmp_path)) == 3
             process.send_signal(signal.SIGINT)
-            out, error = process.communicate(timeout=LIMIT_S)
+            out, error = process.communicate(timeout=COMMAND_TIMEOUT_S)
         assert process.returncode == 130, error
         assert b"(interrupted)" in out
-        assert processes_in(tmp_path) == []
+        assert router_processes_in(tmp_path) == []
     finally:
         kill_processes_with("TMPDIR", str(tmp_path))
 
 
-def test_a_router_over_its_memory_is_killed_and_told_of(tmp_path: Path) -> None:
+def test_router_above_its_memory_limit_is_killed_and_reported(tmp_path: Path) -> None:
     scenario = tmp_path / "tight.toml"
     scenario.write_text(SHORT + "[fleet]\nmemory_mb = 16\n")
-    process = command(str(scenario), "--real-time", TMPDIR=str(tmp_path))
-    out, error = process.communicate(timeout=LIMIT_S)
+    process = start_command(str(scenario), "--real-time", TMPDIR=str(tmp_path))
+    out, error = process.communicate(timeout=COMMAND_TIMEOUT_S)
     assert process.returncode in (1, 2)
     assert "MB of 16" in out.decode() + error.decode()
 
@@ -496,8 +498,8 @@
 SHORT = "title = 'short'\nlength_s = 3\n[traffic]\nrate = 40\n"
 
 
-def processes_in(folder: Path) -> list[str]:
-    """Routers whose configuration lies in this folder."""
+def router_processes_in(folder: Path) -> list[str]:
+    """Return the processes of routers whose configuration is in this folder."""
     found = []
     for entry in Path("/proc").glob("[0-9]*/environ"):
         with contextlib.suppress(OSError):
