--- a/pebblepass/simulation/clairvoyant_bound.py
+++ b/pebblepass/simulation/clairvoyant_bound.py
@@ -1,9 +1,9 @@
-"""What one clairvoyant cache in front of the same store would have served of a plan; pure.
+"""A bound on service: what one clairvoyant cache in front of the same store would serve of a plan. No I/O.
 
-One cache as large as all nodes together, that drops the copy whose next use lies furthest ahead (Belady: A
-study of replacement algorithms for a virtual-storage computer, 1966); a store with the plan's true capacity,
-which takes writes at once and fetches in the best order known: always the missed key that most worth is
-still to come for. No router, no delay, no second copy, no refusal. Fetches alone take time.
+The cache is as large as all nodes together and evicts the copy whose next use is furthest ahead (Belady: A
+study of replacement algorithms for a virtual-storage computer, 1966). The store has the capacity of the plan;
+it serves writes first, and then fetches the missed key with the most worth still to come. There are no
+routers, network delays, second copies or refusals; only the store takes time.
 """
 
 from __future__ import annotations
@@ -20,48 +20,52 @@
 
 @dataclass(frozen=True, slots=True)
 class BoundFacts:
-    """What the bound is reckoned from; times in seconds."""
+    """The parts of a plan that the bound is computed from; times in seconds."""
 
     memory: int
-    """Copies that the one cache keeps."""
+    """The size of the cache, in copies."""
     slots: int
-    """Fetches and writes that the store works on side by side."""
+    """Fetches and writes that the store serves concurrently."""
     work: float
-    """Seconds that each takes."""
-    kept: tuple[str, ...]
-    """Keys that are kept at the start."""
-    voids: tuple[tuple[float, float], ...]
-    """When kept copies go void, and which share of them."""
-    downs: tuple[tuple[float, float], ...]
-    """From when to when the store serves nothing."""
+    """Service time of each, in seconds."""
+    initial_keys: tuple[str, ...]
+    """Keys in the cache at the start."""
+    invalidations: tuple[tuple[float, float], ...]
+    """Time of each invalidation, and the share of the copies that it drops."""
+    outages: tuple[tuple[float, float], ...]
+    """Start and end of each outage of the store."""
 
 
 @dataclass(slots=True)
-class _Wanted:
-    """One key over the whole plan."""
+class _KeyDemand:
+    """The reads of one key."""
 
-    operations: deque[tuple[float, int, float]]
-    """Reads still to come: when, which, what each is worth."""
-    left: float
-    """The worth still to come, waiting reads among it."""
+    reads: deque[tuple[float, int, float]]
+    """Reads still to come: time, number and worth of each."""
+    remaining: float
+    """The worth still to come, including the waiting reads."""
     waiting: list[tuple[int, float]]
-    """Reads that wait: which, and what each is worth."""
+    """Reads that wait for a fetch: number and worth of each."""
 
 
 def bound_facts(plan: Plan) -> BoundFacts:
-    """The facts of a plan."""
+    """Return the facts of a plan."""
     return BoundFacts(
         memory=sum(node.memory for node in plan.nodes),
         slots=plan.store.slots,
         work=plan.store.work,
-        kept=plan.popular,
-        voids=tuple((h.at, h.share) for h in plan.fault_events if h.kind == "invalidation"),
-        downs=tuple((h.at, h.at + h.length) for h in plan.fault_events if h.kind == "store-down"),
+        initial_keys=plan.popular,
+        invalidations=tuple(
+            (event.at, event.share) for event in plan.fault_events if event.kind == "invalidation"
+        ),
+        outages=tuple(
+            (event.at, event.at + event.length) for event in plan.fault_events if event.kind == "store-down"
+        ),
     )
 
 
 class ClairvoyantCache:
-    """Plays the asks of a plan, in the order of their times, against one cache and the store."""
+    """Runs the operations of a plan, in order of time, against one cache and the store."""
 
     def __init__(
         self,
@@ -70,124 +74,124 @@
         terms: Callable[[Operation], tuple[bool, float, float]],
         draw: Callable[[], float],
     ) -> None:
-        """`terms`: whether an ask is a write, its worth, and the seconds that it may wait; `draw`: 0 to 1."""
+        """`terms`: whether an operation is a write, its worth and target time in seconds; `draw`: 0 to 1."""
         self._facts, self._operations, self._draw = facts, operations, draw
         self._terms = {operation.number: terms(operation) for operation in operations}
         self.in_time: dict[int, bool] = {}
-        """Whether each ask was served within its time, by its number."""
+        """Whether each operation was served within its target time, by its number."""
         self.fetches = self.writes = 0
-        self._wanted: dict[str, _Wanted] = {}
+        self._demand: dict[str, _KeyDemand] = {}
         for operation in operations:
             write, worth, _ = self._terms[operation.number]
             if not write:
-                held = self._wanted.setdefault(operation.key, _Wanted(deque(), 0.0, []))
-                held.operations.append((operation.at, operation.number, worth))
-                held.left += worth
+                demand = self._demand.setdefault(operation.key, _KeyDemand(deque(), 0.0, []))
+                demand.reads.append((operation.at, operation.number, worth))
+                demand.remaining += worth
         self._at = {operation.number: operation.at for operation in operations}
-        self._cache = dict.fromkeys(facts.kept[: facts.memory])
+        self._cache = dict.fromkeys(facts.initial_keys[: facts.memory])
         self._missed: dict[str, None] = {}
         self._busy: list[
             tuple[float, str]
-        ] = []  # what the store works on: when it is done, and its key or ""
-        self._queue: deque[int] = deque()  # writes that wait
+        ] = []  # at the store: completion, and key of a fetch or "" for a write
+        self._queue: deque[int] = deque()  # waiting writes
 
-    def play(self) -> None:
-        """Play all of it."""
-        voids = deque(self._facts.voids)
+    def run(self) -> None:
+        """Run all operations."""
+        invalidations = deque(self._facts.invalidations)
         for operation in self._operations:
-            while voids and voids[0][0] <= operation.at:
-                at, share = voids.popleft()
-                self._store_until(at)
+            while invalidations and invalidations[0][0] <= operation.at:
+                at, share = invalidations.popleft()
+                self._advance_store(at)
                 for key in [key for key in self._cache if self._draw() < share]:
                     del self._cache[key]
-            self._store_until(operation.at)
+            self._advance_store(operation.at)
             write, worth, _ = self._terms[operation.number]
             if write:
                 self._queue.append(operation.number)
                 self._cache.pop(operation.key, None)
             else:
-                held = self._wanted[operation.key]
-                held.operations.popleft()
+                demand = self._demand[operation.key]
+                demand.reads.popleft()
                 if operation.key in self._cache:
-                    held.left -= worth
+                    demand.remaining -= worth
                     self.in_time[operation.number] = True
                 else:
-                    held.waiting.append((operation.number, worth))
+                    demand.waiting.append((operation.number, worth))
                     self._missed[operation.key] = None
-            self._begin(operation.at)
-        self._store_until(NEVER)
+            self._start_requests(operation.at)
+        self._advance_store(NEVER)
 
-    def _store_until(self, now: float) -> None:
-        """Let the store work until `now`."""
+    def _advance_store(self, now: float) -> None:
+        """Complete the requests that the store finishes by `now`."""
         while self._busy and self._busy[0][0] <= now:
-            done, key = heapq.heappop(self._busy)
+            completed_at, key = heapq.heappop(self._busy)
             if key:
-                self._fetched(key, done)
-            self._begin(done)
+                self._store_copy(key, completed_at)
+            self._start_requests(completed_at)
 
-    def _begin(self, now: float) -> None:
-        """Give the store's free places to writes first, and then to the best missed keys."""
+    def _start_requests(self, now: float) -> None:
+        """Fill the store's free slots with waiting writes, then with the most valuable fetches."""
         facts = self._facts
-        begin = max([now, *(end for start, end in facts.downs if start <= now < end)])
+        starts_at = max([now, *(end for start, end in facts.outages if start <= now < end)])
         while len(self._busy) < facts.slots:
             if self._queue:
                 number = self._queue.popleft()
-                done = begin + facts.work
+                completed_at = starts_at + facts.work
                 self.writes += 1
-                self.in_time[number] = done <= self._at[number] + self._terms[number][2]
-                heapq.heappush(self._busy, (done, ""))
+                self.in_time[number] = completed_at <= self._at[number] + self._terms[number][2]
+                heapq.heappush(self._busy, (completed_at, ""))
                 continue
-            key = self._best(begin + facts.work)
+            key = self._best_missed_key(starts_at + facts.work)
             if not key:
                 return
             del self._missed[key]
             self.fetches += 1
-            heapq.heappush(self._busy, (begin + facts.work, key))
+            heapq.heappush(self._busy, (starts_at + facts.work, key))
 
-    def _best(self, done: float) -> str:
-        """The missed key for which most is to be had if its fetch is done then; empty: for none."""
-        best, most = "", 0.0
+    def _best_missed_key(self, completed_at: float) -> str:
+        """Return the missed key with the most worth left if its fetch completes then, or an empty string."""
+        best, most_worth = "", 0.0
         for key in list(self._missed):
-            held = self._wanted[key]
-            # What can't be in time any more is lost, whatever is fetched.
-            late = [(n, worth) for n, worth in held.waiting if done > self._at[n] + self._terms[n][2]]
+            demand = self._demand[key]
+            # Reads past their target time are lost, whichever key is fetched.
+            late = [
+                (n, worth) for n, worth in demand.waiting if completed_at > self._at[n] + self._terms[n][2]
+            ]
             if late:
-                held.left -= sum(worth for _, worth in late)
-                held.waiting = [waiting for waiting in held.waiting if waiting not in late]
+                demand.remaining -= sum(worth for _, worth in late)
+                demand.waiting = [waiting for waiting in demand.waiting if waiting not in late]
                 self.in_time.update((n, False) for n, _ in late)
-            if not held.waiting and not held.operations:
+            if not demand.waiting and not demand.reads:
                 del self._missed[key]
-            elif held.left > most:
-                best, most = key, held.left
+            elif demand.remaining > most_worth:
+                best, most_worth = key, demand.remaining
         return best
 
-    def _fetched(self, key: str, now: float) -> None:
-        held = self._wanted[key]
-        for number, worth in held.waiting:
-            held.left -= worth
+    def _store_copy(self, key: str, now: float) -> None:
+        demand = self._demand[key]
+        for number, worth in demand.waiting:
+            demand.remaining -= worth
             self.in_time[number] = now <= self._at[number] + self._terms[number][2]
-        held.waiting = []
+        demand.waiting = []
         self._missed.pop(key, None)
         self._cache[key] = None
         if len(self._cache) > self._facts.memory:
             del self._cache[max(self._cache, key=self._next_use)]
 
     def _next_use(self, key: str) -> float:
-        held = self._wanted.get(key)
-        return held.operations[0][0] if held is not None and held.operations else NEVER
+        demand = self._demand.get(key)
+        return demand.reads[0][0] if demand is not None and demand.reads else NEVER
 
 
 def clairvoyant_bound(plan: Plan) -> ClairvoyantCache:
-    """The bound of a plan, played; what goes void is drawn anew, in the same shares."""
+    """Compute the bound of a plan; the copies that invalidations drop are drawn anew, in the same shares."""
     classes = {cls.name: cls for cls in plan.scenario.classes}
-    over = plan.scenario.traffic.over_share_worth
+    over_share_worth = plan.scenario.traffic.over_share_worth
 
     def terms(operation: Operation) -> tuple[bool, float, float]:
         cls = classes[operation.request_class]
-        return cls.write, cls.worth * (over if operation.over else 1.0), cls.aim_ms / 1000
+        return cls.write, cls.worth * (over_share_worth if operation.over else 1.0), cls.aim_ms / 1000
 
-    played = ClairvoyantCache(
-        bound_facts(plan), plan.operations, terms, Streams(plan.seed).of("bound").random
-    )
-    played.play()
-    return played
+    bound = ClairvoyantCache(bound_facts(plan), plan.operations, terms, Streams(plan.seed).of("bound").random)
+    bound.run()
+    return bound
--- a/pebblepass/simulation/deadlines.py
+++ b/pebblepass/simulation/deadlines.py
@@ -1,4 +1,4 @@
-"""Deadline propagation held against what clients have left: the check and the count; no I/O."""
+"""Timeouts that attempts advertise, compared with the time that their clients have left; no I/O."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 @dataclass(slots=True)
 class DeadlineCount:
-    """Attempts, and those that advertised more time than their client had left."""
+    """Counts of attempts, and of those that advertised more time than their client had left."""
 
     attempts: int = 0
     further: int = 0
-    """Attempts that were not the first at their request."""
+    """Attempts that were not the first for their request."""
     above: int = 0
-    """Attempts that advertised more than was left, by more than the clock's slack."""
+    """Attempts that advertised more than was left, by more than the slack of the clock."""
     unreadable: int = 0
-    """Attempts without a timeout that can be read."""
+    """Attempts without a readable timeout."""
     largest_excess_us: int = 0
-    """By how much at most more was advertised than was left, within the slack or beyond it."""
+    """The largest excess of an advertised timeout over the time left, within the slack or beyond it."""
 
-    def take(self, excess_us: int | None, is_further: bool, is_above: bool) -> None:
-        """Count an attempt; an excess of None: its timeout can't be read."""
+    def add_attempt(self, excess_us: int | None, is_further: bool, is_above: bool) -> None:
+        """Count an attempt; `excess_us`: None where its timeout can't be read."""
         self.attempts += 1
         self.unreadable += excess_us is None
         self.further += is_further
@@ -33,7 +33,7 @@
         self.largest_excess_us = max(self.largest_excess_us, excess_us or 0)
 
     def report(self) -> dict[str, Any]:
-        """The figures of a report."""
+        """Return the counts under the keys of the report."""
         return {
             "attempts": self.attempts,
             "further_attempts": self.further,
@@ -44,9 +44,10 @@
 
 
 def excess_us(advertised: AdvertisedTimeout, client_deadline: float) -> int | None:
-    """Microseconds advertised beyond what the client had left at the attempt's first byte; below 0: fewer.
+    """Return the advertised timeout minus the time left at the attempt's first byte, in microseconds.
 
-    None: no timeout can be read. Whole microseconds: both ends round times of their own to nanoseconds.
+    Negative where less was advertised than was left; None where no timeout can be read. Rounded to
+    microseconds, because both ends round their times to nanoseconds.
     """
     if advertised.timeout_ms is None:
         return None
--- a/pebblepass/simulation/emulated_services.py
+++ b/pebblepass/simulation/emulated_services.py
@@ -1,4 +1,4 @@
-"""The world of a rehearsal: stand-ins made from a plan, wired to the rule_checker, and what breaks in it."""
+"""The emulated nodes, store and registry agents of a rehearsal, and the faults injected into them."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 from pebblepass.simulation.rule_checker import RuleChecker
 
 KIND, STORE_KIND = "std-1c", "origin"
-FALL_MULTIPLE, FALL_S = 4.0, 2.0
-COLD_SHARE, COLD_S = 0.32, 8.9  # what the settings tell of a cold node's worst case
+FALL_MULTIPLE, FALL_S = 4.0, 2.0  # a cold node fails when sent 4 times what it can serve in 2 s
+COLD_SHARE, COLD_S = 0.32, 8.9  # the worst case of a cold node, as stated in the settings
 DIAL_TIMEOUT_S, IDLE_CLOSE_S = 0.12, 10.0
 STREAMS_PER_CONNECTION = 32
 MAX_OPEN = 5000
@@ -32,7 +32,7 @@
 
 
 def platform_settings(plan: Plan, router: RouterFacts) -> dict[str, Any]:
-    """The settings of a router, in the form in which the platform tells them."""
+    """Return the settings of a router in the format of the platform."""
     scenario = plan.scenario
     rate = scenario.traffic.rate
     return {
@@ -83,7 +83,7 @@
 
 
 class EmulatedServices:
-    """Nodes, store and registry agents, and the fault_events that touch them."""
+    """Runs the emulated nodes, the store and the registry agents, and injects faults into them."""
 
     def __init__(
         self,
@@ -95,14 +95,14 @@
         recorder: Recorder,
     ) -> None:
         self.loop, self.plan, self.rule_checker, self._recorder = loop, plan, rule_checker, recorder
-        self._begun = 0.0
+        self._started_at = 0.0
         self._unix_ns, self._silence = unix_ns, silence
         scenario = plan.scenario
         streams = Streams(plan.seed)
         self.effects = Effects(
             {cls.name: cls.window_s for cls in scenario.classes}, rule_checker.effect_doubled
         )
-        self._missed_at: dict[str, list[MirrorNode]] = {}
+        self._nodes_with_miss: dict[str, list[MirrorNode]] = {}
         self.nodes = {facts.id: self._node(facts, streams) for facts in plan.nodes}
         self._spares = [self._node(facts, streams) for facts in plan.spares]
         store_zone = scenario.fleet.zones[0]
@@ -124,7 +124,7 @@
             silence,
         )
         self.agents: dict[str, RegistryAgent] = {}
-        self._told_rng = streams.of("registry")
+        self._announcement_rng = streams.of("registry")
         self._zones = {facts.id: facts.zone for facts in (*plan.nodes, *plan.spares)}
         self._started_ms: dict[str, int] = {}
 
@@ -166,12 +166,12 @@
             self._recorder.record_read,
         )
 
-    def begin(self) -> None:
-        """Clients begin to ask now."""
-        self._begun = self.loop.time()
+    def start_clock(self) -> None:
+        """Mark the start of the traffic, which the times of fetches refer to."""
+        self._started_at = self.loop.time()
 
     async def start(self) -> None:
-        """Start everything, with the copies that the fleet would hold on a calm day."""
+        """Start all emulators, with the copies that the fleet would hold without disturbances."""
         for node in self.nodes.values():
             await node.start()
         await self.store.start()
@@ -182,16 +182,16 @@
             )
             await agent.start()
             self.agents[router.id] = agent
-        self._fill()
+        self._fill_caches()
 
-    def _fill(self) -> None:
-        """Keep the popular keys where a router's slot table places them, the most popular used last."""
+    def _fill_caches(self) -> None:
+        """Store the popular keys on the nodes that the slot table assigns; the most popular is used last."""
         settings: Settings = read_settings(platform_settings(self.plan, self.plan.routers[0]))
         table = SlotTable(settings)
         table.update([ListedServer(name, kind=KIND) for name in self.nodes], [])
         for key in reversed(self.plan.popular):
-            holder = table.rank(crc32(key.encode()) % SLOTS, 0)[0]
-            self.nodes[holder.entry.id].keep(key)
+            assigned = table.rank(crc32(key.encode()) % SLOTS, 0)[0]
+            self.nodes[assigned.entry.id].keep(key)
 
     def _entry(self, name: str, zone: str, lifecycle: str) -> dict[str, Any]:
         host, port = self.nodes[name].station.address(zone)
@@ -219,109 +219,109 @@
             "startedAtMs": 0,
         }
 
-    # Copies
+    # Cached copies
 
     def _missed(self, request: str, node: MirrorNode) -> None:
-        self._missed_at.setdefault(request, []).append(node)
+        self._nodes_with_miss.setdefault(request, []).append(node)
 
     def _fetched(self, request: str, key: str) -> None:
-        nodes = self._missed_at.pop(request, ())
-        elsewhere = any(key in node.copies for node in self.nodes.values() if node not in nodes)
+        nodes = self._nodes_with_miss.pop(request, ())
+        held_elsewhere = any(key in node.copies for node in self.nodes.values() if node not in nodes)
         for node in nodes:
             node.keep(key)
-        at = self.loop.time() - self._begun
-        self._recorder.record_fetch(at, request, key, [node.setup.id for node in nodes], elsewhere)
+        at = self.loop.time() - self._started_at
+        self._recorder.record_fetch(at, request, key, [node.setup.id for node in nodes], held_elsewhere)
 
     def _written(self, key: str) -> None:
         for node in self.nodes.values():
             node.copies.pop(key, None)
 
-    # What happens
+    # Fault injection
 
     def _announce(self, name: str, lifecycle: str) -> None:
-        """Tell every router of a change, each so much later."""
-        told = self.plan.scenario.fleet.told_s
+        """Send a change to the registry agent of each router, each after a delay drawn for it."""
+        delays = self.plan.scenario.fleet.told_s
         for router in self.plan.routers:
             entry = self._entry(name, router.zone, lifecycle)
-            delay = told.least + (told.most - told.least) * self._told_rng.random()
-            self.loop.call_later(delay, self._tell, router.id, entry)
+            delay = delays.least + (delays.most - delays.least) * self._announcement_rng.random()
+            self.loop.call_later(delay, self._change_entry, router.id, entry)
 
-    def _tell(self, router: str, entry: dict[str, Any]) -> None:
+    def _change_entry(self, router: str, entry: dict[str, Any]) -> None:
         self.agents[router].change(entry)
 
-    def happen(self, event: FaultEvent) -> str:
-        """Let something happen to a node, the store, the registry or the copies; returns a line of it."""
+    def inject(self, event: FaultEvent) -> str:
+        """Inject a fault of a node, the store, the registry or the copies; returns its description."""
         names = list(self.nodes)
         name = self.plan.nodes[event.place % len(self.plan.nodes)].id
         if name not in self.nodes:
             name = names[event.place % len(names)]
-        node, later = self.nodes[name], event.length
+        node, duration = self.nodes[name], event.length
         match event.kind:
             case "invalidation":
-                for each in self.nodes.values():
-                    each.drop_copies(event.share)
-                return f"{event.share:.0%} of the kept copies go void"
+                for cache_node in self.nodes.values():
+                    cache_node.drop_copies(event.share)
+                return f"{event.share:.0%} of the cached copies are invalidated"
             case "store-down":
                 self.store.die()
-                self.loop.call_later(later, self.store.revive)
-                return f"the store is down for {later:g} s"
+                self.loop.call_later(duration, self.store.revive)
+                return f"the store is down for {duration:g} s"
             case "registry-down":
                 for agent in self.agents.values():
                     agent.set_down(True)
-                self.loop.call_later(later, self._registry_back)
-                return f"the registry is down for {later:g} s"
+                self.loop.call_later(duration, self._restore_registry)
+                return f"the registry is down for {duration:g} s"
             case "node-kill":
                 node.die()
                 self._announce(name, "removed")
-                return f"{name} dies"
+                return f"{name} is killed"
             case "node-silent":
                 node.station.set_silent(True)
-                self.loop.call_later(later, node.station.set_silent, False)
-                return f"{name} is cut off for {later:g} s"
+                self.loop.call_later(duration, node.station.set_silent, False)
+                return f"{name} is unreachable for {duration:g} s"
             case "node-drain":
                 node.trouble.draining = True
                 self._announce(name, "draining")
-                self.loop.call_later(DRAIN_S + self.plan.scenario.fleet.told_s.most, self._drained, name)
+                self.loop.call_later(DRAIN_S + self.plan.scenario.fleet.told_s.most, self._end_drain, name)
                 return f"{name} drains"
             case "node-restart":
                 node.die()
-                self.loop.call_later(later, self._restarted, name)
-                return f"{name} dies, to start again {later:g} s later"
+                self.loop.call_later(duration, self._restart, name)
+                return f"{name} is killed and restarts after {duration:g} s"
             case "node-replace":
                 return self._replace(name)
             case "node-slow":
                 node.serving.set_factor(event.factor)
-                self.loop.call_later(later, node.serving.set_factor, 1.0)
-                return f"{name} has {event.factor:.0%} of its speed for {later:g} s"
+                self.loop.call_later(duration, node.serving.set_factor, 1.0)
+                return f"{name} has {event.factor:.0%} of its speed for {duration:g} s"
             case "node-refuse":
                 node.station.refuse()
-                self.loop.call_later(later, node.station.reopen)
-                return f"{name} refuses connections for {later:g} s"
+                self.loop.call_later(duration, node.station.reopen)
+                return f"{name} refuses connections for {duration:g} s"
             case "node-half" | "node-garble" | "node-reset":
-                trouble = event.kind.removeprefix("node-")
-                setattr(node.trouble, trouble, event.share)
-                self.loop.call_later(later, setattr, node.trouble, trouble, 0.0)
-                return f"{name}: {event.share:.0%} of its answers are spoilt ({trouble}) for {later:g} s"
-        raise ValueError(f"nothing known happens as {event.kind}")
+                fault = event.kind.removeprefix("node-")
+                setattr(node.trouble, fault, event.share)
+                self.loop.call_later(duration, setattr, node.trouble, fault, 0.0)
+                return f"{name}: {event.share:.0%} of its answers are corrupted ({fault}) for {duration:g} s"
+        raise ValueError(f"unknown kind of fault: {event.kind}")
 
-    def _registry_back(self) -> None:
+    def _restore_registry(self) -> None:
         for agent in self.agents.values():
             agent.set_down(False)
 
-    def _drained(self, name: str) -> None:
+    def _end_drain(self, name: str) -> None:
         node = self.nodes[name]
         node.station.refuse()
         node.station.break_all()
         self._announce(name, "removed")
 
-    def _restarted(self, name: str) -> None:
+    def _restart(self, name: str) -> None:
         self.rule_checker.server_started(name)
         self._started_ms[name] = self._unix_ns() // 1_000_000
         self.nodes[name].revive()
         self._announce(name, "up")
 
     def _replace(self, name: str) -> str:
-        """Another node, under its own id, comes up at the address of one that dies."""
+        """Kill a node and start another one, with an id of its own, at the same address."""
         old, new = self.nodes[name], self._spares.pop(0)
         old.die()
         self._announce(name, "removed")
@@ -331,4 +331,4 @@
         self.rule_checker.server_started(new.setup.id)
         self.loop.create_task(new.start(cold=True))
         self._announce(new.setup.id, "up")
-        return f"{name} dies, and {new.setup.id} starts at its address"
+        return f"{name} is killed, and {new.setup.id} starts at its address"
--- a/pebblepass/simulation/page.py
+++ b/pebblepass/simulation/page.py
@@ -1,4 +1,4 @@
-"""The report as one self-contained HTML page: tables, and plots over time drawn as SVG. No scripts."""
+"""The report as a self-contained HTML page without scripts: tables, and plots over time as SVG."""
 
 from __future__ import annotations
 
@@ -21,52 +21,57 @@
 """
 
 
-def recovery_rows(told: dict[str, Any]) -> list[tuple[str, str]]:
-    """The figures of a report's recovery, as rows."""
-    used = told["store_used"]
+def recovery_rows(recovery: dict[str, Any]) -> list[tuple[str, str]]:
+    """Return the figures of the report on recovery as rows of a table."""
+    store_used = recovery["store_used"]
     rows = [
         (
-            "store used while reads are refused for the limit",
-            f"{used:.2f} over {told['seconds_short']} s" if used is not None else "no such second",
+            "store utilisation while reads are refused by the limit",
+            f"{store_used:.2f} over {recovery['seconds_short']} s"
+            if store_used is not None
+            else "reads never refused by the limit",
         ),
-        ("fetches wasted", f"{told['fetches_wasted']:.3f}"),
+        ("fetches wasted", f"{recovery['fetches_wasted']:.3f}"),
     ]
-    if "bound_service" in told:
-        back = told["time_to_recover"]
+    if "bound_service" in recovery:
+        time_to_recover = recovery["time_to_recover"]
         rows += [
-            ("seconds to recover", f"{back:g}" if back is not None else "not within the run"),
-            ("service of the calm twin", f"{told['calm_service']:.3f}"),
-            ("service of the clairvoyant bound", f"{told['bound_service']:.3f}"),
-            ("share of the bound", f"{told['share_of_bound']:.3f}"),
+            (
+                "seconds to recover",
+                f"{time_to_recover:g}" if time_to_recover is not None else "not within the run",
+            ),
+            ("service of the calm twin", f"{recovery['calm_service']:.3f}"),
+            ("service of the clairvoyant bound", f"{recovery['bound_service']:.3f}"),
+            ("share of the bound", f"{recovery['share_of_bound']:.3f}"),
         ]
     return rows
 
 
-def deadline_line(told: dict[str, Any]) -> str:
-    """What attempts advertised of their clients' time, in one line."""
+def deadline_line(deadlines: dict[str, Any]) -> str:
+    """Return one line on the timeouts that attempts advertised."""
     return (
-        f"attempts: {told['attempts']}, of which {told['further_attempts']} further ones; "
-        f"advertised more than was left: {told['above_what_was_left']} "
-        f"(by {told['largest_excess_ms']:.3f} ms at most); unreadable: {told['unreadable']}"
+        f"attempts: {deadlines['attempts']}, of which {deadlines['further_attempts']} are further attempts; "
+        f"advertised more than was left: {deadlines['above_what_was_left']} "
+        f"(by {deadlines['largest_excess_ms']:.3f} ms at most); unreadable: {deadlines['unreadable']}"
     )
 
 
 def as_page(report: dict[str, Any]) -> str:
-    """The whole page."""
+    """Return the page."""
     scale, service, series = report["scale"], report["service"], report["series"]
     seconds = series["second"]
-    marks = [(at, what) for at, what in report["events"]]
+    events = [(at, description) for at, description in report["events"]]
     failures = verdict(report)
     parts = [
         f"<h1>{escape(report['scenario'])}</h1>",
         f"<p>Seed {report['seed']}, plan {report['plan']}, {report['clock']} clock; "
         f"{scale['routers']} routers, {scale['nodes']} nodes, {scale['rate']:g} requests a second, "
         f"{scale['length_s']:g} s.</p>",
-        "<p>Every rule held and all adds up.</p>"
+        "<p>Every rule held and all counts agree.</p>"
         if not failures
         else "".join(f'<p class="bad">{escape(line)}</p>' for line in failures),
         _table(
-            ("service", "of what was asked"),
+            ("service", "share of worth"),
             [
                 ("weighted", f"{service['weighted']:.3f}"),
                 ("whole run", f"{service['whole']:.3f}"),
@@ -76,17 +81,17 @@
             ],
         ),
         "<h2>Service by namespace</h2>",
-        _plot(range(len(next(iter(service["by_second"].values())))), service["by_second"], 1.0, marks),
-        "<h2>Fetches from the store, a second</h2>",
-        _plot(seconds, {"fetches": series["fetches"]}, None, marks),
+        _plot(range(len(next(iter(service["by_second"].values())))), service["by_second"], 1.0, events),
+        "<h2>Fetches from the store per second</h2>",
+        _plot(seconds, {"fetches": series["fetches"]}, None, events),
         "<h2>Open requests</h2>",
-        _plot(seconds, {"open": series["open"]}, None, marks),
+        _plot(seconds, {"open": series["open"]}, None, events),
         "<h2>Load of each node</h2>",
         _heat(seconds, series["load"]),
-        *_recovery(report, marks),
-        "<h2>What happened</h2>",
-        _table(("at", "what"), [(f"{at:g} s", what) for at, what in report["events"]]),
-        "<h2>Every try</h2>",
+        *_recovery(report, events),
+        "<h2>Events</h2>",
+        _table(("at", "event"), [(f"{at:g} s", description) for at, description in report["events"]]),
+        "<h2>Requests by outcome</h2>",
         _table(
             ("namespace", "class", "asked", *OUTCOMES),
             [
@@ -99,8 +104,8 @@
         _table(
             ("rule", "held", "breaches"),
             [
-                (rule, "yes" if told["held"] else "no", str(told["breaches"]))
-                for rule, told in report["rules"].items()
+                (rule, "yes" if result["held"] else "no", str(result["breaches"]))
+                for rule, result in report["rules"].items()
             ],
         ),
         f"<p>{escape(deadline_line(report['deadlines']))}</p>",
@@ -109,28 +114,31 @@
     return f"<!doctype html><html lang='en'><head>{head}</head><body>{''.join(parts)}</body></html>\n"
 
 
-def _recovery(report: dict[str, Any], marks: list[tuple[float, str]]) -> list[str]:
-    """Where service went, and when it was back."""
-    told = report["recovery"]
-    seconds = list(range(len(told["held"])))
-    parts = ["<h2>Recovery</h2>", _table(("recovery", ""), recovery_rows(told))]
-    if beside := told.get("service_by_second"):
-        whole = range(len(beside["this"]))
-        parts += ["<h3>Service, of five seconds each</h3>", _plot(whole, beside, 1.0, marks)]
+def _recovery(report: dict[str, Any], events: list[tuple[float, str]]) -> list[str]:
+    """Return the section on recovery."""
+    recovery = report["recovery"]
+    seconds = list(range(len(recovery["held"])))
+    parts = ["<h2>Recovery</h2>", _table(("recovery", ""), recovery_rows(recovery))]
+    if service_by_second := recovery.get("service_by_second"):
+        all_seconds = range(len(service_by_second["this"]))
+        parts += [
+            "<h3>Service, averaged over five seconds</h3>",
+            _plot(all_seconds, service_by_second, 1.0, events),
+        ]
     plots: list[tuple[str, dict[str, list[float | None]], float | None]] = [
-        ("Refused a second, by reason", told["refused"], None),
-        ("Copies held of the working set", {"held": told["held"]}, 1.0),
-        ("Fetches a second, by what they were good for", told["fetches"], None),
+        ("Refusals per second, by reason", recovery["refused"], None),
+        ("Share of the working set held in copies", {"held": recovery["held"]}, 1.0),
+        ("Fetches per second, by use", recovery["fetches"], None),
         (
-            "What the limits allow a second, and what the store can serve",
-            {"limit": told["limit"], "store": [told["capacity"]] * len(seconds)},
-            2 * told["capacity"],
+            "Fetches per second allowed by the limits, and capacity of the store",
+            {"limit": recovery["limit"], "store": [recovery["capacity"]] * len(seconds)},
+            2 * recovery["capacity"],
         ),
-        ("Tries a second", told["tries"], None),
+        ("Requests per second", recovery["tries"], None),
     ]
     for title, lines, top in plots:
         if lines:
-            parts += [f"<h3>{title}</h3>", _plot(seconds, lines, top, marks)]
+            parts += [f"<h3>{title}</h3>", _plot(seconds, lines, top, events)]
     return parts
 
 
@@ -143,48 +151,50 @@
 def _plot(
     seconds: Sequence[float],
     lines: dict[str, list[float | None]],
-    most: float | None,
-    marks: list[tuple[float, str]],
+    maximum: float | None,
+    events: list[tuple[float, str]],
 ) -> str:
-    """Lines over time; `most` is the top of the scale, else the largest value is."""
-    top = most or max((v for row in lines.values() for v in row if v is not None), default=1) or 1
+    """Return a plot of lines over time; `maximum` is the top of the scale, by default the largest value."""
+    top = maximum or max((v for row in lines.values() for v in row if v is not None), default=1) or 1
     end = max(seconds, default=1) or 1
 
-    def place(second: float, value: float) -> str:
+    def point(second: float, value: float) -> str:
         x = LEFT + second / end * (WIDTH - LEFT - 8)
         return f"{x:.1f},{HEIGHT - BOTTOM - value / top * (HEIGHT - BOTTOM - 10):.1f}"
 
-    drawn = [
+    elements = [
         f'<line x1="{LEFT}" x2="{WIDTH}" y1="{HEIGHT - BOTTOM}" y2="{HEIGHT - BOTTOM}" stroke="#9aa4ad"/>',
         f'<text x="4" y="16">{top:g}</text><text x="4" y="{HEIGHT - BOTTOM}">0</text>',
         f'<text x="{WIDTH - 40}" y="{HEIGHT - 6}">{end:g} s</text>',
     ]
-    for at, what in marks:
-        x = place(at, 0).split(",")[0]
-        drawn.append(
+    for at, description in events:
+        x = point(at, 0).split(",")[0]
+        elements.append(
             f'<line x1="{x}" x2="{x}" y1="8" y2="{HEIGHT - BOTTOM}" stroke="#c8ced4" stroke-dasharray="3 3">'
-            f"<title>{escape(what)}</title></line>"
+            f"<title>{escape(description)}</title></line>"
         )
     for number, (name, row) in enumerate(lines.items()):
         colour = COLOURS[number % len(COLOURS)]
-        points = " ".join(place(s, v) for s, v in zip(seconds, row, strict=False) if v is not None)
-        drawn.append(f'<polyline points="{points}" fill="none" stroke="{colour}" stroke-width="1.6"/>')
+        points = " ".join(point(s, v) for s, v in zip(seconds, row, strict=False) if v is not None)
+        elements.append(f'<polyline points="{points}" fill="none" stroke="{colour}" stroke-width="1.6"/>')
         left = LEFT + 8 + 110 * number
-        drawn.append(f'<text x="{left}" y="{HEIGHT - 6}" style="fill:{colour}">{escape(name)}</text>')
-    return f'<svg viewBox="0 0 {WIDTH} {HEIGHT}" width="100%" role="img">{"".join(drawn)}</svg>'
+        elements.append(f'<text x="{left}" y="{HEIGHT - 6}" style="fill:{colour}">{escape(name)}</text>')
+    return f'<svg viewBox="0 0 {WIDTH} {HEIGHT}" width="100%" role="img">{"".join(elements)}</svg>'
 
 
 def _heat(seconds: Sequence[float], load: dict[str, list[float]]) -> str:
-    """A row a node, a cell a second; the darker, the busier."""
-    tall = 13
-    wide = (WIDTH - LEFT - 8) / max(len(seconds), 1)
-    drawn = []
+    """Return a heat map of the nodes' load: a row for each node, a cell for each second."""
+    height = 13
+    width = (WIDTH - LEFT - 8) / max(len(seconds), 1)
+    elements = []
     for line, (name, row) in enumerate(load.items()):
-        y = line * tall
-        drawn.append(f'<text x="0" y="{y + 10}">{escape(name)}</text>')
-        for place, value in enumerate(row):
+        y = line * height
+        elements.append(f'<text x="0" y="{y + 10}">{escape(name)}</text>')
+        for second, value in enumerate(row):
             if value > 0.005:
-                box = f'x="{LEFT + place * wide:.1f}" y="{y}" width="{wide:.1f}" height="{tall - 1}"'
-                told = f"<title>{escape(name)}: {value:.0%}</title>"
-                drawn.append(f'<rect {box} fill="#1f5fa8" fill-opacity="{value:.2f}">{told}</rect>')
-    return f'<svg viewBox="0 0 {WIDTH} {len(load) * tall}" width="100%" role="img">{"".join(drawn)}</svg>'
+                box = f'x="{LEFT + second * width:.1f}" y="{y}" width="{width:.1f}" height="{height - 1}"'
+                tooltip = f"<title>{escape(name)}: {value:.0%}</title>"
+                elements.append(f'<rect {box} fill="#1f5fa8" fill-opacity="{value:.2f}">{tooltip}</rect>')
+    return (
+        f'<svg viewBox="0 0 {WIDTH} {len(load) * height}" width="100%" role="img">{"".join(elements)}</svg>'
+    )
--- a/pebblepass/simulation/reconcile.py
+++ b/pebblepass/simulation/reconcile.py
@@ -1,4 +1,4 @@
-"""The routers' own figures held against the kit's count; no I/O."""
+"""Compares the accounts of the routers with the counts of the load generator; no I/O."""
 
 from __future__ import annotations
 
@@ -12,28 +12,32 @@
 
 
 def differences(count: RequestCounts, figures: Mapping[str, list[dict[str, Any]] | None]) -> list[str]:
-    """A line for each router, namespace and class whose figures are not the kit's.
+    """Return a line for each router, namespace and class whose account differs from the counts.
 
-    `figures`: by router, its accounts, one start after another; None where nothing can be known.
+    `figures`: by router, the accounts of each of its starts; None where they are not available.
     """
     found = []
     for router, rows in figures.items():
         if rows is None:
             continue
-        told: dict[tuple[str, str], Counter[str]] = defaultdict(Counter)
+        reported: dict[tuple[str, str], Counter[str]] = defaultdict(Counter)
         for row in rows:
-            told[row["namespace"], row["class"]].update({key: row[key] for key in KEYS})
-        seen = {key[1:]: _expected(tally) for key, tally in count.accounts.items() if key[0] == router}
-        for place in sorted({*told, *seen}):
-            mine, its = seen.get(place, {}), told[place]
-            apart = [f"{key} {mine.get(key, 0)} / {its[key]}" for key in KEYS if mine.get(key, 0) != its[key]]
-            if apart:
-                found.append(f"{router} {place[0]} {place[1]} (kit / router): {', '.join(apart)}")
+            reported[row["namespace"], row["class"]].update({key: row[key] for key in KEYS})
+        expected = {key[1:]: _expected(tally) for key, tally in count.accounts.items() if key[0] == router}
+        for account in sorted({*reported, *expected}):
+            counted, accounted = expected.get(account, {}), reported[account]
+            unequal = [
+                f"{key} {counted.get(key, 0)} / {accounted[key]}"
+                for key in KEYS
+                if counted.get(key, 0) != accounted[key]
+            ]
+            if unequal:
+                found.append(f"{router} {account[0]} {account[1]} (counted / router): {', '.join(unequal)}")
     return found
 
 
 def _expected(tally: Counter[str]) -> dict[str, int]:
-    """What a router should say of these tries; those that it never read are not in its figures."""
+    """Return the account that a router should have of these requests, without those it has never read."""
     return {
         "taken": tally["asked"] - tally["unreached"] - tally["unseen"],
         "served": tally["served"],
--- a/pebblepass/simulation/recovery.py
+++ b/pebblepass/simulation/recovery.py
@@ -1,7 +1,7 @@
-"""Where service goes after a trouble, and when it is back: by reason, by copy, by fetch. No I/O.
+"""Recovery from disturbances and faults: refusals by reason, cached copies and fetches by use. No I/O.
 
-A recorder takes what the rehearsal sees; `against` holds the report against that of the calm twin (the same
-scenario without its disturbances and faults) and against the clairvoyant bound.
+A recorder samples the rehearsal each second. `compare_to_references` compares the report with that of the
+calm twin, which is the same scenario without disturbances and faults, and with the clairvoyant bound.
 """
 
 from __future__ import annotations
@@ -19,69 +19,74 @@
 from pebblepass.simulation.request_counts import RequestCounts
 from pebblepass.simulation.scenario import Scenario
 
-SMOOTH_S = 5  # service of one second is mostly chance
-SHARE = 0.95  # of the calm twin's service, from which on it counts as back
-USES = ("read", "unread", "late", "again")
-"""What a fetch was good for: its copy was read again; it answered its own request alone; not even that, and
-its copy was never read; another node held a copy already."""
+SMOOTHING_S = 5  # window of the moving average; the service of a single second varies too much
+RECOVERED_SHARE = 0.95  # of the calm twin's service, from which on service counts as recovered
+FETCH_USES = ("read", "unread", "late", "again")
+"""The use of a fetch: its copy was read later; it only answered its own request in time; neither of these;
+another node already had a copy."""
 
 
 @dataclass(frozen=True, slots=True)
 class RouterState:
-    """One router's running totals and limits, for the sample of a second."""
+    """The running totals and limits of one router, for the sample of a second."""
 
     refused: Counter[str]
     """Requests refused so far, by reason."""
     limits: dict[str, float]
-    """Fetches a second that each namespace may have now."""
+    """Fetches per second allowed to each namespace."""
 
 
 @dataclass(slots=True)
 class _Fetch:
     second: int
     operations: list[int]
-    again: bool
+    is_duplicate: bool
     copies: list[tuple[str, str]]
     reads: int = 0
 
 
 @dataclass(slots=True)
-class _Seconds:
-    """Differences of a running total, second by second."""
+class _RatePerSecond:
+    """The increases of running totals in each second."""
 
     rows: dict[str, list[int]] = field(default_factory=dict)
-    _before: Counter[str] = field(default_factory=Counter)
+    _previous: Counter[str] = field(default_factory=Counter)
 
-    def take(self, totals: Counter[str], seconds: int) -> None:
+    def add_second(self, totals: Counter[str], seconds: int) -> None:
         for name in totals:
             self.rows.setdefault(name, [0] * seconds)
         for name, row in self.rows.items():
-            # A router that was killed takes its totals with it.
-            row.append(max(totals[name] - self._before[name], 0))
-        self._before = totals
+            # A killed router loses its totals, so a sum may fall.
+            row.append(max(totals[name] - self._previous[name], 0))
+        self._previous = totals
 
 
 class Recorder:
-    """Takes what is asked, read and fetched, and a sample each second."""
+    """Records requests, reads of copies and fetches, and a sample each second."""
 
     def __init__(self, plan: Plan) -> None:
         self._plan = plan
         self._working_set = frozenset(plan.popular)
-        self._operations: dict[str, int] = {}
+        self._operation_of: dict[str, int] = {}
         self._fetches: list[_Fetch] = []
         self._copies: dict[tuple[str, str], _Fetch] = {}
-        self._refused, self._store = _Seconds(), _Seconds()
-        self._tries, self._tried = _Seconds(), Counter[str]({"first": 0, "after a refusal": 0, "other": 0})
+        self._refusal_rates, self._store_rates = _RatePerSecond(), _RatePerSecond()
+        self._request_rates, self._requests_sent = (
+            _RatePerSecond(),
+            Counter[str]({"first": 0, "after a refusal": 0, "other": 0}),
+        )
         self.held: list[float] = []
         self.limits: list[float] = []
 
-    def record_request(self, request: str, operation: Operation, before: str) -> None:
-        """A try goes out; `before`: what the try before it came to, empty for the first."""
-        self._operations[request] = operation.number
-        self._tried["first" if not before else "after a refusal" if before == "refused" else "other"] += 1
+    def record_request(self, request: str, operation: Operation, last_outcome: str) -> None:
+        """Record a request that is sent; `last_outcome`: of the previous request, empty for the first."""
+        self._operation_of[request] = operation.number
+        self._requests_sent[
+            "first" if not last_outcome else "after a refusal" if last_outcome == "refused" else "other"
+        ] += 1
 
     def record_read(self, key: str, node: str) -> None:
-        """A node has answered a read with its copy."""
+        """Record that a node has answered a read from its copy."""
         fetch = self._copies.get((node, key))
         if fetch is not None:
             fetch.reads += 1
@@ -89,9 +94,9 @@
     def record_fetch(
         self, at: float, request: str, key: str, nodes: Iterable[str], held_elsewhere: bool
     ) -> None:
-        """The store has served a fetch, and these nodes keep it; `held_elsewhere`: another one had it."""
+        """Record a fetch that these nodes keep a copy of; `held_elsewhere`: another node already had one."""
         copies = [(node, key) for node in nodes]
-        operation = self._operations.get(request)
+        operation = self._operation_of.get(request)
         fetch = _Fetch(int(at), [operation] if operation is not None else [], held_elsewhere, copies)
         self._fetches.append(fetch)
         self._copies.update(dict.fromkeys(copies, fetch))
@@ -103,79 +108,88 @@
         writes: int,
         routers: Sequence[RouterState],
     ) -> None:
-        """A second ends: the copies of each node, the store's running totals, and each router's state."""
+        """Add the sample of a second: the copies of each node, the store's totals and the routers' states."""
         seconds = len(self.held)
-        held = set[str]().union(*(self._working_set.intersection(kept) for kept in copies))
-        self.held.append(len(held) / max(len(self._working_set), 1))
+        held_keys = set[str]().union(*(self._working_set.intersection(node_copies) for node_copies in copies))
+        self.held.append(len(held_keys) / max(len(self._working_set), 1))
         self.limits.append(fsum(limit for router in routers for limit in router.limits.values()))
         refused = Counter[str]()
         for router in routers:
             refused.update(router.refused)
-        self._refused.take(refused, seconds)
-        self._store.take(Counter({"fetches": fetches, "writes": writes}), seconds)
-        self._tries.take(self._tried.copy(), seconds)
+        self._refusal_rates.add_second(refused, seconds)
+        self._store_rates.add_second(Counter({"fetches": fetches, "writes": writes}), seconds)
+        self._request_rates.add_second(self._requests_sent.copy(), seconds)
 
     def _uses(self, count: RequestCounts) -> dict[str, list[int]]:
-        uses = {use: [0] * len(self.held) for use in USES}
-        aims = {cls.name: cls.aim_ms / 1000 for cls in self._plan.scenario.classes}
+        uses = {use: [0] * len(self.held) for use in FETCH_USES}
+        target_s = {cls.name: cls.aim_ms / 1000 for cls in self._plan.scenario.classes}
         for fetch in self._fetches:
             in_time = any(
                 count.served_after.get(number, float("inf"))
-                <= aims[self._plan.operations[number].request_class]
+                <= target_s[self._plan.operations[number].request_class]
                 for number in fetch.operations
             )
-            use = "again" if fetch.again else "read" if fetch.reads else "unread" if in_time else "late"
+            use = (
+                "again" if fetch.is_duplicate else "read" if fetch.reads else "unread" if in_time else "late"
+            )
             if self.held:
                 uses[use][min(fetch.second + 1, len(self.held) - 1)] += 1
         return uses
 
     def report(self, count: RequestCounts) -> dict[str, Any]:
-        """Everything second by second, and the figures that can be told without a twin."""
+        """Return the part of the report on recovery that needs neither the calm twin nor the bound."""
         store, uses = self._plan.store, self._uses(count)
         capacity = store.slots / store.work
-        served = [sum(row) for row in zip(*self._store.rows.values(), strict=True)]
-        limited = self._refused.rows.get("limit", [0] * len(served))
-        short = [done for done, refused in zip(served, limited, strict=True) if refused]
+        served = [sum(row) for row in zip(*self._store_rates.rows.values(), strict=True)]
+        refused_by_limit = self._refusal_rates.rows.get("limit", [0] * len(served))
+        limited_seconds = [
+            requests for requests, refused in zip(served, refused_by_limit, strict=True) if refused
+        ]
         fetches = sum(map(sum, uses.values()))
         return {
-            "refused": dict(sorted(self._refused.rows.items())),
+            "refused": dict(sorted(self._refusal_rates.rows.items())),
             "held": self.held,
             "limit": self.limits,
             "fetches": uses,
-            "writes": self._store.rows.get("writes", []),
-            "tries": self._tries.rows,
+            "writes": self._store_rates.rows.get("writes", []),
+            "tries": self._request_rates.rows,
             "capacity": capacity,
-            "seconds_short": len(short),
-            "store_used": fsum(short) / (capacity * len(short)) if short else None,
+            "seconds_short": len(limited_seconds),
+            "store_used": fsum(limited_seconds) / (capacity * len(limited_seconds))
+            if limited_seconds
+            else None,
             "fetches_wasted": (sum(uses["late"]) + sum(uses["again"])) / fetches if fetches else 0.0,
         }
 
 
 def without_faults(scenario: Scenario) -> Scenario:
-    """The same scenario with nothing that goes wrong."""
+    """Return the scenario of the calm twin: this one without disturbances and faults."""
     return msgspec.structs.replace(scenario, disturbances=(), faults=())
 
 
 def first_fault_at(plan: Plan) -> float | None:
-    """When the first trouble or fault begins; None: there is none."""
+    """Return the start of the first disturbance or fault, or None."""
     return min([at for at, _ in plan.disturbances] + [h.at for h in plan.fault_events], default=None)
 
 
 def time_to_recover(
-    rows: Sequence[tuple[float, float]], calm_rows: Sequence[tuple[float, float]], trouble_at: float
+    rows: Sequence[tuple[float, float]], calm_rows: Sequence[tuple[float, float]], fault_at: float
 ) -> float | None:
-    """Seconds from a trouble until service stays above SHARE of the calm twin's, both smoothed.
+    """Return the seconds until service stays above RECOVERED_SHARE of the calm twin's, both smoothed.
 
-    Each row is a second's worth asked and earned. None: it does not come back for good.
+    Each row holds the worth of the operations of a second and what they have earned. None where service is
+    below that share at the end.
     """
-    last = min(len(rows), len(calm_rows)) - SMOOTH_S
-    back: float | None = None
-    for second in range(last, int(trouble_at) - 1, -1):
-        here, there = (_service(table[second : second + SMOOTH_S]) for table in (rows, calm_rows))
-        if here < SHARE * there:
+    last_second = min(len(rows), len(calm_rows)) - SMOOTHING_S
+    recovered_after: float | None = None
+    for second in range(last_second, int(fault_at) - 1, -1):
+        service, calm_service = (
+            _service(table[second : second + SMOOTHING_S]) for table in (rows, calm_rows)
+        )
+        if service < RECOVERED_SHARE * calm_service:
             break
-        back = max(second - trouble_at, 0.0)
-    return back
+        recovered_after = max(second - fault_at, 0.0)
+    return recovered_after
 
 
 def _service(rows: Sequence[tuple[float, float]]) -> float:
@@ -184,7 +198,7 @@
 
 
 def bound_rows(plan: Plan, count: RequestCounts, bound: ClairvoyantCache) -> list[tuple[float, float]]:
-    """Each second's worth asked, and earned within the bound."""
+    """Return, for each second, the worth of its operations and what they earn within the bound."""
     seconds = [[0.0, 0.0] for _ in range(count.seconds)]
     for operation in plan.operations:
         worth, _ = count.worth(operation)
@@ -197,24 +211,24 @@
 def compare_to_references(
     report: dict[str, Any], calm_report: dict[str, Any], plan: Plan, bound: ClairvoyantCache
 ) -> dict[str, Any]:
-    """What can be told only beside the calm twin and the bound; it goes into the report's recovery."""
+    """Return the rest of the report on recovery: the comparison with the calm twin and the bound."""
     rows = [(asked, earned) for asked, earned in report["service"]["seconds"]]
     calm_rows = [(asked, earned) for asked, earned in calm_report["service"]["seconds"]]
-    reckoned = bound_rows(plan, RequestCounts(plan), bound)
-    at = first_fault_at(plan)
+    bound_seconds = bound_rows(plan, RequestCounts(plan), bound)
+    fault_at = first_fault_at(plan)
     return {
-        "trouble_at": at,
-        "time_to_recover": time_to_recover(rows, calm_rows, at) if at is not None else 0.0,
+        "trouble_at": fault_at,
+        "time_to_recover": time_to_recover(rows, calm_rows, fault_at) if fault_at is not None else 0.0,
         "calm_service": calm_report["service"]["whole"],
-        "bound_service": _service(reckoned),
-        "share_of_bound": report["service"]["whole"] / max(_service(reckoned), 1e-9),
+        "bound_service": _service(bound_seconds),
+        "share_of_bound": report["service"]["whole"] / max(_service(bound_seconds), 1e-9),
         "service_by_second": {
             "this": _smoothed(rows),
             "calm twin": _smoothed(calm_rows),
-            "clairvoyant": _smoothed(reckoned),
+            "clairvoyant": _smoothed(bound_seconds),
         },
     }
 
 
 def _smoothed(rows: Sequence[tuple[float, float]]) -> list[float]:
-    return [_service(rows[max(0, second - SMOOTH_S + 1) : second + 1]) for second in range(len(rows))]
+    return [_service(rows[max(0, second - SMOOTHING_S + 1) : second + 1]) for second in range(len(rows))]
--- a/pebblepass/simulation/report.py
+++ b/pebblepass/simulation/report.py
@@ -1,4 +1,4 @@
-"""The report of a rehearsal: one object of plain figures, the same for the same run, to the byte."""
+"""The report of a rehearsal as one JSON object; runs of one plan in virtual time give identical bytes."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from pebblepass.simulation.request_counts import OUTCOMES, RequestCounts
 from pebblepass.simulation.rule_checker import Rule, RuleChecker
 
-DIGITS = 6
-MOST_BREACHES = 20  # that are told with their words; all are counted
+DECIMALS = 6  # of each figure
+MAX_BREACHES = 20  # described for each rule; all are counted
 
 
 class Series:
-    """Figures second by second, for the plots."""
+    """Figures for each second, for the plots."""
 
     def __init__(self, nodes: list[str]) -> None:
         self.seconds: list[float] = []
@@ -25,12 +25,12 @@
         self.fetches: list[int] = []
         """Reads that the store served in the second."""
         self.load: dict[str, list[float]] = {name: [] for name in nodes}
-        """The share of the second in which each node had something to do."""
+        """The share of the second in which each node was busy."""
         self._fetched = 0
         self._busy: dict[str, float] = {}
 
-    def take(self, second: float, open_requests: int, fetched: int, busy: dict[str, float]) -> None:
-        """Take the running totals at the end of a second."""
+    def add_second(self, second: float, open_requests: int, fetched: int, busy: dict[str, float]) -> None:
+        """Add the figures of a second, from the running totals at its end."""
         self.seconds.append(second)
         self.open.append(open_requests)
         self.fetches.append(fetched - self._fetched)
@@ -49,7 +49,7 @@
     count: RequestCounts,
     rule_checker: RuleChecker,
     series: Series,
-    world: EmulatedServices,
+    services: EmulatedServices,
     recovery: dict[str, Any],
     clock: str,
     events: list[tuple[float, str]],
@@ -58,7 +58,7 @@
     crashes: list[str],
     interrupted: bool,
 ) -> dict[str, Any]:
-    """Put the report together."""
+    """Return the report under its outward keys, with all figures rounded."""
     fleet = plan.scenario.fleet
     begun = series.seconds[0] if series.seconds else 0.0
     breaches = {
@@ -81,11 +81,11 @@
         "service": count.service(),
         "tries": {
             namespace: {
-                cls: {name: count.tries[namespace, cls][name] for name in ("asked", *OUTCOMES)}
-                for other, cls in count.tries
+                cls: {name: count.requests[namespace, cls][name] for name in ("asked", *OUTCOMES)}
+                for other, cls in count.requests
                 if other == namespace
             }
-            for namespace, _ in count.tries
+            for namespace, _ in count.requests
         },
         "routers": {
             name: {outcome: tally[outcome] for outcome in ("asked", *OUTCOMES)}
@@ -93,13 +93,13 @@
         },
         "attempts": dict(sorted(rule_checker.attempts.items())),
         "deadlines": rule_checker.deadlines.report(),
-        "store": {"fetches": world.store.fetches, "writes": world.store.writes},
-        "effects": {"applied": world.effects.applied, "repeats_dropped": world.effects.dropped},
+        "store": {"fetches": services.store.fetches, "writes": services.store.writes},
+        "effects": {"applied": services.effects.applied, "repeats_dropped": services.effects.dropped},
         "rules": {
             rule: {
                 "held": not found,
                 "breaches": len(found),
-                "first": [f"{breach.what}" for breach in found[:MOST_BREACHES]],
+                "first": [f"{breach.description}" for breach in found[:MAX_BREACHES]],
             }
             for rule, found in breaches.items()
         },
@@ -112,7 +112,7 @@
         "recovery": recovery,
         "crashes": crashes,
         "fallen": rule_checker.pushed,
-        "events": [[at, what] for at, what in events],
+        "events": [[at, description] for at, description in events],
         "series": {
             "second": [round(second - begun) for second in series.seconds],
             "open": series.open,
@@ -126,25 +126,25 @@
 
 def _rounded(value: Any) -> Any:
     if isinstance(value, float):
-        return round(value, DIGITS)
+        return round(value, DECIMALS)
     if isinstance(value, dict):
-        return {key: _rounded(held) for key, held in value.items()}
+        return {key: _rounded(item) for key, item in value.items()}
     if isinstance(value, list | tuple):
-        return [_rounded(held) for held in value]
+        return [_rounded(item) for item in value]
     return value
 
 
 def as_json(report: dict[str, Any]) -> bytes:
-    """The report as a file."""
+    """Return the report as the bytes of a JSON file."""
     return msgspec.json.format(msgspec.json.encode(report, order="sorted")) + b"\n"
 
 
 def verdict(report: dict[str, Any]) -> list[str]:
-    """Why the rehearsal has failed, a line each; empty where every rule held and all adds up."""
+    """Return a line for each reason why the rehearsal has failed; empty where it has passed."""
     lines = [
-        f"rule broken: {rule} ({told['breaches']}): {told['first'][0]}"
-        for rule, told in report["rules"].items()
-        if not told["held"]
+        f"rule broken: {rule} ({result['breaches']}): {result['first'][0]}"
+        for rule, result in report["rules"].items()
+        if not result["held"]
     ]
     lines += [f"does not add up: {line}" for line in report["balance"]]
     lines += [f"figures differ: {line}" for line in report["figures"]["differences"]]
@@ -152,7 +152,7 @@
 
 
 def compare(real: dict[str, Any], virtual: dict[str, Any]) -> dict[str, tuple[float, float]]:
-    """What differs between two playings of one plan: each such figure, real before virtual."""
+    """Return the figures that differ between two runs of one plan, each as (real time, virtual time)."""
     both = {name: (value, virtual["service"][name]) for name, value in real["service"].items()}
     figures = {f"service {name}": pair for name, pair in both.items() if isinstance(pair[0], int | float)}
     for kind in ("classes", "namespaces"):
--- a/pebblepass/simulation/routers.py
+++ b/pebblepass/simulation/routers.py
@@ -1,4 +1,4 @@
-"""Routers under rehearsal: the daemon's own code, in this process or as the deploy file starts it."""
+"""Routers in a rehearsal: the daemon in this process, or a process started as the deploy file says."""
 
 from __future__ import annotations
 
@@ -26,47 +26,44 @@
 from pebblepass.simulation.recovery import RouterState
 from pebblepass.wire.address import Address
 
-WATCH_S = 0.25
-LEDGER_MB = 48  # a memory limit under which a process is rehearsed without its ledger
-END_S = 10.0  # in which a process with nothing open must end in good order
+MEMORY_CHECK_S = 0.25
+LEDGER_MIN_MB = 48  # below this memory limit a process runs without its ledger
+SHUTDOWN_S = 10.0  # within which a process without open requests must shut down
 
 
 class RouterPort(Protocol):
-    """What a rehearsal does with a router."""
+    """The operations of a rehearsal on a router."""
 
     peak_kb: int
-    """The most memory seen; 0 where it has no process of its own."""
+    """Peak memory in KiB; 0 where the router has no process of its own."""
 
     async def figures(self) -> list[dict[str, Any]] | None:
-        """End it in good order, and return what its ledgers say, one after another.
+        """Shut down and return the rows of the router's ledgers; None where they are lost, as by a kill."""
 
-        None where nothing can be known, as after a kill.
-        """
-
-    async def start(self, told: dict[str, Any]) -> None:
-        """Start it with this configuration."""
+    async def start(self, config_values: dict[str, Any]) -> None:
+        """Start the router with this configuration."""
 
     async def terminate(self) -> None:
-        """End it in good order, as SIGTERM does; returns when it has ended."""
+        """Shut the router down as SIGTERM does; returns when it has ended."""
 
     async def kill(self) -> None:
-        """End it at once."""
+        """End the router at once."""
 
     def reload(self, discovery: Address) -> None:
-        """Give it a new configuration that names another address of the registry."""
+        """Change the address of the registry in the router's configuration."""
 
     def stall(self, seconds: float) -> None:
-        """Let it do nothing for so long, as where the machine gives its core to others."""
+        """Suspend the router, as when the machine gives its core to other processes."""
 
     def state(self) -> RouterState | None:
-        """Its refusals so far and its limits now; None where it can't be looked into."""
+        """Return the router's refusals so far and its current limits; None where they are not accessible."""
 
     def crash(self) -> str:
-        """Why it has ended by itself; empty while it has not."""
+        """Return why the router has failed; empty while it has not."""
 
 
 class InProcessRouter:
-    """The daemon on the rehearsal's own loop."""
+    """A daemon on the event loop of the rehearsal."""
 
     peak_kb = 0
 
@@ -75,119 +72,120 @@
         loop: asyncio.AbstractEventLoop,
         unix_ns: Callable[[], int],
         make: Callable[..., Daemon] = Daemon,
-        many: bool = False,
+        multi_get: bool = False,
     ) -> None:
-        """`many`: whether it takes reads of many keys."""
-        self._loop, self._unix_ns, self._make, self._many = loop, unix_ns, make, many
+        """`multi_get`: whether the router accepts multi-key reads."""
+        self._loop, self._unix_ns, self._make, self._multi_get = loop, unix_ns, make, multi_get
         self._daemon: Daemon | None = None
-        self._figures: list[AccountingService] = []  # one for each start
+        self._services: list[AccountingService] = []  # one for each start
         self._killed = False
 
-    async def start(self, told: dict[str, Any]) -> None:
-        """Start it."""
-        config = read_config(told, {})
+    async def start(self, config_values: dict[str, Any]) -> None:
+        """Start a daemon with a ledger of its own."""
+        config = read_config(config_values, {})
         self._daemon = self._make(self._loop, config, self._unix_ns)
-        if self._many:
+        if self._multi_get:
             self._daemon.read_many(MultiGetSection())
-        host, starts = self._daemon.host, len(self._figures)
-        figures = AccountingService(
+        host, starts = self._daemon.host, len(self._services)
+        service = AccountingService(
             self._loop, AccountingSection(), config.name, config.settings, self._unix_ns, f"start {starts}"
         )
-        self._figures.append(figures)
-        host.ledger = figures.ledger
-        await figures.start(host.now, host.open_requests)
+        self._services.append(service)
+        host.ledger = service.ledger
+        await service.start(host.now, host.open_requests)
         await self._daemon.start()
 
     async def terminate(self) -> None:
-        """Drain it, and stop it."""
+        """Drain the daemon and stop it."""
         if self._daemon is not None:
             await self._daemon.drain()
             self._stop(self._daemon)
 
     async def kill(self) -> None:
-        """Stop it; what it knew is gone with it."""
+        """Stop the daemon without draining; its state is lost."""
         if self._daemon is not None:
             self._killed = True
             self._stop(self._daemon)
 
     def _stop(self, daemon: Daemon) -> None:
         daemon.stop()
-        self._figures[-1].stop(closing=True)
+        self._services[-1].stop(closing=True)
         self._daemon = None
 
     async def figures(self) -> list[dict[str, Any]] | None:
-        """All its ledgers; None once it was killed. It runs on: its open entries are told as such."""
+        """Return the rows of the ledgers of all starts, open entries included; None after a kill."""
         if self._killed:
             return None
-        return [row for figures in self._figures for row in figures.ledger.export_rows()]
+        return [row for service in self._services for row in service.ledger.export_rows()]
 
     def reload(self, discovery: Address) -> None:
-        """Move its watch, as the reload of a file does."""
+        """Move the daemon's watch to the new address, as a reload of its configuration does."""
         if self._daemon is not None:
             self._daemon.move_discovery(discovery)
 
     def stall(self, seconds: float) -> None:
-        """Hold up the loop; it is the stand-ins' too, so that their answers stand unread as well."""
+        """Block the event loop, which the emulators share: answers stay unread meanwhile."""
         if isinstance(self._loop, VirtualLoop):
             self._loop.stall(seconds)
 
     def state(self) -> RouterState | None:
-        """Over all its starts; the limits of one that is down are none."""
+        """Return the refusals of all starts, and the limits; a daemon that is down has none."""
         refused = Counter[str]()
-        for figures in self._figures:
-            for account in figures.ledger.accounts.values():
+        for service in self._services:
+            for account in service.ledger.accounts.values():
                 refused.update(account.refused)
         return RouterState(refused, self._daemon.host.limits() if self._daemon is not None else {})
 
     def crash(self) -> str:
-        """A breach of its ledger; any other fault in this process is an exception that is logged."""
-        breaches = [breach for figures in self._figures for breach in figures.ledger.breaches]
+        """Return the first breach of a ledger; other faults in this process are logged exceptions."""
+        breaches = [breach for service in self._services for breach in service.ledger.breaches]
         return f"breach: {breaches[0].kind.value}: {breaches[0].request}" if breaches else ""
 
 
 class ProcessRouter:
-    """A process started by the deploy file's `run`, held to its limits."""
+    """A process started by the deploy file's `run`, with its limits enforced."""
 
-    def __init__(self, folder: Path, deploy: Path, many: bool = False) -> None:
-        """`folder` is this router's own; `deploy` the deploy file; `many`: it takes reads of many keys."""
-        self._folder, self._root, self._many = folder, deploy.resolve().parent.parent, many
+    def __init__(self, folder: Path, deploy: Path, multi_get: bool = False) -> None:
+        """`folder`: for this router's files; `multi_get`: whether the router accepts multi-key reads."""
+        self._folder, self._root, self._multi_get = folder, deploy.resolve().parent.parent, multi_get
         self._command = str(tomllib.loads(deploy.read_text())["run"])
         self._process: subprocess.Popen[bytes] | None = None
-        self._watch: asyncio.Task[None] | None = None
-        self._told: dict[str, Any] = {}
-        self._crash = ""
-        self._killed = self._ledger = False
+        self._memory_task: asyncio.Task[None] | None = None
+        self._config_values: dict[str, Any] = {}
+        self._failure = ""
+        self._killed = self._has_ledger = False
         self.peak_kb = 0
 
     async def figures(self) -> list[dict[str, Any]] | None:
-        """The closing balance, which stands for all its starts."""
-        if self._killed or self._crash or not self._ledger:
+        """Return the rows of the closing snapshot, which covers all starts."""
+        if self._killed or self._failure or not self._has_ledger:
             return None
         try:
-            async with asyncio.timeout(END_S):
+            async with asyncio.timeout(SHUTDOWN_S):
                 await self._end(signal.SIGTERM)
-            found = snapshot.decode(
-                (self._folder / f"{self._told['name']}.figures.json").read_bytes(), self._told["name"]
+            closing_snapshot = snapshot.decode(
+                (self._folder / f"{self._config_values['name']}.figures.json").read_bytes(),
+                self._config_values["name"],
             )
         except (OSError, TimeoutError, snapshot.SnapshotError) as error:
-            self._crash = f"left no closing balance: {str(error) or type(error).__name__}"
+            self._failure = f"wrote no closing snapshot: {str(error) or type(error).__name__}"
             return None
-        if found.breaches:
-            self._crash = f"{found.breaches} breaches of its ledger"
-        elif not found.closing:
-            self._crash = "left a balance that does not close"
-        return [msgspec.to_builtins(row) for row in found.figures]
-
-    async def start(self, told: dict[str, Any]) -> None:
-        """Start the process."""
-        self._told = told
-        self._write()
-        sockets, memory_kb = told["limits"]["sockets"], told["limits"]["memory_mb"] << 10
+        if closing_snapshot.breaches:
+            self._failure = f"{closing_snapshot.breaches} breaches of its ledger"
+        elif not closing_snapshot.closing:
+            self._failure = "the last snapshot is not a closing one"
+        return [msgspec.to_builtins(row) for row in closing_snapshot.figures]
+
+    async def start(self, config_values: dict[str, Any]) -> None:
+        """Write the configuration and start the process."""
+        self._config_values = config_values
+        self._write_config()
+        sockets, memory_kb = config_values["limits"]["sockets"], config_values["limits"]["memory_mb"] << 10
         environ = {k: v for k, v in os.environ.items() if not k.startswith(("LB_", "PEBBLEPASS_"))}
-        # Guards what is rehearsed: under a tight limit the ledger's few megabytes would decide.
-        self._ledger = told["limits"]["memory_mb"] >= LEDGER_MB
-        sections = f"[figures]\ndirectory = {json.dumps(str(self._folder))}\n" if self._ledger else ""
-        sections += "[many_keys]\n" if self._many else ""
+        # Under a tight memory limit the few megabytes of the ledger would decide the result.
+        self._has_ledger = config_values["limits"]["memory_mb"] >= LEDGER_MIN_MB
+        sections = f"[figures]\ndirectory = {json.dumps(str(self._folder))}\n" if self._has_ledger else ""
+        sections += "[many_keys]\n" if self._multi_get else ""
         if sections:
             operator = self._folder / "operator.toml"
             operator.write_text(sections)
@@ -196,76 +194,78 @@
             self._process = subprocess.Popen(
                 ["/bin/sh", "-c", self._command],
                 cwd=self._root,
-                env={**environ, "LB_CONFIG": str(self._config)},
+                env={**environ, "LB_CONFIG": str(self._config_path)},
                 stdout=log,
                 stderr=log,
                 start_new_session=True,
                 preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets)),
             )
-        self._watch = asyncio.get_running_loop().create_task(self._hold(self._process, memory_kb))
+        self._memory_task = asyncio.get_running_loop().create_task(
+            self._enforce_memory_limit(self._process, memory_kb)
+        )
 
     @property
-    def _config(self) -> Path:
+    def _config_path(self) -> Path:
         return self._folder / "config.json"
 
-    def _write(self) -> None:
-        fresh = self._folder / "config.json.new"
-        fresh.write_text(json.dumps(self._told))
-        fresh.replace(self._config)
+    def _write_config(self) -> None:
+        new_file = self._folder / "config.json.new"
+        new_file.write_text(json.dumps(self._config_values))
+        new_file.replace(self._config_path)
 
-    async def _hold(self, process: subprocess.Popen[bytes], memory_kb: int) -> None:
-        """Watch the process: over its memory it is killed, as on the platform."""
+    async def _enforce_memory_limit(self, process: subprocess.Popen[bytes], memory_kb: int) -> None:
+        """Check the memory of the process, and kill it above its limit, as the platform does."""
         while process.poll() is None:
             with suppress(OSError, IndexError, ValueError):
                 status = Path(f"/proc/{process.pid}/status").read_text()
-                used = int(status.split("VmRSS:")[1].split()[0])
-                self.peak_kb = max(self.peak_kb, used)
-                if used > memory_kb:
-                    self._crash = f"used {used >> 10} MB of {memory_kb >> 10}"
+                used_kb = int(status.split("VmRSS:")[1].split()[0])
+                self.peak_kb = max(self.peak_kb, used_kb)
+                if used_kb > memory_kb:
+                    self._failure = f"used {used_kb >> 10} MB of {memory_kb >> 10}"
                     process.kill()
-            await asyncio.sleep(WATCH_S)
-        self._crash = self._crash or f"ended by itself with {process.returncode}: {self._last_line()}"
+            await asyncio.sleep(MEMORY_CHECK_S)
+        self._failure = self._failure or f"ended unexpectedly with {process.returncode}: {self._last_line()}"
 
     def _last_line(self) -> str:
         lines = (self._folder / "log").read_text(errors="replace").splitlines()
-        return lines[-1] if lines else "it logged nothing"
+        return lines[-1] if lines else "no log line"
 
-    async def _end(self, how: signal.Signals) -> None:
+    async def _end(self, stop_signal: signal.Signals) -> None:
         process, self._process = self._process, None
-        if self._watch is not None:
-            self._watch.cancel()
+        if self._memory_task is not None:
+            self._memory_task.cancel()
         if process is None or process.poll() is not None:
             return
-        process.send_signal(how)
+        process.send_signal(stop_signal)
         while process.poll() is None:
             await asyncio.sleep(0.005)
 
     async def terminate(self) -> None:
-        """SIGTERM, and wait."""
+        """Send SIGTERM and wait."""
         await self._end(signal.SIGTERM)
 
     async def kill(self) -> None:
-        """SIGKILL."""
+        """Send SIGKILL and wait."""
         self._killed = True
         await self._end(signal.SIGKILL)
 
     def reload(self, discovery: Address) -> None:
-        """Replace its file and send SIGHUP."""
-        self._told = {**self._told, "discovery": f"{discovery[0]}:{discovery[1]}"}
-        self._write()
+        """Replace the configuration file and send SIGHUP."""
+        self._config_values = {**self._config_values, "discovery": f"{discovery[0]}:{discovery[1]}"}
+        self._write_config()
         if self._process is not None:
             self._process.send_signal(signal.SIGHUP)
 
     def stall(self, seconds: float) -> None:
-        """SIGSTOP, and SIGCONT after so long."""
+        """Send SIGSTOP, and SIGCONT after this time."""
         if self._process is not None:
             self._process.send_signal(signal.SIGSTOP)
             asyncio.get_running_loop().call_later(seconds, self._process.send_signal, signal.SIGCONT)
 
     def state(self) -> RouterState | None:
-        """A process tells its balance at its end only."""
+        """Return None: a process writes its figures only when it ends."""
         return None
 
     def crash(self) -> str:
-        """Why it has ended by itself."""
-        return self._crash
+        """Return why the process has failed; empty while it has not."""
+        return self._failure
--- a/pebblepass/simulation/rule_checker.py
+++ b/pebblepass/simulation/rule_checker.py
@@ -1,7 +1,7 @@
-"""The five rules, checked on the kit's own count; no I/O.
+"""Checks the five rules against what the emulators have seen; no I/O.
 
-It is told what clients, nodes, the store and the registry saw, and holds it against the rules as PROTOCOL
-and BRIEF word them. Times are seconds of whichever clock the rehearsal runs on.
+The load generator, the emulated servers and the emulated registry report events here, independently of the
+routers. The rules are those of the protocol. Times are seconds of the clock that the rehearsal runs on.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 from pebblepass.emulators.effects import Doubled
 from pebblepass.simulation.deadlines import US_PER_MS, US_PER_S, DeadlineCount, excess_us
 
-DRAIN_GRACE_S = 0.5
+DRAIN_GRACE_S = 0.5  # for attempts to a server after its drain or removal was announced
 TIME_SLACK_S = 0.05  # each time limit is 50 ms longer on sockets
-ANSWER_GRACE_S = 0.02
-TOLD_PART = 2 / 3  # of the work that pushed a cold node over, from routers told of its start
+ANSWER_GRACE_S = 0.02  # for an answer after its client's deadline
+INFORMED_SHARE = 2 / 3  # of the work that overloaded a cold node, from routers informed of its start
 
 
 class Rule(Enum):
@@ -32,15 +32,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """A rule that was broken."""
+    """One violation of a rule."""
 
     rule: Rule
     at: float
-    what: str
+    description: str
 
 
 @dataclass(slots=True)
-class _Asked:
+class _RequestState:
     router: str
     deadline: float
     client_deadline: float
@@ -52,13 +52,13 @@
 
 
 class RuleChecker:
-    """A witness that knows the rules."""
+    """Receives the events of a rehearsal and records each breach of a rule."""
 
     def __init__(self, slack: float, transit_slack: float | None = None) -> None:
-        """`slack`: how much later than its cause a thing may be seen on this clock, in seconds.
+        """`slack`: how much later than its cause an event may be observed on this clock, in seconds.
 
-        `transit_slack`: how long bytes may be under way between a router and a stand-in, either way, in
-        seconds; None: as `slack`.
+        `transit_slack`: how long bytes may be in transit between a router and an emulator, either way, in
+        seconds; None: the same as `slack`.
         """
         self._slack = slack
         self._transit_slack = slack if transit_slack is None else transit_slack
@@ -67,139 +67,156 @@
         self.deadlines = DeadlineCount()
         self.pushed: list[str] = []
         self.trace = sha256()
-        """Every attempt and every answer with its time, for comparing runs."""
-        self._asked: dict[str, _Asked] = {}
-        self._told: dict[tuple[str, str], tuple[str, float]] = {}
+        """A digest of every attempt and every answer with its time, to compare runs."""
+        self._requests: dict[str, _RequestState] = {}
+        self._announced: dict[tuple[str, str], tuple[str, float]] = {}
+        """The last state that a router was informed of and since when, by router and server."""
         self._starts_known: set[tuple[str, str]] = set()
 
-    def _break(self, rule: Rule, at: float, what: str) -> None:
-        self.breaches.append(Breach(rule, at, what))
+    def _record_breach(self, rule: Rule, at: float, description: str) -> None:
+        self.breaches.append(Breach(rule, at, description))
 
     # Clients
 
     def record_taken(
         self, request: str, router: str, deadline: float, client_deadline: float | None = None
     ) -> None:
-        """A request is written whole to a connection that the router's machine has accepted.
+        """Record that a request was written in full to a connection that the router's machine has accepted.
 
-        `deadline`: until when its client waits. `client_deadline`: the end of the time that the request
-        states (`d`, counted from its last byte), which is earlier by what the client rounds; None: the same.
+        `deadline`: when its client stops waiting. `client_deadline`: the end of the timeout in the request
+        (`d`, counted from its last byte), earlier by the client's rounding; None: the same as `deadline`.
         """
-        by_request = deadline if client_deadline is None else client_deadline
-        self._asked[request] = _Asked(router, deadline, by_request)
+        request_deadline = deadline if client_deadline is None else client_deadline
+        self._requests[request] = _RequestState(router, deadline, request_deadline)
 
     def record_answer(self, request: str, now: float) -> None:
-        """A request has its final answer."""
-        asked = self._asked[request]
+        """Record the final answer to a request; checks that it is the only one, and in time."""
+        state = self._requests[request]
         self.trace.update(b"%b answered %d\n" % (request.encode(), int(now * 1e6)))
-        if asked.answered_at is not None:
-            self._break(Rule.ANSWERED, now, f"{request}: a second final answer")
+        if state.answered_at is not None:
+            self._record_breach(Rule.ANSWERED, now, f"{request}: a second final answer")
             return
-        asked.answered_at = now
-        if now > asked.deadline + TIME_SLACK_S + ANSWER_GRACE_S + self._slack:
-            self._break(Rule.ANSWERED, now, f"{request}: answered {now - asked.deadline:.3f} s too late")
+        state.answered_at = now
+        if now > state.deadline + TIME_SLACK_S + ANSWER_GRACE_S + self._slack:
+            self._record_breach(
+                Rule.ANSWERED, now, f"{request}: answered {now - state.deadline:.3f} s too late"
+            )
 
     def record_abandoned(self, request: str, now: float) -> None:
-        """Its client has gone away, or its router was killed: nothing is owed."""
-        self._asked[request].answered_at = now
+        """Record that the client has disconnected or the router was killed: no answer is due."""
+        self._requests[request].answered_at = now
 
-    def record_lost(self, request: str, now: float, how: str) -> None:
-        """A request that a running router has taken has no final answer."""
-        self._asked[request].answered_at = now
-        self._break(Rule.ANSWERED, now, f"{request}: {how}")
+    def record_lost(self, request: str, now: float, reason: str) -> None:
+        """Record that a request taken by a running router has no final answer."""
+        self._requests[request].answered_at = now
+        self._record_breach(Rule.ANSWERED, now, f"{request}: {reason}")
 
     def record_unexpected_bytes(self, router: str, now: float) -> None:
-        """A router has sent bytes that no request was open for."""
-        self._break(Rule.ANSWERED, now, f"{router}: an answer that nothing was open for")
+        """Record that a router has sent bytes while no request was open."""
+        self._record_breach(Rule.ANSWERED, now, f"{router}: an answer while no request was open")
 
     def was_sent(self, request: str) -> bool:
         """Whether an attempt at this request has reached a server."""
-        return self._asked[request].sent
+        return self._requests[request].sent
 
     def was_spoilt(self, request: str) -> bool:
-        """Whether a server has spoilt an answer to this request."""
-        return self._asked[request].spoilt
+        """Whether a server has sent a corrupt or incomplete answer to this request."""
+        return self._requests[request].spoilt
 
     # Nodes and the store
 
     def attempt_came(self, request: str, server: str, now: float) -> None:
-        """Hold an attempt against the rules on answers and drains."""
+        """Check an attempt against the rules on answers and drains."""
         self.trace.update(b"%b to %b %d\n" % (request.encode(), server.encode(), int(now * 1e6)))
         self.attempts[server] = self.attempts.get(server, 0) + 1
-        asked = self._asked.get(request)
-        if asked is None:
-            self._break(Rule.ANSWERED, now, f"{request}: sent to {server}, but no client asked it")
+        state = self._requests.get(request)
+        if state is None:
+            self._record_breach(
+                Rule.ANSWERED, now, f"{request}: sent to {server}, but no client has sent this request"
+            )
             return
-        asked.sent = True
-        if asked.answered_at is not None and now > asked.answered_at + self._slack:
-            after = now - asked.answered_at
-            self._break(Rule.ANSWERED, now, f"{request}: sent to {server} {after:.3f} s after its answer")
-        state, told_at = self._told.get((asked.router, server), ("up", now))
-        late = now - told_at - DRAIN_GRACE_S - TIME_SLACK_S - self._slack
-        if state != "up" and late > 0:
-            what = f"{asked.router} sent to {server} {now - told_at:.3f} s after it was told: {state}"
-            self._break(Rule.DRAINED, now, f"{request}: {what}")
+        state.sent = True
+        if state.answered_at is not None and now > state.answered_at + self._slack:
+            after = now - state.answered_at
+            self._record_breach(
+                Rule.ANSWERED, now, f"{request}: sent to {server} {after:.3f} s after its answer"
+            )
+        lifecycle, announced_at = self._announced.get((state.router, server), ("up", now))
+        late = now - announced_at - DRAIN_GRACE_S - TIME_SLACK_S - self._slack
+        if lifecycle != "up" and late > 0:
+            description = (
+                f"{state.router} sent to {server} {now - announced_at:.3f} s after the registry reported it "
+                f"{lifecycle}"
+            )
+            self._record_breach(Rule.DRAINED, now, f"{request}: {description}")
 
     def timeout_advertised(self, advertised: AdvertisedTimeout) -> None:
-        """Hold the timeout that an attempt advertises against what its client has left.
+        """Check the timeout that an attempt advertises against the time its client has left.
 
-        Slack: the time that bytes are under way, and none beside. A router reckons the timeout as it writes
-        the attempt, and a stand-in takes the time of its first byte; the modelled delay begins behind that.
+        The only slack is the time in transit: a router computes the timeout as it writes the attempt, and an
+        emulator takes the time of its first byte, before the modelled network delay begins.
         """
         request, server, at = advertised.request, advertised.server, advertised.first_byte_at
-        asked = self._asked.get(request)
+        state = self._requests.get(request)
         count = self.deadlines
-        if asked is None:
-            count.attempts += 1  # `attempt_came` finds that no client has asked it
+        if state is None:
+            count.attempts += 1  # `attempt_came` reports that no client has sent this request
             return
-        excess = excess_us(advertised, asked.client_deadline)
+        excess = excess_us(advertised, state.client_deadline)
         is_above = excess is not None and excess > round(self._transit_slack * US_PER_S)
-        count.take(excess, is_further=asked.advertised > 0, is_above=is_above)
-        asked.advertised += 1
-        which = f"{request}: attempt {asked.advertised} to {server}"
+        count.add_attempt(excess, is_further=state.advertised > 0, is_above=is_above)
+        state.advertised += 1
+        attempt = f"{request}: attempt {state.advertised} to {server}"
         if excess is None:
-            self._break(Rule.DEADLINE, at, f"{which} advertised no timeout that can be read")
+            self._record_breach(Rule.DEADLINE, at, f"{attempt} advertised no readable timeout")
         elif is_above:
-            left = asked.client_deadline - at
-            told = f"{advertised.timeout_ms} ms with {left * 1000:.3f} ms left"
-            what = f"advertised {told}, {excess / US_PER_MS:.3f} ms too much"
-            self._break(Rule.DEADLINE, at, f"{which} {what}")
+            left = state.client_deadline - at
+            comparison = f"{advertised.timeout_ms} ms with {left * 1000:.3f} ms left"
+            description = f"advertised {comparison}, {excess / US_PER_MS:.3f} ms too much"
+            self._record_breach(Rule.DEADLINE, at, f"{attempt} {description}")
 
     def attempt_ended(self, request: str, server: str, outcome: str, now: float) -> None:
-        """Note which answers were spoilt."""
-        if outcome == "spoilt" and request in self._asked:
-            self._asked[request].spoilt = True
+        """Note the requests that a server has sent a corrupt or incomplete answer to."""
+        if outcome == "spoilt" and request in self._requests:
+            self._requests[request].spoilt = True
 
     def effect_doubled(self, doubled: Doubled) -> None:
-        """An effect has happened twice."""
-        what = f"{doubled.request}: a {doubled.request_class} took effect more than once"
-        self._break(Rule.ONCE, doubled.at, what)
+        """Record that a write took effect more than once."""
+        description = f"{doubled.request}: a {doubled.request_class} took effect more than once"
+        self._record_breach(Rule.ONCE, doubled.at, description)
 
-    # The list
+    # The endpoint list
 
     def was_told(self, router: str, server: str, state: str, now: float) -> None:
-        """A router knows a server's state from now on; being told again changes nothing."""
-        if self._told.get((router, server), ("", 0.0))[0] != state:
-            self._told[router, server] = (state, now)
+        """Record that the registry has informed a router of a server's state; repeats change nothing."""
+        if self._announced.get((router, server), ("", 0.0))[0] != state:
+            self._announced[router, server] = (state, now)
         if state == "up":
             self._starts_known.add((router, server))
 
     def server_started(self, server: str) -> None:
-        """A server has started anew: nobody has been told yet."""
+        """Record that a server has restarted: no router has been informed of this start yet."""
         self._starts_known = {(r, s) for r, s in self._starts_known if s != server}
 
     def router_started(self, router: str) -> None:
-        """A router begins from nothing: what it was told before does not count."""
-        self._told = {key: told for key, told in self._told.items() if key[0] != router}
+        """Record that a router starts without state: what it was informed of before does not count."""
+        self._announced = {key: known for key, known in self._announced.items() if key[0] != router}
         self._starts_known = {key for key in self._starts_known if key[0] != router}
 
     def knows_start(self, request: str, server: str) -> bool:
-        """Whether the router that holds this request was told of the server's last start."""
-        asked = self._asked.get(request)
-        return asked is not None and (asked.router, server) in self._starts_known
+        """Whether the router of this request was informed of the server's last start."""
+        state = self._requests.get(request)
+        return state is not None and (state.router, server) in self._starts_known
 
     def pushed_over(self, server: str, share_told: float, now: float) -> None:
-        """A cold node fell over; the rule is broken where most of the work came from who knew."""
+        """Record the failure of an overloaded cold node.
+
+        The rule is broken where most of the work came from routers that were informed of the node's start.
+        """
         self.pushed.append(server)
-        if share_told >= TOLD_PART:
-            self._break(Rule.COLD, now, f"{server}: pushed over, {share_told:.0%} of it by routers that knew")
+        if share_told >= INFORMED_SHARE:
+            self._record_breach(
+                Rule.COLD,
+                now,
+                f"{server}: overloaded while cold, {share_told:.0%} of the work from routers that knew",
+            )
--- a/pebblepass/simulation/terminal.py
+++ b/pebblepass/simulation/terminal.py
@@ -1,4 +1,4 @@
-"""A rehearsal on a terminal: its progress while it is played, and its report as tables."""
+"""Terminal output of a rehearsal: its progress, and its report as tables."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 from pebblepass.simulation.runner import rehearse, rehearse_in_real_time
 
 REFRESH_S = 0.1
-WIDTH = 120  # where the output goes to a file
+FILE_WIDTH = 120  # of the tables, where the output is not a terminal
 
 
 def play(plan: Plan, deploy: Path | None, recovery: bool = False) -> dict[str, Any]:
-    """Play a plan, in virtual time or, with a deploy file, in real time; shows the progress on a terminal.
+    """Run a plan in virtual time or, with a deploy file, in real time; shows the progress on a terminal.
 
-    `recovery`: its calm twin is played too, in virtual time, and the clairvoyant bound reckoned.
+    `recovery`: also run the calm twin, in virtual time, and compute the clairvoyant bound.
     """
     console = Console(stderr=True)
     with Live(console=console, auto_refresh=False, transient=True) as live:
@@ -35,25 +35,29 @@
         def progress(second: float, series: Series) -> None:
             nonlocal shown_at
             if not console.is_terminal and second < 1:
-                console.print(f"playing {plan.scenario.title}: {len(plan.operations)} asks", soft_wrap=True)
-            now = time.monotonic()  # the terminal's own clock: nothing of the rehearsal depends on it
+                console.print(
+                    f"playing {plan.scenario.title}: {len(plan.operations)} operations", soft_wrap=True
+                )
+            now = time.monotonic()  # real time: limits how often the terminal is refreshed
             if console.is_terminal and now - shown_at >= REFRESH_S:
                 shown_at = now
                 live.update(_progress(plan, second, series), refresh=True)
 
-        def beside(report: dict[str, Any]) -> dict[str, Any]:
+        def add_recovery(report: dict[str, Any]) -> dict[str, Any]:
             if recovery and not report["interrupted"]:
-                twin = rehearse(make_plan(without_faults(plan.scenario), plan.seed), progress)
-                report["recovery"] |= compare_to_references(report, twin, plan, clairvoyant_bound(plan))
+                calm_report = rehearse(make_plan(without_faults(plan.scenario), plan.seed), progress)
+                report["recovery"] |= compare_to_references(
+                    report, calm_report, plan, clairvoyant_bound(plan)
+                )
             return report
 
         if deploy is None:
-            return beside(rehearse(plan, progress))
+            return add_recovery(rehearse(plan, progress))
         with tempfile.TemporaryDirectory(prefix="rehearsal-") as folder:
             report = rehearse_in_real_time(plan, Path(folder), deploy, progress)
         if not report["interrupted"]:
             report["compared"] = compare(report, rehearse(plan, progress))
-        return beside(report)
+        return add_recovery(report)
 
 
 def _progress(plan: Plan, second: float, series: Series) -> Table:
@@ -61,7 +65,7 @@
     busiest = sorted(((row[-1], name) for name, row in series.load.items() if row), reverse=True)[:5]
     table.add_row(plan.scenario.title, f"{second:.0f} of {plan.scenario.length_s:g} s")
     table.add_row("open requests", str(series.open[-1]))
-    table.add_row("origin fetches a second", str(series.fetches[-1]))
+    table.add_row("origin fetches per second", str(series.fetches[-1]))
     table.add_row("busiest nodes", ", ".join(f"{name} {load:.0%}" for load, name in busiest))
     return table
 
@@ -70,7 +74,7 @@
     """Print a report as plain tables."""
     console = Console(highlight=False)
     if not console.is_terminal:
-        console = Console(highlight=False, width=WIDTH)
+        console = Console(highlight=False, width=FILE_WIDTH)
     scale, service = report["scale"], report["service"]
     console.print(
         f"{report['scenario']}: seed {report['seed']}, plan {report['plan']}, {report['clock']} clock, "
@@ -78,23 +82,23 @@
         f"{scale['length_s']:g} s" + (" (interrupted)" if report["interrupted"] else ""),
         soft_wrap=True,
     )
-    for at, what in report["events"]:
-        console.print(f"  {at:6.1f} s  {what}", soft_wrap=True)
-    table = Table("service", "of what was asked", box=None)
+    for at, description in report["events"]:
+        console.print(f"  {at:6.1f} s  {description}", soft_wrap=True)
+    table = Table("service", "share of worth", box=None)
     table.add_row("weighted", f"{service['weighted']:.3f}")
     table.add_row("whole run", f"{service['whole']:.3f}")
     table.add_row(f"worst 10 s (from {service['worst_10_s_from']} s)", f"{service['worst_10_s']:.3f}")
     for name, value in (*service["namespaces"].items(), *service["classes"].items()):
         table.add_row(name, f"{value:.3f}")
     console.print(table)
-    tries = Table("namespace", "class", "asked", *OUTCOMES, box=None)
+    requests = Table("namespace", "class", "asked", *OUTCOMES, box=None)
     for namespace, classes in report["tries"].items():
         for cls, tally in classes.items():
-            tries.add_row(namespace, cls, *(str(tally[name]) for name in ("asked", *OUTCOMES)))
-    console.print(tries)
+            requests.add_row(namespace, cls, *(str(tally[name]) for name in ("asked", *OUTCOMES)))
+    console.print(requests)
     rules = Table("rule", "held", "breaches", box=None)
-    for rule, told in report["rules"].items():
-        rules.add_row(rule, "yes" if told["held"] else "NO", str(told["breaches"]))
+    for rule, result in report["rules"].items():
+        rules.add_row(rule, "yes" if result["held"] else "NO", str(result["breaches"]))
     console.print(rules)
     console.print(
         f"store: {report['store']['fetches']} fetches, {report['store']['writes']} writes; "
@@ -107,8 +111,10 @@
         recovery.add_row(name, value)
     console.print(recovery)
     if routers := report["figures"]["compared"]:
-        differ = len(report["figures"]["differences"])
-        console.print(f"own figures of {', '.join(routers)} against the kit's count: {differ} differ")
+        difference_count = len(report["figures"]["differences"])
+        console.print(
+            f"accounts of {', '.join(routers)} compared with the counted requests: {difference_count} differ"
+        )
     if compared := report.get("compared"):
         table = Table("figure", "real", "virtual", box=None)
         for name, (real, virtual) in compared.items():
--- a/tests/daemon/test_standing_terms.py
+++ b/tests/daemon/test_standing_terms.py
@@ -111,7 +111,7 @@
 
         def attempt_came(self, request: str, server: str, now: float) -> None:
             super().attempt_came(request, server, now)
-            observed.attempts[self._asked[request].router].append(now)
+            observed.attempts[self._requests[request].router].append(now)
 
         def record_answer(self, request: str, now: float) -> None:
             super().record_answer(request, now)
--- a/tests/simulation/test_clairvoyant_bound.py
+++ b/tests/simulation/test_clairvoyant_bound.py
@@ -1,4 +1,4 @@
-"""The clairvoyant bound, against cases worked out by hand."""
+"""The clairvoyant bound, compared with cases computed by hand."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from pebblepass.simulation.plan import Operation, make_plan
 from pebblepass.simulation.scenario import Disturbance, Fault, Range, Scenario, Store, Traffic
 
-FACTS = BoundFacts(memory=2, slots=1, work=1.0, kept=(), voids=(), downs=())
-AIM = 2.5
+FACTS = BoundFacts(memory=2, slots=1, work=1.0, initial_keys=(), invalidations=(), outages=())
+TARGET_S = 2.5
 
 
-def operations(*told: tuple[float, str]) -> tuple[Operation, ...]:
-    """Asks at these times for these keys; a key that begins with `w` is written."""
+def operations(*reads: tuple[float, str]) -> tuple[Operation, ...]:
+    """Return operations at these times for these keys; a key that begins with `w` is written."""
     return tuple(
         Operation(
             number,
@@ -33,15 +33,18 @@
             (0.0,),
             1.0,
         )
-        for number, (at, key) in enumerate(told)
+        for number, (at, key) in enumerate(reads)
     )
 
 
-def played(facts: BoundFacts, *told: tuple[float, str], draw: float = 0.0) -> ClairvoyantCache:
+def run_bound(facts: BoundFacts, *reads: tuple[float, str], draw: float = 0.0) -> ClairvoyantCache:
     bound = ClairvoyantCache(
-        facts, operations(*told), lambda operation: (operation.key.startswith("w"), 1.0, AIM), lambda: draw
+        facts,
+        operations(*reads),
+        lambda operation: (operation.key.startswith("w"), 1.0, TARGET_S),
+        lambda: draw,
     )
-    bound.play()
+    bound.run()
     return bound
 
 
@@ -49,40 +52,47 @@
     return [bound.in_time[number] for number in sorted(bound.in_time)]
 
 
-def test_the_missed_key_for_which_most_is_to_come_is_fetched_first() -> None:
-    # `a` is under way until 1. Then `c`, asked for three times, goes before `b`, which came first: until 2.
-    # The second `c` waits too, the third finds it kept. `b` could be done at 3: too late for one of 0.1.
-    bound = played(FACTS, (0.0, "a"), (0.1, "b"), (0.2, "c"), (1.5, "c"), (2.2, "c"))
+def test_most_valuable_missed_key_is_fetched_first() -> None:
+    # `a` is fetched until 1. `c`, with three reads, is fetched before `b`, which was read earlier: until 2.
+    # The second read of `c` waits too, the third is a hit. `b` would complete at 3, too late for its read.
+    bound = run_bound(FACTS, (0.0, "a"), (0.1, "b"), (0.2, "c"), (1.5, "c"), (2.2, "c"))
     assert served(bound) == [True, False, True, True, True]
-    assert bound.fetches == 2  # nobody asks for `b` again, and it can't be in time
+    assert bound.fetches == 2  # `b` is not read again, and its read can't be served in time
 
 
-def test_the_copy_whose_next_use_lies_furthest_ahead_is_dropped() -> None:
-    # `c` (done at 7) takes the place of `a` (next used at 20), not of `b` (next used at 8).
-    bound = played(FACTS, (0.0, "a"), (1.0, "b"), (6.0, "c"), (8.0, "b"), (9.0, "c"), (20.0, "a"))
+def test_copy_with_furthest_next_use_is_evicted() -> None:
+    # `c` (fetched at 7) evicts `a` (next read at 20), not `b` (next read at 8).
+    bound = run_bound(FACTS, (0.0, "a"), (1.0, "b"), (6.0, "c"), (8.0, "b"), (9.0, "c"), (20.0, "a"))
     assert served(bound) == [True] * 6
     assert bound.fetches == 4
 
 
-def test_a_write_goes_first_and_makes_a_copy_void() -> None:
+def test_write_goes_before_fetches_and_drops_the_copy() -> None:
 
-    bound = played(FACTS, (0.0, "a"), (0.1, "wx"), (0.2, "b"), (0.3, "wx"))
+    bound = run_bound(FACTS, (0.0, "a"), (0.1, "wx"), (0.2, "b"), (0.3, "wx"))
     # `a` until 1, the writes until 2 and 3, `b` until 4: too late.
     assert served(bound) == [True, True, False, False]
     assert (bound.fetches, bound.writes) == (1, 2)
 
 
-def test_copies_go_void_and_a_store_that_is_down_serves_nothing() -> None:
-    facts = BoundFacts(memory=2, slots=1, work=1.0, kept=("a", "b"), voids=((5.0, 0.5),), downs=((5.0, 9.0),))
-    kept = played(facts, (1.0, "a"), (5.5, "a"), (12.0, "a"), draw=0.9)
-    assert served(kept) == [True, True, True]
-    # Void at 5; the fetch begins when the store is back at 9, and is done at 10: late for the second ask.
-    void = played(facts, (1.0, "a"), (5.5, "a"), (9.5, "a"), (12.0, "a"), draw=0.1)
-    assert served(void) == [True, False, True, True]
-    assert void.fetches == 1
+def test_invalidation_drops_copies_and_outage_delays_fetches() -> None:
+    facts = BoundFacts(
+        memory=2,
+        slots=1,
+        work=1.0,
+        initial_keys=("a", "b"),
+        invalidations=((5.0, 0.5),),
+        outages=((5.0, 9.0),),
+    )
+    unaffected = run_bound(facts, (1.0, "a"), (5.5, "a"), (12.0, "a"), draw=0.9)
+    assert served(unaffected) == [True, True, True]
+    # Invalidated at 5; the fetch starts after the outage at 9 and completes at 10, late for the second read.
+    invalidated = run_bound(facts, (1.0, "a"), (5.5, "a"), (9.5, "a"), (12.0, "a"), draw=0.1)
+    assert served(invalidated) == [True, False, True, True]
+    assert invalidated.fetches == 1
 
 
-def test_a_plan_without_troubles_and_with_room_is_served_whole_and_never_better_than_one_with_less() -> None:
+def test_larger_store_serves_nearly_all_and_more_than_a_small_one() -> None:
     small = Scenario(title="t", length_s=20, traffic=Traffic(rate=60), store=Store(capacity=Range(0.5, 0.5)))
     roomy = msgspec.structs.replace(small, store=Store(capacity=Range(4, 4)))
     shares = {}
@@ -94,7 +104,7 @@
     assert shares["small"] < shares["roomy"]
 
 
-def test_the_facts_are_the_plans() -> None:
+def test_facts_are_taken_from_the_plan() -> None:
     disturbances = (
         Disturbance(kind="invalidation", at_s=3, share=Range(0.4, 0.4)),
         Disturbance(kind="burst", at_s=1, for_s=1),
@@ -109,7 +119,7 @@
         3,
     )
     facts = bound_facts(plan)
-    assert facts.voids == ((3.0, 0.4),)
-    assert facts.downs == ((5.0, 7.0),)
+    assert facts.invalidations == ((3.0, 0.4),)
+    assert facts.outages == ((5.0, 7.0),)
     assert facts.memory == sum(node.memory for node in plan.nodes)
     assert (facts.slots, facts.work) == (plan.store.slots, plan.store.work)
--- a/tests/simulation/test_deadlines.py
+++ b/tests/simulation/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadline propagation in whole rehearsals: sound programs pass, and each way to tell too much is caught."""
+"""Deadline propagation in rehearsals: a correct router passes, one that advertises too much fails."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
     traffic=Traffic(rate=60, swing=0),
     disturbances=(INVALIDATION,),
 )
-"""Copies go void, so that most reads miss and are asked of the store in further attempts."""
-LISTS = Scenario(
-    title="lists",
+"""Copies are invalidated, so that most reads miss and go to the store in a further attempt."""
+MULTI_KEY_READS = Scenario(
+    title="multi-key reads",
     length_s=6,
     fleet=Fleet(routers=2, nodes=8),
     traffic=Traffic(rate=60, swing=0),
@@ -43,25 +43,29 @@
 
 
 def broken_rules(report: dict[str, Any]) -> list[str]:
-    return [rule for rule, told in report["rules"].items() if not told["held"]]
+    return [rule for rule, result in report["rules"].items() if not result["held"]]
 
 
 def first_breaches(report: dict[str, Any]) -> list[str]:
-    told: list[str] = report["rules"][Rule.DEADLINE.value]["first"]
-    return told
+    breaches: list[str] = report["rules"][Rule.DEADLINE.value]["first"]
+    return breaches
 
 
-@pytest.mark.parametrize("scenario", [MISSES, LISTS])
-def test_no_attempt_advertises_a_microsecond_too_much(scenario: Scenario) -> None:
+@pytest.mark.parametrize("scenario", [MISSES, MULTI_KEY_READS])
+def test_correct_router_advertises_no_excess(scenario: Scenario) -> None:
     report = rehearse(plan(scenario))
     assert verdict(report) == []
-    told = report["deadlines"]
-    assert told["attempts"] == sum(report["attempts"].values()) > 300
-    assert told["further_attempts"] > 50
-    assert (told["above_what_was_left"], told["unreadable"], told["largest_excess_ms"]) == (0, 0, 0.0)
+    deadlines = report["deadlines"]
+    assert deadlines["attempts"] == sum(report["attempts"].values()) > 300
+    assert deadlines["further_attempts"] > 50
+    assert (deadlines["above_what_was_left"], deadlines["unreadable"], deadlines["largest_excess_ms"]) == (
+        0,
+        0,
+        0.0,
+    )
 
 
-def clients_timeout(deadline_ns: int, now_ns: int, client_timeout_ms: int) -> int:
+def client_timeout(deadline_ns: int, now_ns: int, client_timeout_ms: int) -> int:
     """Advertise the client's own timeout in every attempt."""
     return client_timeout_ms
 
@@ -71,72 +75,74 @@
     return min(-(-(deadline_ns - now_ns) // deadline_propagation.NS_PER_MS), client_timeout_ms)
 
 
-@pytest.mark.parametrize("broken", [clients_timeout, rounded_up])
-def test_a_program_that_advertises_too_much_fails_by_the_fifth_rule_alone(
-    broken: Callable[[int, int, int], int], monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("faulty", [client_timeout, rounded_up])
+def test_advertising_too_much_breaks_rule_on_deadlines_alone(
+    faulty: Callable[[int, int, int], int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(deadline_propagation, "remaining_ms", broken)
+    monkeypatch.setattr(deadline_propagation, "remaining_ms", faulty)
     report = rehearse(plan())
     assert broken_rules(report) == [Rule.DEADLINE.value]
     assert verdict(report)[0].startswith(f"rule broken: {Rule.DEADLINE.value}")
-    told = report["deadlines"]
-    assert told["above_what_was_left"] == report["rules"][Rule.DEADLINE.value]["breaches"] > 50
-    assert (told["largest_excess_ms"] < 1) == (broken is rounded_up)
+    deadlines = report["deadlines"]
+    assert deadlines["above_what_was_left"] == report["rules"][Rule.DEADLINE.value]["breaches"] > 50
+    assert (deadlines["largest_excess_ms"] < 1) == (faulty is rounded_up)
 
 
-def test_telling_the_store_the_first_attempts_time_again_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    first_told: dict[str, int] = {}
+def test_repeating_first_timeout_to_the_store_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    first_timeouts: dict[str, int] = {}
 
-    def told_again(self: Attempt, address: Address) -> bytes:
-        def first(deadline_ns: int, now_ns: int, client_timeout_ms: int) -> int:
-            left = remaining_ms(deadline_ns, now_ns, client_timeout_ms)
-            before = first_told.setdefault(self.request_id, left)
-            return before if self._to_origin else left
+    def with_first_timeout(self: Attempt, address: Address) -> bytes:
+        def first_timeout(deadline_ns: int, now_ns: int, client_timeout_ms: int) -> int:
+            remaining = remaining_ms(deadline_ns, now_ns, client_timeout_ms)
+            first_ms = first_timeouts.setdefault(self.request_id, remaining)
+            return first_ms if self._to_origin else remaining
 
         with monkeypatch.context() as patched:
-            patched.setattr(deadline_propagation, "remaining_ms", first)
+            patched.setattr(deadline_propagation, "remaining_ms", first_timeout)
             return request_bytes(self, address)
 
-    monkeypatch.setattr(Attempt, "request_bytes", told_again)
+    monkeypatch.setattr(Attempt, "request_bytes", with_first_timeout)
     report = rehearse(plan())
     assert broken_rules(report) == [Rule.DEADLINE.value]
     assert report["deadlines"]["above_what_was_left"] > 50
-    # Each names a further attempt at the store.
+    # Each breach is a further attempt at the store.
     assert all(" to store advertised " in line for line in first_breaches(report))
     assert not any(" attempt 1 to " in line for line in first_breaches(report))
 
 
-def test_a_read_of_many_keys_that_advertises_the_clients_timeout_is_caught(
+def test_multi_key_read_with_client_timeout_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(MultiGet, "info_to_send", lambda self, now: self.command.info)
-    report = rehearse(plan(LISTS))
+    report = rehearse(plan(MULTI_KEY_READS))
     assert broken_rules(report) == [Rule.DEADLINE.value]
     assert first_breaches(report)
     assert not any(" to store " in line for line in first_breaches(report))
 
 
-def test_a_program_that_leaves_the_timeout_out_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    def without(self: Attempt, address: Address) -> bytes:
+def test_missing_timeout_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    def without_timeout(self: Attempt, address: Address) -> bytes:
         data = request_bytes(self, address)
         return data.replace(b",d=", b",e=") if self._to_origin else data
 
-    monkeypatch.setattr(Attempt, "request_bytes", without)
+    monkeypatch.setattr(Attempt, "request_bytes", without_timeout)
     report = rehearse(plan())
     assert broken_rules(report) == [Rule.DEADLINE.value]
-    told = report["deadlines"]
+    deadlines = report["deadlines"]
     assert (
-        told["unreadable"] == report["rules"][Rule.DEADLINE.value]["breaches"] == report["attempts"]["store"]
+        deadlines["unreadable"]
+        == report["rules"][Rule.DEADLINE.value]["breaches"]
+        == report["attempts"]["store"]
     )
 
 
-def test_the_count_is_the_same_to_the_byte_and_stands_on_the_page() -> None:
+def test_report_is_reproducible_and_page_shows_deadline_counts() -> None:
     first, second = (rehearse(plan()) for _ in range(2))
     assert as_json(first) == as_json(second)
     assert deadline_line(first["deadlines"]) in as_page(first)
 
 
 @pytest.mark.parametrize("name", ["quiet", "release-morning", "broken-parts", "index-sync"])
-def test_every_scenario_keeps_the_fifth_rule(name: str) -> None:
+def test_shipped_scenarios_keep_rule_on_deadlines(name: str) -> None:
     report = rehearse(make_plan(load_scenario(name), 7))
     assert report["rules"][Rule.DEADLINE.value]["held"], first_breaches(report)
--- a/tests/simulation/test_rule_checker.py
+++ b/tests/simulation/test_rule_checker.py
@@ -1,4 +1,4 @@
-"""Each rule on the kit's own count: what breaks it, and what is just within it."""
+"""Each rule: events that break it, and events just within its limits."""
 
 from __future__ import annotations
 
@@ -10,219 +10,219 @@
 from pebblepass.simulation.rule_checker import Rule, RuleChecker
 
 
-def rule_checker() -> RuleChecker:
-    made = RuleChecker(slack=0.001)
-    made.record_taken("q", "r0", deadline=10.0)
-    return made
+def checker_with_request() -> RuleChecker:
+    checker = RuleChecker(slack=0.001)
+    checker.record_taken("q", "r0", deadline=10.0)
+    return checker
 
 
-def broken(made: RuleChecker) -> list[Rule]:
-    return [breach.rule for breach in made.breaches]
+def broken_rules(checker: RuleChecker) -> list[Rule]:
+    return [breach.rule for breach in checker.breaches]
 
 
-def test_an_answer_in_time_breaks_nothing() -> None:
-    made = rule_checker()
-    made.attempt_came("q", "s0", 9.0)
-    made.record_answer("q", 10.07)
-    assert broken(made) == []
+def test_answer_before_deadline_and_slack_is_accepted() -> None:
+    checker = checker_with_request()
+    checker.attempt_came("q", "s0", 9.0)
+    checker.record_answer("q", 10.07)
+    assert broken_rules(checker) == []
 
 
-def test_an_answer_too_late_breaks_the_first_rule() -> None:
-    made = rule_checker()
-    made.record_answer("q", 10.08)
-    assert broken(made) == [Rule.ANSWERED]
+def test_answer_after_deadline_and_slack_breaks_rule_on_answers() -> None:
+    checker = checker_with_request()
+    checker.record_answer("q", 10.08)
+    assert broken_rules(checker) == [Rule.ANSWERED]
 
 
-def test_a_second_answer_breaks_the_first_rule() -> None:
-    made = rule_checker()
-    made.record_answer("q", 9.0)
-    made.record_answer("q", 9.0)
-    assert broken(made) == [Rule.ANSWERED]
+def test_second_answer_breaks_rule_on_answers() -> None:
+    checker = checker_with_request()
+    checker.record_answer("q", 9.0)
+    checker.record_answer("q", 9.0)
+    assert broken_rules(checker) == [Rule.ANSWERED]
 
 
-def test_bytes_that_nobody_asked_for_break_the_first_rule() -> None:
-    made = rule_checker()
-    made.record_unexpected_bytes("r0", 9.0)
-    assert broken(made) == [Rule.ANSWERED]
+def test_bytes_without_open_request_break_rule_on_answers() -> None:
+    checker = checker_with_request()
+    checker.record_unexpected_bytes("r0", 9.0)
+    assert broken_rules(checker) == [Rule.ANSWERED]
 
 
-def test_a_send_after_the_answer_breaks_the_first_rule() -> None:
-    made = rule_checker()
-    made.record_answer("q", 9.0)
-    made.attempt_came("q", "s0", 9.0005)
-    assert broken(made) == []
-    made.attempt_came("q", "s0", 9.002)
-    assert broken(made) == [Rule.ANSWERED]
+def test_attempt_after_answer_breaks_rule_on_answers() -> None:
+    checker = checker_with_request()
+    checker.record_answer("q", 9.0)
+    checker.attempt_came("q", "s0", 9.0005)
+    assert broken_rules(checker) == []
+    checker.attempt_came("q", "s0", 9.002)
+    assert broken_rules(checker) == [Rule.ANSWERED]
 
 
-def test_a_send_that_no_client_asked_for_breaks_the_first_rule() -> None:
-    made = rule_checker()
-    made.attempt_came("unheard-of", "s0", 9.0)
-    assert broken(made) == [Rule.ANSWERED]
+def test_attempt_for_unknown_request_breaks_rule_on_answers() -> None:
+    checker = checker_with_request()
+    checker.attempt_came("unknown", "s0", 9.0)
+    assert broken_rules(checker) == [Rule.ANSWERED]
 
 
-def test_a_doubled_effect_breaks_the_second_rule() -> None:
-    made = rule_checker()
-    made.effect_doubled(Doubled("q", "order", 9.0))
-    assert broken(made) == [Rule.ONCE]
+def test_doubled_effect_breaks_rule_on_effects() -> None:
+    checker = checker_with_request()
+    checker.effect_doubled(Doubled("q", "order", 9.0))
+    assert broken_rules(checker) == [Rule.ONCE]
 
 
 @pytest.mark.parametrize("state", ["draining", "removed"])
-def test_a_send_after_the_grace_breaks_the_third_rule(state: str) -> None:
-    made = rule_checker()
-    made.was_told("r0", "s0", state, 1.0)
-    made.attempt_came("q", "s0", 1.55)
-    assert broken(made) == []
-    made.attempt_came("q", "s0", 1.56)
-    assert broken(made) == [Rule.DRAINED]
+def test_attempt_after_drain_grace_breaks_rule_on_drains(state: str) -> None:
+    checker = checker_with_request()
+    checker.was_told("r0", "s0", state, 1.0)
+    checker.attempt_came("q", "s0", 1.55)
+    assert broken_rules(checker) == []
+    checker.attempt_came("q", "s0", 1.56)
+    assert broken_rules(checker) == [Rule.DRAINED]
 
 
-def test_being_told_again_does_not_renew_the_grace() -> None:
-    made = rule_checker()
-    made.was_told("r0", "s0", "draining", 1.0)
-    made.was_told("r0", "s0", "draining", 1.5)
-    made.attempt_came("q", "s0", 1.56)
-    assert broken(made) == [Rule.DRAINED]
+def test_repeated_announcement_does_not_extend_drain_grace() -> None:
+    checker = checker_with_request()
+    checker.was_told("r0", "s0", "draining", 1.0)
+    checker.was_told("r0", "s0", "draining", 1.5)
+    checker.attempt_came("q", "s0", 1.56)
+    assert broken_rules(checker) == [Rule.DRAINED]
 
 
-def test_another_router_or_a_server_that_is_back_may_be_sent_to() -> None:
-    made = rule_checker()
-    made.was_told("r1", "s0", "draining", 1.0)
-    made.was_told("r0", "s1", "draining", 1.0)
-    made.was_told("r0", "s1", "up", 2.0)
-    made.attempt_came("q", "s0", 9.0)
-    made.attempt_came("q", "s1", 9.0)
-    assert broken(made) == []
+def test_attempts_to_servers_up_or_draining_for_others_are_accepted() -> None:
+    checker = checker_with_request()
+    checker.was_told("r1", "s0", "draining", 1.0)
+    checker.was_told("r0", "s1", "draining", 1.0)
+    checker.was_told("r0", "s1", "up", 2.0)
+    checker.attempt_came("q", "s0", 9.0)
+    checker.attempt_came("q", "s1", 9.0)
+    assert broken_rules(checker) == []
 
 
-def test_a_router_that_starts_anew_has_been_told_nothing() -> None:
-    made = rule_checker()
-    made.was_told("r0", "s0", "draining", 1.0)
-    made.router_started("r0")
-    made.attempt_came("q", "s0", 9.0)
-    assert broken(made) == []
+def test_restarted_router_is_not_bound_by_old_announcements() -> None:
+    checker = checker_with_request()
+    checker.was_told("r0", "s0", "draining", 1.0)
+    checker.router_started("r0")
+    checker.attempt_came("q", "s0", 9.0)
+    assert broken_rules(checker) == []
 
 
-def test_a_node_pushed_over_by_routers_that_knew_breaks_the_fourth_rule() -> None:
-    made = rule_checker()
-    made.pushed_over("s0", 0.6, 9.0)
-    assert broken(made) == []
-    made.pushed_over("s1", 0.7, 9.0)
-    assert broken(made) == [Rule.COLD]
-    assert made.pushed == ["s0", "s1"]
+def test_cold_node_overloaded_by_informed_routers_breaks_rule() -> None:
+    checker = checker_with_request()
+    checker.pushed_over("s0", 0.6, 9.0)
+    assert broken_rules(checker) == []
+    checker.pushed_over("s1", 0.7, 9.0)
+    assert broken_rules(checker) == [Rule.COLD]
+    assert checker.pushed == ["s0", "s1"]
 
 
-def test_who_knows_of_a_start() -> None:
-    made = rule_checker()
-    made.was_told("r0", "s0", "up", 1.0)
-    assert made.knows_start("q", "s0")
-    made.server_started("s0")
-    assert not made.knows_start("q", "s0")
-    made.was_told("r0", "s0", "up", 2.0)
-    assert made.knows_start("q", "s0")
+def test_router_knows_start_after_announcement_only() -> None:
+    checker = checker_with_request()
+    checker.was_told("r0", "s0", "up", 1.0)
+    assert checker.knows_start("q", "s0")
+    checker.server_started("s0")
+    assert not checker.knows_start("q", "s0")
+    checker.was_told("r0", "s0", "up", 2.0)
+    assert checker.knows_start("q", "s0")
 
 
-# Deadline propagation: the slack is 1 ms here, and 500 ms are left at 9.5 s
+# Advertised timeouts: the slack is 1 ms here, and 500 ms are left at 9.5 s
 
 
 def advertise(
-    made: RuleChecker,
+    checker: RuleChecker,
     timeout_ms: int | None,
     at: float = 9.5,
     last_byte_at: float | None = None,
     name: str = "q",
 ) -> None:
     last = at if last_byte_at is None else last_byte_at
-    made.timeout_advertised(AdvertisedTimeout(name, "s0", timeout_ms, at, last))
+    checker.timeout_advertised(AdvertisedTimeout(name, "s0", timeout_ms, at, last))
 
 
 @pytest.mark.parametrize("timeout_ms", [0, 1, 499, 500, 501])
-def test_what_is_left_and_the_slack_may_be_advertised(timeout_ms: int) -> None:
-    made = rule_checker()
-    advertise(made, timeout_ms)
-    assert broken(made) == []
-    assert made.deadlines.above == 0
+def test_timeout_up_to_time_left_and_slack_is_accepted(timeout_ms: int) -> None:
+    checker = checker_with_request()
+    advertise(checker, timeout_ms)
+    assert broken_rules(checker) == []
+    assert checker.deadlines.above == 0
 
 
-def test_one_millisecond_beyond_the_slack_breaks_the_fifth_rule() -> None:
-    made = rule_checker()
-    advertise(made, 502)
-    assert broken(made) == [Rule.DEADLINE]
-    what = "q: attempt 1 to s0 advertised 502 ms with 500.000 ms left, 2.000 ms too much"
-    assert made.breaches[0].what == what
+def test_timeout_1_ms_beyond_slack_breaks_rule_on_deadlines() -> None:
+    checker = checker_with_request()
+    advertise(checker, 502)
+    assert broken_rules(checker) == [Rule.DEADLINE]
+    description = "q: attempt 1 to s0 advertised 502 ms with 500.000 ms left, 2.000 ms too much"
+    assert checker.breaches[0].description == description
 
 
-def test_the_slack_is_kept_to_the_microsecond() -> None:
-    made = RuleChecker(slack=0.001, transit_slack=0.000_001)
-    made.record_taken("q", "r0", deadline=10.0)
-    advertise(made, 500, at=9.5)
-    advertise(made, 500, at=9.500_001)
-    assert broken(made) == []
-    advertise(made, 500, at=9.500_002)
-    assert broken(made) == [Rule.DEADLINE]
-    assert made.deadlines.largest_excess_us == 2
+def test_transit_slack_is_exact_to_the_microsecond() -> None:
+    checker = RuleChecker(slack=0.001, transit_slack=0.000_001)
+    checker.record_taken("q", "r0", deadline=10.0)
+    advertise(checker, 500, at=9.5)
+    advertise(checker, 500, at=9.500_001)
+    assert broken_rules(checker) == []
+    advertise(checker, 500, at=9.500_002)
+    assert broken_rules(checker) == [Rule.DEADLINE]
+    assert checker.deadlines.largest_excess_us == 2
 
 
-def test_the_first_attempt_is_held_to_the_rule_too() -> None:
-    made = rule_checker()
-    advertise(made, 1000)
-    assert made.deadlines == DeadlineCount(attempts=1, further=0, above=1, largest_excess_us=500_000)
+def test_first_attempt_is_checked_too() -> None:
+    checker = checker_with_request()
+    advertise(checker, 1000)
+    assert checker.deadlines == DeadlineCount(attempts=1, further=0, above=1, largest_excess_us=500_000)
 
 
-def test_a_further_attempt_that_tells_the_first_ones_time_breaks_the_fifth_rule() -> None:
-    made = rule_checker()
-    advertise(made, 1000, at=9.0)
-    assert broken(made) == []
-    advertise(made, 1000, at=9.25)
-    assert broken(made) == [Rule.DEADLINE]
-    assert made.deadlines == DeadlineCount(attempts=2, further=1, above=1, largest_excess_us=250_000)
+def test_retry_with_timeout_of_first_attempt_breaks_rule_on_deadlines() -> None:
+    checker = checker_with_request()
+    advertise(checker, 1000, at=9.0)
+    assert broken_rules(checker) == []
+    advertise(checker, 1000, at=9.25)
+    assert broken_rules(checker) == [Rule.DEADLINE]
+    assert checker.deadlines == DeadlineCount(attempts=2, further=1, above=1, largest_excess_us=250_000)
 
 
-def test_what_counts_is_what_was_left_at_the_attempts_first_byte() -> None:
-    made = rule_checker()
-    advertise(made, 500, at=9.5, last_byte_at=9.9)
-    assert broken(made) == []
+def test_time_left_is_taken_at_first_byte_of_attempt() -> None:
+    checker = checker_with_request()
+    advertise(checker, 500, at=9.5, last_byte_at=9.9)
+    assert broken_rules(checker) == []
 
 
-def test_the_clients_deadline_is_the_one_that_its_request_states() -> None:
-    made = RuleChecker(slack=0.001)
-    made.record_taken("q", "r0", deadline=10.0, client_deadline=9.9)
-    advertise(made, 402)
-    assert broken(made) == [Rule.DEADLINE]
-    made.record_answer("q", 10.07)  # the answer is owed by the other one still
-    assert broken(made) == [Rule.DEADLINE]
+def test_client_deadline_of_the_request_limits_the_timeout() -> None:
+    checker = RuleChecker(slack=0.001)
+    checker.record_taken("q", "r0", deadline=10.0, client_deadline=9.9)
+    advertise(checker, 402)
+    assert broken_rules(checker) == [Rule.DEADLINE]
+    checker.record_answer("q", 10.07)  # the answer is due by `deadline`
+    assert broken_rules(checker) == [Rule.DEADLINE]
 
 
-def test_after_its_deadline_no_attempt_may_advertise_anything() -> None:
-    made = rule_checker()
-    advertise(made, 0, at=10.5)
-    assert broken(made) == [Rule.DEADLINE]
+def test_timeout_of_0_after_deadline_breaks_rule_on_deadlines() -> None:
+    checker = checker_with_request()
+    advertise(checker, 0, at=10.5)
+    assert broken_rules(checker) == [Rule.DEADLINE]
 
 
-def test_an_unreadable_timeout_breaks_the_fifth_rule() -> None:
-    made = rule_checker()
-    advertise(made, None)
-    assert broken(made) == [Rule.DEADLINE]
-    assert made.deadlines == DeadlineCount(attempts=1, unreadable=1)
+def test_unreadable_timeout_breaks_rule_on_deadlines() -> None:
+    checker = checker_with_request()
+    advertise(checker, None)
+    assert broken_rules(checker) == [Rule.DEADLINE]
+    assert checker.deadlines == DeadlineCount(attempts=1, unreadable=1)
 
 
-def test_attempts_are_told_apart_by_their_request() -> None:
-    made = rule_checker()
-    made.record_taken("p", "r0", deadline=10.0)
-    advertise(made, 500, name="p")
-    advertise(made, 500)
-    advertise(made, 500)
-    assert (made.deadlines.attempts, made.deadlines.further) == (3, 1)
+def test_further_attempts_are_counted_per_request() -> None:
+    checker = checker_with_request()
+    checker.record_taken("p", "r0", deadline=10.0)
+    advertise(checker, 500, name="p")
+    advertise(checker, 500)
+    advertise(checker, 500)
+    assert (checker.deadlines.attempts, checker.deadlines.further) == (3, 1)
 
 
-def test_an_attempt_that_no_client_asked_for_is_counted_and_left_to_the_first_rule() -> None:
-    made = rule_checker()
-    advertise(made, 9999, name="unheard-of")
-    assert broken(made) == []
-    assert made.deadlines.attempts == 1
+def test_timeout_of_unknown_request_is_counted_without_breach() -> None:
+    checker = checker_with_request()
+    advertise(checker, 9999, name="unknown")
+    assert broken_rules(checker) == []
+    assert checker.deadlines.attempts == 1
 
 
-def test_the_count_as_a_report_tells_it() -> None:
+def test_deadline_count_report_has_the_outward_keys() -> None:
     count = DeadlineCount(attempts=7, further=2, above=1, unreadable=1, largest_excess_us=1500)
     assert count.report() == {
         "attempts": 7,
