--- a/pebblepass/simulation/routers.py
+++ b/pebblepass/simulation/routers.py
@@ -85,7 +85,7 @@
         config = read_config(config_values, {})
         self._daemon = self._make(self._loop, config, self._unix_ns)
         if self._multi_get:
-            self._daemon.read_many(MultiGetSection())
+            self._daemon.enable_multi_get(MultiGetSection())
         host, starts = self._daemon.host, len(self._services)
         service = AccountingService(
             self._loop, AccountingSection(), config.name, config.settings, self._unix_ns, f"start {starts}"
--- a/tests/simulation/test_clock.py
+++ b/tests/simulation/test_clock.py
@@ -10,7 +10,7 @@
 import pytest
 
 from pebblepass.simulation.clock import START_S, WINDOW, StalledError, VirtualLoop
-from tests.virtual import played
+from tests.virtual import run_virtual
 
 HOST = "127.0.0.1"
 LINGER_0 = b"\x01\x00\x00\x00\x00\x00\x00\x00"
@@ -67,7 +67,7 @@
         return loop.time() - START_S
 
     started_at = time.monotonic()
-    assert played(run) == pytest.approx(3600)
+    assert run_virtual(run) == pytest.approx(3600)
     assert time.monotonic() - started_at < 60
 
 
@@ -81,7 +81,7 @@
         await asyncio.sleep(1)
         assert server.size == 1000
 
-    played(run)
+    run_virtual(run)
     assert log[:2] == [(0.0, "server: 1000 bytes"), (1e-6, "client: timer")]
 
 
@@ -95,7 +95,7 @@
             await asyncio.sleep(1)
             assert server.size == 5 * WINDOW + 7
 
-        played(run)
+        run_virtual(run)
         return log
 
     first = run_once()
@@ -114,7 +114,7 @@
         await asyncio.sleep(1)
         return server.size
 
-    assert played(run) == 5000
+    assert run_virtual(run) == 5000
 
 
 def test_close_is_reported_after_preceding_bytes() -> None:
@@ -126,7 +126,7 @@
         client.transport.close()
         await server.lost
 
-    played(run)
+    run_virtual(run)
     assert [event for _, event in log if event.startswith("server")] == ["server: 10 bytes", "server: lost"]
 
 
@@ -139,7 +139,7 @@
         server.transport.abort()
         return await client.lost
 
-    assert isinstance(played(run), ConnectionResetError)
+    assert isinstance(run_virtual(run), ConnectionResetError)
 
 
 def test_close_with_linger_of_0_resets_connection() -> None:
@@ -150,7 +150,7 @@
         server.transport.abort()
         return await client.lost
 
-    assert isinstance(played(run), ConnectionResetError)
+    assert isinstance(run_virtual(run), ConnectionResetError)
 
 
 def test_write_to_closed_peer_resets_connection() -> None:
@@ -163,7 +163,7 @@
         client.transport.resume_reading()
         return await client.lost
 
-    assert isinstance(played(run), ConnectionResetError)
+    assert isinstance(run_virtual(run), ConnectionResetError)
 
 
 def test_connect_fails_without_listener_or_loopback_address() -> None:
@@ -176,7 +176,7 @@
             with pytest.raises(OSError, match="not an IPv4 loopback address"):
                 await loop.create_connection(asyncio.Protocol, host, port)
 
-    played(run)
+    run_virtual(run)
 
 
 def test_closing_a_listener_resets_connections_not_accepted() -> None:
@@ -190,7 +190,7 @@
         assert isinstance(client, RecordingProtocol)
         return await client.lost
 
-    assert isinstance(played(run), ConnectionResetError)
+    assert isinstance(run_virtual(run), ConnectionResetError)
 
 
 def test_connect_to_unreachable_machine_never_completes() -> None:
@@ -204,7 +204,7 @@
         await loop.create_connection(asyncio.Protocol, HOST, port)
         return loop.time() - START_S
 
-    assert played(run) == pytest.approx(3)
+    assert run_virtual(run) == pytest.approx(3)
 
 
 def test_listen_on_address_in_use_fails() -> None:
@@ -213,7 +213,7 @@
         with pytest.raises(OSError, match="in use"):
             await loop.create_server(asyncio.Protocol, HOST, port)
 
-    played(run)
+    run_virtual(run)
 
 
 def test_run_without_timers_or_ready_sockets_raises_stalled_error() -> None:
@@ -221,7 +221,7 @@
         await loop.create_future()
 
     with pytest.raises(StalledError):
-        played(run)
+        run_virtual(run)
 
 
 def test_ready_sockets_are_reported_in_order_of_creation() -> None:
@@ -236,7 +236,7 @@
         await asyncio.sleep(0.1)
         return [event for _, event in log]
 
-    assert played(run) == [f"{number}: 1 bytes" for number in range(20)]
+    assert run_virtual(run) == [f"{number}: 1 bytes" for number in range(20)]
 
 
 def test_address_of_closed_listener_stays_reserved() -> None:
@@ -253,4 +253,4 @@
         await loop.create_connection(asyncio.Protocol, HOST, port)
         again.close()
 
-    played(run)
+    run_virtual(run)
