--- a/pebblepass/cli.py
+++ b/pebblepass/cli.py
@@ -116,7 +116,7 @@
     from pebblepass.simulation.report import as_json, verdict
     from pebblepass.simulation.runner import RehearsalError
     from pebblepass.simulation.scenario import load_scenario
-    from pebblepass.simulation.terminal import play, print_report
+    from pebblepass.simulation.terminal import print_report, run_rehearsal
 
     try:
         drawn = load_scenario(scenario).scaled(routers, nodes, rate)
@@ -130,7 +130,7 @@
             _stop(f"{path}: no such folder")
     plan = make_plan(drawn, seed)
     try:
-        told = play(plan, deploy if real_time else None, recovery or html is not None)
+        told = run_rehearsal(plan, deploy if real_time else None, recovery or html is not None)
     except RehearsalError as error:
         _stop(str(error))
         return
--- a/pebblepass/simulation/load_generator.py
+++ b/pebblepass/simulation/load_generator.py
@@ -15,7 +15,7 @@
 from pebblepass.wire.address import Address
 
 LISTEN_S = TIME_SLACK_S + ANSWER_GRACE_S + 0.01  # after its timeout, to detect a late or missing answer
-LEAVE_S = 0.3  # within which clients that disconnect do so, counted from the request
+DISCONNECT_S = 0.3  # within which clients that disconnect do so, counted from the request
 MIN_TIMEOUT_S = 0.005  # with less time left a client does not retry
 
 
@@ -40,7 +40,7 @@
         self.killed_at: dict[int, float] = {}
         """When each router was last killed, by its index."""
         self.open = 0
-        self.leaving = 0.0
+        self.disconnect_share = 0.0
         """The share of clients that disconnect before their answer."""
         self._detected_down: set[int] = set()
         self._commands: dict[int, list[Operation]] = {}
@@ -164,8 +164,8 @@
             generator.loop.call_later(timeout, self._time_out),
             generator.loop.call_later(timeout + LISTEN_S + generator.slack, self._stop_listening),
         ]
-        if operation.leaves < generator.leaving:
-            after = operation.leaves / generator.leaving * LEAVE_S
+        if operation.leaves < generator.disconnect_share:
+            after = operation.leaves / generator.disconnect_share * DISCONNECT_S
             self._timers.append(generator.loop.call_later(after, self._disconnect))
         self._send()
 
--- a/pebblepass/simulation/recovery.py
+++ b/pebblepass/simulation/recovery.py
@@ -75,8 +75,10 @@
             _RatePerSecond(),
             Counter[str]({"first": 0, "after a refusal": 0, "other": 0}),
         )
-        self.held: list[float] = []
+        self.held_shares: list[float] = []
+        """The share of the working set that nodes have copies of, each second."""
         self.limits: list[float] = []
+        """Fetches per second that the limits of all routers allow, each second."""
 
     def record_request(self, request: str, operation: Operation, last_outcome: str) -> None:
         """Record a request that is sent; `last_outcome`: of the previous request, empty for the first."""
@@ -109,9 +111,9 @@
         routers: Sequence[RouterState],
     ) -> None:
         """Add the sample of a second: the copies of each node, the store's totals and the routers' states."""
-        seconds = len(self.held)
+        seconds = len(self.held_shares)
         held_keys = set[str]().union(*(self._working_set.intersection(node_copies) for node_copies in copies))
-        self.held.append(len(held_keys) / max(len(self._working_set), 1))
+        self.held_shares.append(len(held_keys) / max(len(self._working_set), 1))
         self.limits.append(fsum(limit for router in routers for limit in router.limits.values()))
         refused = Counter[str]()
         for router in routers:
@@ -121,7 +123,7 @@
         self._request_rates.add_second(self._requests_sent.copy(), seconds)
 
     def _uses(self, count: RequestCounts) -> dict[str, list[int]]:
-        uses = {use: [0] * len(self.held) for use in FETCH_USES}
+        uses = {use: [0] * len(self.held_shares) for use in FETCH_USES}
         target_s = {cls.name: cls.aim_ms / 1000 for cls in self._plan.scenario.classes}
         for fetch in self._fetches:
             in_time = any(
@@ -132,8 +134,8 @@
             use = (
                 "again" if fetch.is_duplicate else "read" if fetch.reads else "unread" if in_time else "late"
             )
-            if self.held:
-                uses[use][min(fetch.second + 1, len(self.held) - 1)] += 1
+            if self.held_shares:
+                uses[use][min(fetch.second + 1, len(self.held_shares) - 1)] += 1
         return uses
 
     def report(self, count: RequestCounts) -> dict[str, Any]:
@@ -148,7 +150,7 @@
         fetches = sum(map(sum, uses.values()))
         return {
             "refused": dict(sorted(self._refusal_rates.rows.items())),
-            "held": self.held,
+            "held": self.held_shares,
             "limit": self.limits,
             "fetches": uses,
             "writes": self._store_rates.rows.get("writes", []),
@@ -193,8 +195,8 @@
 
 
 def _service(rows: Sequence[tuple[float, float]]) -> float:
-    asked = fsum(row[0] for row in rows)
-    return fsum(row[1] for row in rows) / asked if asked else 1.0
+    total = fsum(row[0] for row in rows)
+    return fsum(row[1] for row in rows) / total if total else 1.0
 
 
 def bound_rows(plan: Plan, count: RequestCounts, bound: ClairvoyantCache) -> list[tuple[float, float]]:
@@ -205,15 +207,15 @@
         row = seconds[min(int(operation.at), count.seconds - 1)]
         row[0] += worth
         row[1] += worth * bound.in_time.get(operation.number, False)
-    return [(asked, earned) for asked, earned in seconds]
+    return [(total, earned) for total, earned in seconds]
 
 
 def compare_to_references(
     report: dict[str, Any], calm_report: dict[str, Any], plan: Plan, bound: ClairvoyantCache
 ) -> dict[str, Any]:
     """Return the rest of the report on recovery: the comparison with the calm twin and the bound."""
-    rows = [(asked, earned) for asked, earned in report["service"]["seconds"]]
-    calm_rows = [(asked, earned) for asked, earned in calm_report["service"]["seconds"]]
+    rows = [(total, earned) for total, earned in report["service"]["seconds"]]
+    calm_rows = [(total, earned) for total, earned in calm_report["service"]["seconds"]]
     bound_seconds = bound_rows(plan, RequestCounts(plan), bound)
     fault_at = first_fault_at(plan)
     return {
--- a/pebblepass/simulation/report.py
+++ b/pebblepass/simulation/report.py
@@ -60,7 +60,7 @@
 ) -> dict[str, Any]:
     """Return the report under its outward keys, with all figures rounded."""
     fleet = plan.scenario.fleet
-    begun = series.seconds[0] if series.seconds else 0.0
+    started_at = series.seconds[0] if series.seconds else 0.0
     breaches = {
         rule.value: [breach for breach in rule_checker.breaches if breach.rule is rule] for rule in Rule
     }
@@ -111,10 +111,10 @@
         },
         "recovery": recovery,
         "crashes": crashes,
-        "fallen": rule_checker.pushed,
+        "fallen": rule_checker.overloaded,
         "events": [[at, description] for at, description in events],
         "series": {
-            "second": [round(second - begun) for second in series.seconds],
+            "second": [round(second - started_at) for second in series.seconds],
             "open": series.open,
             "fetches": series.fetches,
             "load": series.load,
--- a/pebblepass/simulation/request_counts.py
+++ b/pebblepass/simulation/request_counts.py
@@ -1,7 +1,8 @@
 """Outcomes of requests and the service that clients received, from the load generator's records; no I/O.
 
-Service is the worth that answers have earned, as a share of the worth of all operations: an answer within its
-class's target time earns the full worth, a later one before the deadline a part.
+Service, as the users define it (BRIEF, How we count), is the worth that answers have earned as a share of the
+worth of all operations: an answer within its class's target time earns the full worth, a later one before
+the deadline a part of it.
 """
 
 from __future__ import annotations
@@ -23,13 +24,13 @@
 class _Worth:
     """The worth of each of some operations, and what each has earned."""
 
-    asked: list[float]
+    worths: list[float]
     earned: list[float]
 
     @property
     def service(self) -> float:
-        asked = fsum(self.asked)
-        return fsum(self.earned) / asked if asked else 1.0
+        total = fsum(self.worths)
+        return fsum(self.earned) / total if total else 1.0
 
 
 class RequestCounts:
@@ -49,7 +50,7 @@
         }
         """By router, namespace and class; `unseen` counts the failed requests that no router has read."""
         self.seconds = max(1, -(-int(plan.scenario.length_s * 1000) // 1000))
-        """The length of the scenario, rounded up."""
+        """The length of the scenario in seconds, rounded up."""
         self.served_after: dict[int, float] = {}
         """Seconds from the start of an operation to its answer, by the operation's number."""
 
@@ -104,14 +105,14 @@
             if not operation.over:
                 parts += [namespaces[operation.namespace], namespace_seconds[operation.namespace][second]]
             for part in parts:
-                part.asked.append(worth)
+                part.worths.append(worth)
                 part.earned.append(earned)
         width = min(WORST_WINDOW_S, seconds)
         windows = [
             (first, _joined(by_second[first : first + width]).service) for first in range(seconds - width + 1)
         ]
         worst_from, worst = min(windows, key=lambda window: (window[1], window[0]))
-        classes_used = [name for name, part in classes.items() if part.asked]
+        classes_used = [name for name, part in classes.items() if part.worths]
         worst_class = min((classes[name].service for name in classes_used), default=1.0)
         worst_namespace = min(part.service for part in namespaces.values())
         weighted = fsum(
@@ -129,13 +130,13 @@
             "worst_10_s_from": worst_from,
             "classes": {name: part.service for name, part in classes.items()},
             "namespaces": {name: part.service for name, part in namespaces.items()},
-            "seconds": [[fsum(part.asked), fsum(part.earned)] for part in by_second],
+            "seconds": [[fsum(part.worths), fsum(part.earned)] for part in by_second],
             "by_second": {
-                name: [part.service if part.asked else None for part in parts]
+                name: [part.service if part.worths else None for part in parts]
                 for name, parts in namespace_seconds.items()
             },
         }
 
 
 def _joined(parts: list[_Worth]) -> _Worth:
-    return _Worth([x for part in parts for x in part.asked], [x for part in parts for x in part.earned])
+    return _Worth([x for part in parts for x in part.worths], [x for part in parts for x in part.earned])
--- a/pebblepass/simulation/routers.py
+++ b/pebblepass/simulation/routers.py
@@ -31,7 +31,7 @@
 SHUTDOWN_S = 10.0  # within which a process without open requests must shut down
 
 
-class RouterPort(Protocol):
+class RouterControl(Protocol):
     """The operations of a rehearsal on a router."""
 
     peak_kb: int
--- a/pebblepass/simulation/rule_checker.py
+++ b/pebblepass/simulation/rule_checker.py
@@ -1,7 +1,7 @@
 """Checks the five rules against what the emulators have seen; no I/O.
 
 The load generator, the emulated servers and the emulated registry report events here, independently of the
-routers. The rules are those of the protocol. Times are seconds of the clock that the rehearsal runs on.
+routers. The rules are those of PROTOCOL and BRIEF. Times are seconds of the clock that the rehearsal runs on.
 """
 
 from __future__ import annotations
@@ -65,7 +65,8 @@
         self.breaches: list[Breach] = []
         self.attempts: dict[str, int] = {}
         self.deadlines = DeadlineCount()
-        self.pushed: list[str] = []
+        self.overloaded: list[str] = []
+        """Cold nodes that have failed because they were sent too much work."""
         self.trace = sha256()
         """A digest of every attempt and every answer with its time, to compare runs."""
         self._requests: dict[str, _RequestState] = {}
@@ -213,7 +214,7 @@
 
         The rule is broken where most of the work came from routers that were informed of the node's start.
         """
-        self.pushed.append(server)
+        self.overloaded.append(server)
         if share_told >= INFORMED_SHARE:
             self._record_breach(
                 Rule.COLD,
--- a/pebblepass/simulation/runner.py
+++ b/pebblepass/simulation/runner.py
@@ -22,7 +22,7 @@
 from pebblepass.simulation.recovery import Recorder
 from pebblepass.simulation.report import Series, build_report
 from pebblepass.simulation.request_counts import RequestCounts
-from pebblepass.simulation.routers import InProcessRouter, ProcessRouter, RouterPort
+from pebblepass.simulation.routers import InProcessRouter, ProcessRouter, RouterControl
 from pebblepass.simulation.rule_checker import RuleChecker
 from pebblepass.wire.address import Address
 
@@ -51,7 +51,7 @@
     silence: Silence
     slack: float
     transit_slack: float
-    router: Callable[[int], RouterPort]
+    router: Callable[[int], RouterControl]
 
 
 class Rehearsal:
@@ -243,8 +243,8 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         elif event.kind == "clients-leave":
-            self.load_generator.leaving = event.share
-            self._loop.call_later(event.length, setattr, self.load_generator, "leaving", 0.0)
+            self.load_generator.disconnect_share = event.share
+            self._loop.call_later(event.length, setattr, self.load_generator, "disconnect_share", 0.0)
             description = (
                 f"{event.share:.0%} of the clients disconnect before their answer for {event.length:g} s"
             )
@@ -336,7 +336,7 @@
     with asyncio.Runner(loop_factory=DaemonLoop) as runner:
         loop = runner.get_loop()
 
-        def router(index: int) -> RouterPort:
+        def router(index: int) -> RouterControl:
             router_folder = folder / plan.routers[index].id
             router_folder.mkdir(parents=True, exist_ok=True)
             return ProcessRouter(router_folder, deploy, plan.scenario.sync is not None)
--- a/pebblepass/simulation/terminal.py
+++ b/pebblepass/simulation/terminal.py
@@ -23,7 +23,7 @@
 FILE_WIDTH = 120  # of the tables, where the output is not a terminal
 
 
-def play(plan: Plan, deploy: Path | None, recovery: bool = False) -> dict[str, Any]:
+def run_rehearsal(plan: Plan, deploy: Path | None, recovery: bool = False) -> dict[str, Any]:
     """Run a plan in virtual time or, with a deploy file, in real time; shows the progress on a terminal.
 
     `recovery`: also run the calm twin, in virtual time, and compute the clairvoyant bound.
--- a/tests/simulation/test_rule_checker.py
+++ b/tests/simulation/test_rule_checker.py
@@ -109,7 +109,7 @@
     assert broken_rules(checker) == []
     checker.pushed_over("s1", 0.7, 9.0)
     assert broken_rules(checker) == [Rule.COLD]
-    assert checker.pushed == ["s0", "s1"]
+    assert checker.overloaded == ["s0", "s1"]
 
 
 def test_router_knows_start_after_announcement_only() -> None:
