--- a/pebblepass/simulation/load_generator.py
+++ b/pebblepass/simulation/load_generator.py
@@ -200,7 +200,7 @@
     def _time_out(self) -> None:
         """Schedule a retry; this request is kept open only to check that the router answers it."""
         self._timed_out = True
-        self._client_operation.last_outcome = "time"
+        self._client_operation.last_outcome = "timed out"
         self._client_operation.retry(not_executed=False)
 
     def _stop_listening(self) -> None:
--- a/pebblepass/simulation/plan.py
+++ b/pebblepass/simulation/plan.py
@@ -92,7 +92,7 @@
     leaves: float
     """A draw from 0 to 1; the client disconnects if it is below the share of clients that do so."""
     command: int = -1
-    """The number of the multi-key command that it belongs to; -1: a request of its own."""
+    """The number of the multi-key command that it is part of; -1: none."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,7 +121,7 @@
     store: StoreFacts
     routers: tuple[RouterFacts, ...]
     delays: dict[tuple[str, str], float]
-    """The one-delay delay between two zones, in seconds."""
+    """The one-way delay between two zones, in seconds."""
     operations: tuple[Operation, ...]
     fault_events: tuple[FaultEvent, ...]
     disturbances: tuple[tuple[float, str], ...]
--- a/pebblepass/simulation/recovery.py
+++ b/pebblepass/simulation/recovery.py
@@ -171,7 +171,7 @@
 
 def first_fault_at(plan: Plan) -> float | None:
     """Return the start of the first disturbance or fault, or None."""
-    return min([at for at, _ in plan.disturbances] + [h.at for h in plan.fault_events], default=None)
+    return min([at for at, _ in plan.disturbances] + [event.at for event in plan.fault_events], default=None)
 
 
 def time_to_recover(
--- a/pebblepass/simulation/terminal.py
+++ b/pebblepass/simulation/terminal.py
@@ -38,7 +38,7 @@
                 console.print(
                     f"playing {plan.scenario.title}: {len(plan.operations)} operations", soft_wrap=True
                 )
-            now = time.monotonic()  # real time: limits how often the terminal is refreshed
+            now = time.monotonic()  # real time, for refreshes only: no figure depends on it
             if console.is_terminal and now - shown_at >= REFRESH_S:
                 shown_at = now
                 live.update(_progress(plan, second, series), refresh=True)
