--- a/pebblepass/daemon/__init__.py
+++ b/pebblepass/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The running router, which turns sockets into the decisions' events and their actions into sockets."""
+"""The router process: gives network input to the decision module as events, and carries out its actions."""
--- a/pebblepass/daemon/attempts.py
+++ b/pebblepass/daemon/attempts.py
@@ -1,4 +1,4 @@
-"""Open requests and the attempts at them, shared by the host, the clients' connections and multi-gets."""
+"""Open requests and their attempts, used by the host, the clients' connections and multi-gets."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 if TYPE_CHECKING:
     from pebblepass.accounting.ledger import Ledger
 
-KEY_SAFE = "/:@!$&'()*+,;=-._~"  # characters of a key that need no quoting in a path
+PATH_SAFE_CHARACTERS = "/:@!$&'()*+,;=-._~"  # of a key; all other ones but letters and digits are quoted
 
 
 def _as_path(key: bytes) -> str:
     if key.isalnum():
         return key.decode("ascii")
-    # Imported with the first key that needs it: it would slow every start, and the platform's keys do not.
+    # Imported with the first key that needs quoting, as the platform's keys do not, and it slows the start.
     from urllib.parse import quote
 
-    return quote(key, safe=KEY_SAFE)
+    return quote(key, safe=PATH_SAFE_CHARACTERS)
 
 
 class ReplySlot(Protocol):
-    """The place of one request's reply among those of its connection, or of its multi-get."""
+    """The reply of one request, in the order of the replies of its connection or its multi-get."""
 
     source: ValueSource | None
     request: Any
@@ -60,7 +60,7 @@
         """Abort a streamed reply, so that the client sees that it is incomplete."""
 
     def free_command(self) -> None:
-        """Release the memory of the command, which the host needs no longer."""
+        """Release the memory of the command, which the host no longer needs."""
 
     def client_is_alive(self) -> bool:
         """Whether the client is still connected, by a recent read or else by a poll."""
@@ -80,7 +80,7 @@
 
 
 class AttemptHost(Protocol):
-    """What an attempt needs of its host."""
+    """The host of the decision module as an attempt uses it."""
 
     loop: asyncio.AbstractEventLoop
     lag: LoopLag
@@ -91,7 +91,7 @@
     parse_load_report: Callable[[bytes | None], tuple[float, ...] | None]
 
     def forget_if_settled(self, request: OpenRequest) -> None:
-        """Forget a request that is answered and has no attempt in flight."""
+        """Forget a request that is closed and has no attempt in flight."""
 
     def drop_request(self, request: OpenRequest) -> None:
         """Close a request whose client has disconnected."""
@@ -105,7 +105,7 @@
 
     __slots__ = (  # noqa: RUF023
         "id", "command", "reply", "deadline", "of_command",
-        "attempts", "out", "closed", "streaming", "accounted", "unsent",
+        "attempts", "attempts_in_flight", "closed", "streaming", "accounted", "unsent",
     )  # fmt: skip
 
     def __init__(
@@ -119,7 +119,7 @@
         """`deadline`: in nanoseconds of the host's clock; `of_command`: it is a key of a multi-get."""
         self.id, self.command, self.reply, self.deadline = request_id, command, reply, deadline
         self.of_command = of_command
-        self.attempts = self.out = 0
+        self.attempts = self.attempts_in_flight = 0
         self.closed = self.streaming = self.accounted = False
         self.unsent: list[Attempt] | None = None
         """Attempts that had to wait before they could be sent, if there are any."""
@@ -127,7 +127,7 @@
     def withdraw(self) -> None:
         """Withdraw the attempts that are not sent: it has its final answer, or its client has disconnected.
 
-        Danger: a connection established a second later would still send an attempt that waits for it.
+        Otherwise a connection that is established much later would still send an attempt that waits for it.
         """
         unsent, self.unsent = self.unsent, None
         for attempt in unsent or ():
@@ -137,11 +137,11 @@
 class Attempt(Exchange):
     """One attempt at a request."""
 
-    # Class attributes as defaults: nearly all attempts end without setting them.
-    _latency = 0  # nanoseconds until a long value's first bytes
+    # Defaults as class attributes: nearly all attempts end without setting them.
+    _latency = 0  # nanoseconds; set if it is not the time until the end, as for a long value or in a batch
     _stream: ValueStream | None = None
     _timer: Deadline | None = None
-    _part: Carrier | None = None  # the batch that carries it, if any
+    _batch: Carrier | None = None  # the batch that carries it, if any
     _excluded_from_health = False
 
     def __init__(
@@ -153,7 +153,7 @@
         now: int,
         until: int = 0,
     ) -> None:
-        """`now` and `until` are in nanoseconds; from `until` on it must not be sent, 0: no such limit."""
+        """`now` and `until` are in nanoseconds; it must not be sent from `until` on, unless that is 0."""
         self._host, self._request, self._server, self._to_origin = host, request, server, to_origin
         latest = deadline_propagation.latest_start(request.deadline)
         self._latest_start = min(until, latest) if until else latest
@@ -161,9 +161,9 @@
         self._sent_at, self._lag_before = now, host.lag.total(now)
         self.is_write = request.command.value is not None
         request.attempts += 1
-        request.out += 1
+        request.attempts_in_flight += 1
 
-    # What a batch needs to know of the attempts that it carries
+    # Used by the batch that carries the attempt
 
     @property
     def command(self) -> Command:
@@ -187,21 +187,22 @@
         request = self._request
         if request.reply.client_is_alive():
             return True
-        # Danger: the connection is closed an iteration later; until then failed attempts would be retried.
+        # The client's connection is closed in the next iteration only; failed attempts would be retried until
+        # then.
         self._host.drop_request(request)
         request.reply.detach_request()
         self.withdraw()
         return False
 
     def mark_unsent(self) -> None:
-        """Register with the request, so that it is withdrawn with it while that is possible."""
+        """Register with the request, which withdraws the attempt if it is still unsent then."""
         if self._request.unsent is None:
             self._request.unsent = []
         self._request.unsent.append(self)
 
     def withdraw(self) -> None:
-        """End it unless it was sent; one that was not is excluded from the server's health statistics."""
-        if self._part is None and not self.is_over:
+        """End it unless it was sent; an unsent one is excluded from the server's health statistics."""
+        if self._batch is None and not self.is_over:
             if self.connection is None or self.connection.unsent:
                 self.exclude_from_health(always=True)
             super().withdraw()
@@ -211,17 +212,17 @@
         """Whether a long value is being streamed."""
         return self._stream is not None
 
-    def begin(self, part: Carrier) -> None:
+    def begin(self, batch: Carrier) -> None:
         """Record that it was sent in this batch."""
-        self._part = part
-        self._sent_at, self._lag_before = part.begun_at, part.lag_before
+        self._batch = batch
+        self._sent_at, self._lag_before = batch.begun_at, batch.lag_before
 
     def elapsed(self) -> int:
-        """Nanoseconds since it was sent, without the lag of this router's event loop."""
+        """Return the nanoseconds since it was sent, without the lag of this router's event loop."""
         return self._elapsed(self._host.now())
 
     def record_latency(self, latency: int) -> None:
-        """Record its share of its batch's latency, in nanoseconds."""
+        """Record its share of the latency of its batch, in nanoseconds."""
         self._latency = self._latency or latency
 
     def exclude_from_health(self, always: bool = False) -> None:
@@ -233,26 +234,26 @@
         self._latency = self._latency or 1
 
     def give_up(self, outcome: Outcome) -> None:
-        """End it before its answer is received, and with it the batch that carries it."""
-        if self._part is not None and not self.is_over:
-            self._part.give_up(outcome)
+        """End it before its answer is received, together with the batch that carries it, if any."""
+        if self._batch is not None and not self.is_over:
+            self._batch.give_up(outcome)
         else:
             super().give_up(outcome)
 
     def wait_until(self, due: int) -> None:
-        """Give up at the time `due`, in nanoseconds."""
+        """Set the time at which the attempt times out, in nanoseconds."""
         self._timer = self._host.call_at(due, self._timed_out)
 
     def _timed_out(self) -> None:
-        # Guards a server that has answered: after a lag of the event loop its answer may be unread.
-        after_poll(self._host.loop, self._no_answer)
+        # The server may have answered: when the event loop is late, the answer may still be unread.
+        after_poll(self._host.loop, self._time_out)
 
-    def _no_answer(self) -> None:
-        if self._stream is None:  # else a long value has begun at the last moment
+    def _time_out(self) -> None:
+        if self._stream is None:  # else a long value has just begun
             self.give_up(Outcome.TIMEOUT)
 
     def request_bytes(self, address: Address) -> bytes:
-        """Encode the client's request for this server, advertising what is left of the client's time."""
+        """Encode the client's request for this server, and advertise the time left until its deadline."""
         request, command = self._request, self._request.command
         timeout_ms = deadline_propagation.remaining_ms(request.deadline, self._host.now(), command.timeout_ms)
         if self._to_origin:
@@ -272,7 +273,7 @@
         self._latency = self._elapsed(self._host.now())
         request = self._request
         if request.closed:
-            return  # nobody reads it: the attempt's timeout stays
+            return  # the value is not used, and the attempt's timeout still applies
         if self._timer is not None:
             self._timer.cancel()
         request.streaming = request.closed = True
@@ -282,11 +283,11 @@
         self._host.handle_event(StreamStarted(request.id, self._number))
 
     def _elapsed(self, now: int) -> int:
-        """Nanoseconds that the server took, without the lag of this router's event loop."""
+        """Return the nanoseconds that the server took, without the lag of this router's event loop."""
         return max(now - self._sent_at - (self._host.lag.total(now) - self._lag_before), 1)
 
     def value_received(self, data: bytes) -> None:
-        """Pass on a part of a long value."""
+        """Pass a part of a long value on to the client."""
         if self._stream is not None:
             self._stream.record_bytes()
             self._request.reply.write(data)
@@ -304,7 +305,7 @@
     def _stalled(self) -> None:
         self.give_up(Outcome.RESET)
 
-    def client_left(self) -> None:
+    def client_disconnected(self) -> None:
         """Cancel it: the client that reads the value has disconnected."""
         self.give_up(Outcome.CANCELLED)
 
@@ -315,12 +316,13 @@
         host, request, now = self._host, self._request, self._host.now()
         value, note, report = answer
         reply, ledger = request.reply, host.ledger
-        request.out -= 1
+        request.attempts_in_flight -= 1
         stream, self._stream = self._stream, None
         if stream is not None:
             stream.close()
             request.streaming = False
-            # Accounted for first: aborting the reply closes the connection, as a client's disconnect does.
+            # Accounted for first: aborting the reply closes the connection, which counts as a disconnect of
+            # the client otherwise.
             if ledger is not None and not request.accounted:
                 if outcome is Outcome.OK:
                     ledger.record_served(request.id, now, stream.length)
@@ -341,13 +343,16 @@
             host.counters.answered[request.command.fields["c"]] += 1
             if ledger is not None:
                 ledger.record_served(request.id, now, len(value), self._to_origin)
-                ledger = None  # it has recorded both
+                ledger = None  # it has recorded the attempt too
         if ledger is not None:
             fields = request.command.fields
             ledger.record_attempt(fields["c"], fields.get("t"), outcome.value, self._to_origin)
         latency = self._latency or self._elapsed(now)
-        load, stale = host.parse_load_report(report), self._excluded_from_health or self.connection_failed
-        result = request.closed, latency, note, load, stale, self.connection_rejected
+        load, is_excluded = (
+            host.parse_load_report(report),
+            self._excluded_from_health or self.connection_failed,
+        )
+        result = request.closed, latency, note, load, is_excluded, self.connection_rejected
         event = AttemptEnded(request.id, self._number, self._server, outcome, *result)
         host.forget_if_settled(request)
         host.handle_event(event)
--- a/pebblepass/daemon/buffer_budget.py
+++ b/pebblepass/daemon/buffer_budget.py
@@ -1,4 +1,4 @@
-"""Memory for answers of unknown length, which have to be buffered completely. No I/O, no clock."""
+"""The memory budget for values of unknown length, which have to be buffered completely. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class BufferingConnection(Protocol):
-    """A connection that buffers an answer."""
+    """A connection that buffers a value."""
 
     def pause_buffering(self) -> None:
         """Pause reading."""
@@ -16,38 +16,39 @@
 
 
 class BufferBudget:
-    """Divides memory among readers that each may need up to the longest answer.
+    """Divides memory among connections, each of which may need as much as the longest value.
 
-    The first reader may always continue: memory for one complete answer is reserved for it, so that all
-    finish one after another however little there is. The others share the rest.
+    Memory for one complete value is reserved for the first connection, so that it can always finish and all
+    finish one after another, however small the budget is. The others share the rest.
     """
 
     def __init__(self, total: int, longest: int) -> None:
+        """`total` and `longest`, the length of the longest value, are in bytes."""
         self._shared = max(total - longest, 0)
-        self._held: dict[BufferingConnection, int] = {}
-        self._waiting: dict[BufferingConnection, None] = {}
+        self._used: dict[BufferingConnection, int] = {}
+        self._paused: dict[BufferingConnection, None] = {}
 
     @property
     def used(self) -> int:
-        """Bytes buffered by all readers."""
-        return sum(self._held.values())
-
-    def take(self, reader: BufferingConnection, size: int) -> None:
-        """Count `size` received bytes of a reader; it is paused if it has to wait for memory."""
-        self._held[reader] = self._held.get(reader, 0) + size
-        if reader not in self._waiting and not self._may_read(reader):
-            self._waiting[reader] = None
-            reader.pause_buffering()
-
-    def release(self, reader: BufferingConnection) -> None:
-        """Release all memory of a reader, and resume those that may continue."""
-        self._held.pop(reader, None)
-        self._waiting.pop(reader, None)
-        for waiting in list(self._waiting):
-            if waiting in self._waiting and self._may_read(waiting):
-                del self._waiting[waiting]
-                waiting.resume_buffering()
-
-    def _may_read(self, reader: BufferingConnection) -> bool:
-        first = next(iter(self._held))
-        return reader is first or self.used - self._held[first] <= self._shared
+        """Bytes buffered by all connections."""
+        return sum(self._used.values())
+
+    def take(self, connection: BufferingConnection, size: int) -> None:
+        """Count `size` bytes that a connection has received, and pause it if it has to wait for memory."""
+        self._used[connection] = self._used.get(connection, 0) + size
+        if connection not in self._paused and not self._may_read(connection):
+            self._paused[connection] = None
+            connection.pause_buffering()
+
+    def release(self, connection: BufferingConnection) -> None:
+        """Release all memory of a connection, and resume the connections that may continue."""
+        self._used.pop(connection, None)
+        self._paused.pop(connection, None)
+        for paused in list(self._paused):
+            if paused in self._paused and self._may_read(paused):
+                del self._paused[paused]
+                paused.resume_buffering()
+
+    def _may_read(self, connection: BufferingConnection) -> bool:
+        first = next(iter(self._used))
+        return connection is first or self.used - self._used[first] <= self._shared
--- a/pebblepass/daemon/client_connection.py
+++ b/pebblepass/daemon/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: its commands, the order of its replies, and its timeouts."""
+"""One client's connection: receives commands, keeps the order of replies, and detects a disconnect."""
 
 from __future__ import annotations
 
@@ -25,9 +25,10 @@
     from pebblepass.daemon.session_commands import ClientSession
     from pebblepass.handover.messages import ConnectionState
 
-MAX_PIPELINE = 256
-HIGH_WATER = 64 << 10
-# For which a client counts as alive. The platform forbids attempts that begin over 0.1 s after a disconnect.
+MAX_PIPELINE = 256  # commands without a complete reply on one connection, before it is no longer read
+WRITE_HIGH_WATER_BYTES = 64 << 10
+# For which a client counts as connected. The platform forbids attempts that begin over 0.1 s after a
+# disconnect.
 LIVENESS_TTL_S = 0.05
 
 log = logging.getLogger("pebblepass")
@@ -47,7 +48,7 @@
 
     @property
     def on_handover(self) -> object | None:
-        """Not None while there is another process to hand connections over to."""
+        """Not None as long as there is another process to hand connections over to."""
 
     def begin_handover(self, connection: ClientConnection) -> None:
         """Hand the connection over if it can be."""
@@ -70,27 +71,33 @@
     """One client's connection: parses commands, orders replies, and detects the client's disconnect."""
 
     def __init__(
-        self, server: ConnectionServer, handed: ConnectionState | None = None, empty_at: float = float("-inf")
+        self,
+        server: ConnectionServer,
+        handed_over: ConnectionState | None = None,
+        empty_at: float = float("-inf"),
     ) -> None:
-        """`handed`: its state in the process that handed it over; `empty_at`: a time without unread bytes."""
+        """`handed_over`: its state in the process that handed it over, if one has.
+
+        `empty_at`: a loop time at which no bytes were unread; minus infinity if no such time is known.
+        """
         self.server = server
-        self._handed = handed
+        self._handed_over = handed_over
         self.transport: asyncio.Transport | None = None
         self.replies: deque[Reply] = deque()
         self.blocked = self.closed = False
         self.last_used_at = server.loop.time()
         self.reader = CommandReader(server.multi_gets is not None)
         self.session: ClientSession | None = None
-        self._reserved = 0  # bytes of the budget, for the command being received
-        # The first command is timed from the start of the connection.
+        self._reserved = 0  # bytes of the memory budget, for the command being received
+        # The timeout of the first command starts with the connection.
         self.command_started_at = self.last_used_at
         self.has_sent_command = False
         self._awaits_budget = False
         self._closes_when_idle = False  # no further command is expected
-        self._draining = False  # it is closed for the router's shutdown, once it has nothing open
+        self._draining = False  # it closes for the router's shutdown, once it has nothing open
         self._disconnect_detected = False
         self.liveness = ClientLiveness(server.lag, server.poll_socket, self.last_used_at, empty_at)
-        """What reads and polls tell of the client's connection."""
+        """When the client is known to have been connected, and how long its bytes were unread."""
         self.unsent_at_last_sweep = 0
         """Bytes in the write buffer when the timeouts were last enforced."""
         self.unread_ns = 0
@@ -101,14 +108,14 @@
         """Whether it is being handed over to another process."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start serving; continues the command that another process began, if any."""
+        """Start serving; continues the command that another process has begun to receive, if any."""
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(high=HIGH_WATER)
+        self.transport.set_write_buffer_limits(high=WRITE_HIGH_WATER_BYTES)
         self.liveness.descriptor = self.transport.get_extra_info("socket").fileno()
         self.server.register(self)
-        if self._handed is not None and not self.transport.is_closing():
-            self._restore(self._handed)  # before anything else is read
-            self._handed = None
+        if self._handed_over is not None and not self.transport.is_closing():
+            self._restore(self._handed_over)  # before anything else is read
+            self._handed_over = None
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Drop the open requests."""
@@ -118,8 +125,8 @@
         """Treat the end of the client's sending as its disconnect."""
         self._handle_disconnect()
         if self.transport is not None and self.transport.get_write_buffer_size():
-            # Danger: a transport that is closed rather than aborted keeps its descriptor until its client has
-            # read the rest, which may be never, and no limit counts that descriptor any longer.
+            # A transport that is closed rather than aborted keeps its descriptor until its client has read
+            # the rest, which may be never, while no limit counts that descriptor any longer.
             self.transport.abort()
         return False
 
@@ -127,7 +134,7 @@
         if self.closed:
             return
         self.closed = True
-        # Danger: a connection left registered holds its memory, counts in the limit, and blocks a drain.
+        # A connection left registered would keep its memory, count in the limit, and block a drain.
         self.server.unregister(self)
         if self._reserved:
             self.server.budget.release(self._reserved)
@@ -151,7 +158,7 @@
         starts_command = not reader.needed_bytes
         commands = reader.feed(data)
         if len(commands) > 1 and self.client_has_disconnected():
-            # Danger: commands of a client that sent several and disconnected would be sent on for nobody.
+            # The commands of a client that sent several and disconnected would be sent to servers for nobody.
             self.abort()
             return
         self.has_sent_command = self.has_sent_command or bool(commands)
@@ -161,7 +168,7 @@
             self.replies.append(reply)
             self._dispatch(words, reply)
         if reader.framing_error:
-            self._reject_broken(reader.framing_error)
+            self._reject_invalid_bytes(reader.framing_error)
         elif reader.needed_bytes:
             if commands or (starts_command and self.has_sent_command):
                 self.command_started_at = self.last_used_at
@@ -173,8 +180,8 @@
         if len(self.replies) >= MAX_PIPELINE:
             self.update_reading()
 
-    def _reject_broken(self, problem: str) -> None:
-        """Reply to bytes that are no command, and close."""
+    def _reject_invalid_bytes(self, problem: str) -> None:
+        """Reply to bytes that are not a command, and close."""
         reply = Reply(self)
         self.replies.append(reply)
         self._closes_when_idle = True
@@ -182,7 +189,7 @@
         reply.send(b"-ERR Protocol error: %b\r\n" % problem.encode())
 
     def reserve(self) -> None:
-        """Reserve memory for the command being received, or wait until some is released."""
+        """Reserve memory for the command being received, or wait until enough is released."""
         self._awaits_budget = not self.server.budget.reserve(self, self.reader.needed_bytes)
         if not self._awaits_budget:
             self._reserved = self.reader.needed_bytes
@@ -214,13 +221,13 @@
         self.server.host.request_arrived(command, reply)
 
     def _dispatch_other(self, words: list[bytes], reply: Reply) -> None:
-        """Dispatch a command that is neither a read nor a write of one key."""
+        """Dispatch a command that is neither a read nor a write of a single key."""
         server = self.server
         if server.multi_gets is not None and words[0].upper() == MULTI_GET_COMMAND:
             self._closes_when_idle = self._closes_when_idle or self.is_over_limit
             server.multi_gets.command_arrived(words, reply, self.is_over_limit)
             return
-        # Imported with the first handshake: the platform's clients have none.
+        # Imported with the first handshake: the platform's clients send none.
         from pebblepass.daemon.session_commands import ClientSession, answer_session_command
 
         if self.session is None:
@@ -254,8 +261,8 @@
         if not replies:
             self.last_used_at = self.server.loop.time()
         if not replies and self._closes_when_idle and self.transport is not None:
-            # Danger: closing with unread bytes loses a request, and sends a reset that may destroy the
-            # last reply.
+            # Closing with unread bytes would lose a request, and send a reset that may destroy the last
+            # reply.
             if not (self._draining and self.has_unread()):
                 self.transport.close()
         elif not replies and self.server.on_handover is not None:
@@ -264,7 +271,7 @@
             self.update_reading()
 
     def pause_writing(self) -> None:
-        """Pause reading from the client and from the source of its reply: it does not read its replies."""
+        """Pause reading from the client, which does not read its replies, and from its reply's source."""
         self.blocked = True
         self.last_used_at = self.server.loop.time()
         self.update_reading()
@@ -279,18 +286,18 @@
             self.replies[0].source.resume()
 
     def update_reading(self) -> None:
-        """Pause or resume reading, by whether another command can be accepted now."""
+        """Pause or resume reading, depending on whether another command can be accepted now."""
         full = len(self.replies) >= MAX_PIPELINE
-        wanted = not (
+        should_read = not (
             self.blocked or self._awaits_budget or self.reader.framing_error or full or self.in_handover
         )
-        if wanted == self.liveness.is_reading or self.transport is None or self.transport.is_closing():
+        if should_read == self.liveness.is_reading or self.transport is None or self.transport.is_closing():
             return
-        if wanted and self.client_has_disconnected():
-            # Danger: commands sent before the disconnect would be sent on, however long ago that was.
+        if should_read and self.client_has_disconnected():
+            # Commands sent before the disconnect would be sent to servers, however long ago that was.
             self.server.loop.call_soon(self.abort)
             return
-        if wanted:
+        if should_read:
             self.liveness.resume(self.server.loop.time())
             self.transport.resume_reading()
         else:
@@ -299,20 +306,20 @@
             self.server.schedule_paused_poll()
 
     def client_has_disconnected(self) -> bool:
-        """Poll whether the client has closed or reset the connection, perhaps behind unread bytes."""
+        """Poll whether the client has closed or reset the connection, possibly after unread bytes."""
         if self.transport is None or self.transport.is_closing():
             return False
         return self.liveness.poll_disconnect(self.server.loop.time)
 
     def is_alive(self) -> bool:
-        """Whether the client is connected; polls if that was last known more than LIVENESS_TTL_S ago."""
+        """Whether the client is connected; polls if the last confirmation is over LIVENESS_TTL_S old."""
         if self._disconnect_detected or self.closed or self.transport is None or self.transport.is_closing():
             return False
         if self.server.loop.time() - self.liveness.last_alive_at() <= LIVENESS_TTL_S:
             return True
         if self.client_has_disconnected():
             self._disconnect_detected = True
-            # In an iteration of its own: the caller may be handling another request.
+            # Not in this call: the caller may be handling another request.
             self.server.loop.call_soon(self.abort)
             return False
         return True
@@ -325,7 +332,7 @@
 
     @property
     def paused(self) -> bool:
-        """Whether it is not read, so that only a poll detects its disconnect."""
+        """Whether it is not read, so that only a poll can detect its disconnect."""
         return not (self.liveness.is_reading or self.in_handover or self.closed)
 
     @property
@@ -335,7 +342,7 @@
 
     @property
     def activity(self) -> Activity:
-        """Its state, by which connections are chosen for eviction."""
+        """Its state, which decides whether it may be evicted."""
         if self.replies or self.in_handover:
             return Activity.REPLY_PENDING
         if self.reader.needed_bytes:
@@ -343,11 +350,11 @@
         return Activity.IDLE if self.has_sent_command else Activity.NEW
 
     def finish(self, with_partial_commands: bool) -> None:
-        """Close once nothing is open; `with_partial_commands`: also with a partial command."""
+        """Close once nothing is open; `with_partial_commands`: also with a partially received command."""
         if self.transport is None or self.closed:
             return
-        new = not (self.has_sent_command or self.replies)
-        if not self.replies and (with_partial_commands or not (self.reader.needed_bytes or new)):
+        is_new = not (self.has_sent_command or self.replies)
+        if not self.replies and (with_partial_commands or not (self.reader.needed_bytes or is_new)):
             self._closes_when_idle = self._draining = True
             if not self.has_unread():
                 self.transport.close()
@@ -356,12 +363,12 @@
 
     @property
     def is_transferable(self) -> bool:
-        """Whether another process could serve it: it is open for commands, and owes no reply."""
+        """Whether another process could serve it: it accepts commands, and no reply is outstanding."""
         if self.transport is None or self.transport.is_closing() or self.replies:
             return False
-        ends = self._closes_when_idle or self.closed or self.is_over_limit
-        waits = self.blocked or self._awaits_budget or self._reserved
-        return not (ends or waits or self.in_handover)
+        is_ending = self._closes_when_idle or self.closed or self.is_over_limit
+        is_waiting = self.blocked or self._awaits_budget or self._reserved
+        return not (is_ending or is_waiting or self.in_handover)
 
     @property
     def descriptor(self) -> int:
@@ -370,19 +377,19 @@
         descriptor: int = self.transport.get_extra_info("socket").fileno()
         return descriptor
 
-    def _restore(self, handed: ConnectionState) -> None:
-        """Restore the state that came with a handover."""
-        self.has_sent_command = handed.has_sent_command
-        if handed.protocol:
+    def _restore(self, state: ConnectionState) -> None:
+        """Restore the state that another process has handed over."""
+        self.has_sent_command = state.has_sent_command
+        if state.protocol:
             from pebblepass.daemon.session_commands import ClientSession
 
             self.server.session_count += 1
-            self.session = ClientSession(handed.connection_number, handed.protocol, handed.client_name)
-        if handed.partial_command:
+            self.session = ClientSession(state.connection_number, state.protocol, state.client_name)
+        if state.partial_command:
             unread_age = self.liveness.without_unread_age(self.last_used_at)
-            self.data_received(handed.partial_command)
+            self.data_received(state.partial_command)
             self.liveness.restore_unread_age(unread_age)
-            self.command_started_at = self.server.loop.time() - handed.command_age_ms / 1000
+            self.command_started_at = self.server.loop.time() - state.command_age_ms / 1000
 
     def abort(self) -> None:
         """Abort the connection, and drop its open requests."""
@@ -392,7 +399,7 @@
 
     def reject_unfinished(self) -> None:
         """Reply to a command that was not received in time, and close."""
-        # Guards connections queued for memory behind this one: they are next, and have waited as long.
+        # Connections that wait for this memory try next: they may have waited as long.
         reserved, self._reserved = self._reserved, 0
         self.server.budget.release(reserved)
         self._closes_when_idle = True
--- a/pebblepass/daemon/client_liveness.py
+++ b/pebblepass/daemon/client_liveness.py
@@ -1,4 +1,4 @@
-"""When a client was last known to be connected, and how long its bytes were unread; times are in seconds."""
+"""When a client was last known to be connected, and how long its bytes were unread. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ClientLiveness:
-    """What reads and polls of one connection tell of its client."""
+    """Derives both from the reads and polls of one connection."""
 
     __slots__ = (
         "_confirmed_alive_at",
@@ -27,13 +27,13 @@
     def __init__(
         self, lag: PollTimes, poll_socket: Callable[[int, int], int], now: float, empty_at: float
     ) -> None:
-        """`empty_at`: a loop time at which no bytes were unread; minus infinity if none is known."""
+        """`empty_at`: a loop time at which no bytes were unread; minus infinity if no such time is known."""
         self._lag, self._poll_socket = lag, poll_socket
         self.descriptor = -1
         """The file descriptor of the connection's socket, once it is connected."""
         self.is_reading = True
         """Whether the event loop reads from the connection."""
-        # Danger: before the first read nothing is known, as a connection may have waited long to be accepted.
+        # Unknown before the first read, as the connection may have waited for a long time to be accepted.
         self._confirmed_alive_at = float("-inf")
         self._last_read_at = float("inf")
         self._reading_since = now
@@ -41,7 +41,7 @@
 
     def record_read(self, now: float, size: int) -> int:
         """Record a read of `size` bytes; returns the nanoseconds for which they may have been unread."""
-        # Not now: an end of file behind these bytes is read an iteration later.
+        # Not `now`: an end of file after these bytes would be read in the next iteration only.
         self._confirmed_alive_at = self.last_alive_at()
         polled_at = self._lag.sockets_polled_at
         if self.is_reading and self._reading_since < polled_at:
@@ -62,22 +62,22 @@
         return self._confirmed_alive_at
 
     def poll_disconnect(self, clock: Callable[[], float]) -> bool:
-        """Poll whether the client has closed or reset the connection, perhaps behind unread bytes."""
-        found = self._poll_socket(self.descriptor, READ_EVENTS)
-        if peer_has_closed(found):
+        """Poll whether the client has closed or reset the connection, possibly after unread bytes."""
+        events = self._poll_socket(self.descriptor, READ_EVENTS)
+        if peer_has_closed(events):
             return True
         self._confirmed_alive_at = clock()
-        if not found & select.POLLIN:
+        if not events & select.POLLIN:
             self._unread_age.emptied(self._confirmed_alive_at)
         return False
 
     def has_unread(self) -> bool:
         """Whether a connected client has sent bytes that the event loop has not read."""
-        found = self._poll_socket(self.descriptor, READ_EVENTS)
-        return bool(found & select.POLLIN) and not peer_has_closed(found)
+        events = self._poll_socket(self.descriptor, READ_EVENTS)
+        return bool(events & select.POLLIN) and not peer_has_closed(events)
 
     def without_unread_age(self, now: float) -> UnreadAge:
-        """Replace the age of unread bytes, for bytes that do not come from the socket; return the old."""
+        """Replace and return the age of unread bytes, before bytes that do not come from the socket."""
         replaced, self._unread_age = self._unread_age, UnreadAge(now)
         return replaced
 
--- a/pebblepass/daemon/client_server.py
+++ b/pebblepass/daemon/client_server.py
@@ -25,7 +25,7 @@
 
 BACKLOG = 1024
 SWEEP_INTERVAL_S = 0.5
-PAUSED_POLL_INTERVAL_S = 0.1  # between two polls of the connections that are not read, for disconnects
+PAUSED_POLL_INTERVAL_S = 0.1  # at which connections that are not read are polled for disconnects
 MAX_EVICTION_CHECKS = 4  # connections considered for eviction before a new one is rejected
 
 
@@ -40,26 +40,29 @@
         budget: int,
         rejected: int = MAX_REJECTED_CONNECTIONS,
     ) -> None:
-        """`limit` connections are served; the commands of `rejected` more are rejected."""
+        """`limit`: connections that are served; `rejected`: further ones, whose commands are rejected.
+
+        `budget`: bytes for long commands.
+        """
         self.loop, self.host, self._limit, self._rejected_limit = loop, host, limit, rejected
         self.poll_socket: Callable[[int, int], int] = socket_poller(loop).poll
         self.lag: PollTimes = host.lag
         self.shutting_down = False
-        """Whether commands are rejected: the router exits before it could reply."""
+        """Whether commands are rejected, as the router exits before it could reply to them."""
         self._paused_timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self.multi_gets: MultiKeyHost | None = None
         self.session_count = 0
-        """Number of connections with a handshake or another command that is no request."""
+        """Number of connections so far that have sent a session command."""
         self.budget = MemoryBudget(budget)
         self._connections: dict[ClientConnection, None] = {}
         self._listener: asyncio.Server | None = None
         self._listener_descriptor = -1
         self._backlog_age = BacklogAge()
         self.on_handover: Callable[[ConnectionHandover], None] | None = None
-        """Called with each idle connection while there is another process to hand it over to."""
+        """Called with each idle connection as long as there is another process to hand it over to."""
         self.draining = False
-        """Whether no connection is accepted any longer."""
+        """Whether connections are no longer accepted."""
         self._timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     @property
@@ -74,11 +77,12 @@
             evicted.abort()
 
     def _eviction_candidate(self) -> ClientConnection | None:
-        """The connection to evict for a new one, if any; never one that has unread bytes."""
+        """Return the connection to evict for a new one, if any; never one that has unread bytes."""
         now = self.loop.time()
         for _ in range(MAX_EVICTION_CHECKS):
             candidate = choose_eviction(
-                (each, each.activity, now - each.last_used_at) for each in self._connections
+                (connection, connection.activity, now - connection.last_used_at)
+                for connection in self._connections
             )
             if candidate is None or not candidate.has_unread():
                 return candidate
@@ -99,29 +103,31 @@
         if paused:
             self.schedule_paused_poll()
 
-    async def adopt(self, sock: socket.socket, handed: ConnectionState) -> None:
+    async def adopt(self, sock: socket.socket, handed_over: ConnectionState) -> None:
         """Serve a connection that another process has handed over."""
-        await self._adopt(sock, functools.partial(ClientConnection, self, handed, self.lag.sockets_polled_at))
+        await self._adopt(
+            sock, functools.partial(ClientConnection, self, handed_over, self.lag.sockets_polled_at)
+        )
 
-    async def listen(self, at: Address | socket.socket) -> None:
+    async def listen(self, address: Address | socket.socket) -> None:
         """Accept connections at this address, or on a socket that listens already."""
         self.draining = False
         make = self._make_connection
-        if isinstance(at, socket.socket):
-            self._listener = await self.loop.create_server(make, sock=at, backlog=BACKLOG)
+        if isinstance(address, socket.socket):
+            self._listener = await self.loop.create_server(make, sock=address, backlog=BACKLOG)
         else:
-            self._listener = await self.loop.create_server(make, *at, backlog=BACKLOG)
+            self._listener = await self.loop.create_server(make, *address, backlog=BACKLOG)
         self._listener_descriptor = self._listener.sockets[0].fileno()
 
     def _make_connection(self) -> ClientConnection:
-        """Make the protocol of a connection that was accepted just now."""
+        """Make the protocol of a connection that has just been accepted."""
         pending = self.poll_socket(self._listener_descriptor, select.POLLIN) & select.POLLIN
         now, polled_at = self.loop.time(), self.lag.sockets_polled_at
         empty_at = self._backlog_age.accepted(now, polled_at, more_wait=bool(pending))
         return ClientConnection(self, empty_at=empty_at)
 
     def register(self, connection: ClientConnection) -> None:
-        """Register a new connection: at the limit one is evicted, or the new one is rejected."""
+        """Register a new connection; at the limit, evict another one or reject the new one's commands."""
         if len(self._connections) >= self._limit:
             evicted = self._eviction_candidate()
             if evicted is not None:
@@ -152,8 +158,8 @@
 
         Returns whether there may be more, for a later iteration of the loop.
         """
-        # Danger: the kernel has accepted them, and requests they have sent are lost if the listener closes.
-        # Accepted all at once, they would use up the descriptors that dials and discovery need.
+        # The kernel has accepted them already, and the requests that they have sent are lost if the listener
+        # closes. Accepted all at once, they would use up the descriptors that dials and discovery need.
         if self._listener is None:
             return False
         return accept_pending(self.loop, self._listener, self._accept, 1 - len(self._tasks))
@@ -184,10 +190,10 @@
             self.begin_handover(connection)
 
     def begin_handover(self, connection: ClientConnection) -> None:
-        """Hand one connection over if it can be; otherwise this is called again after its last reply."""
+        """Hand one connection over if that is possible; if not, this is called again after its last reply."""
         if self.on_handover is None:
             return
-        # Imported with the first handover: most processes never have one.
+        # Imported with the first handover: most processes have none.
         from pebblepass.daemon.connection_handover import ConnectionHandover
 
         handover = ConnectionHandover(connection)
--- a/pebblepass/daemon/client_timeouts.py
+++ b/pebblepass/daemon/client_timeouts.py
@@ -1,4 +1,4 @@
-"""The timeouts of clients: for sending a command, for reading replies, and for using a connection at all."""
+"""The timeouts of clients: for sending a command, for reading replies, and for using a connection."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from pebblepass.daemon.client_connection import ClientConnection
 
 IDLE_TIMEOUT_S = 2.0  # after which a connection without an open request is closed, even if it never had one
-COMMAND_TIMEOUT_S = 2.0  # for receiving one command; well within the platform's 3 s, with a sweep's delay
-WRITE_STALL_TIMEOUT_S = 10.0  # within which a client must read some of its buffered replies
+COMMAND_TIMEOUT_S = 2.0  # for receiving one command; the platform allows 3 s, and a sweep may come 0.5 s late
+WRITE_STALL_TIMEOUT_S = 10.0  # within which a client has to read some of its buffered replies
 
 log = logging.getLogger("pebblepass")
 
@@ -21,13 +21,16 @@
         _check_write_stall(connection, now)
     elif connection.idle:
         _check_idle(connection, now)
-    # A client that waits for memory is owed a reply within the same time.
+    # This applies to a client that waits for memory too.
     elif (
         connection.reader.needed_bytes
         and not connection.replies
         and now - connection.command_started_at > COMMAND_TIMEOUT_S
     ):
-        log.warning("client did not finish its command within %.1f s: rejected, closing", COMMAND_TIMEOUT_S)
+        log.warning(
+            "client did not complete its command within %.1f s: command rejected, closing the connection",
+            COMMAND_TIMEOUT_S,
+        )
         connection.reject_unfinished()
 
 
@@ -38,7 +41,7 @@
         connection.unsent_at_last_sweep, connection.last_used_at = size, now
     if now - connection.last_used_at > WRITE_STALL_TIMEOUT_S:
         log.warning(
-            "client read none of its %d reply bytes for %.0f s: connection aborted",
+            "client read none of its %d buffered reply bytes for %.0f s: connection aborted",
             size,
             WRITE_STALL_TIMEOUT_S,
         )
@@ -46,8 +49,8 @@
 
 
 def _check_idle(connection: ClientConnection, now: float) -> None:
-    # Guards the limit and the memory against clients that connect without a request, or keep their
-    # connection for good after one.
+    # Limits connections and memory used by clients that connect without sending a request, or keep their
+    # connection open after one.
     if now - connection.last_used_at <= IDLE_TIMEOUT_S or connection.transport is None:
         return
     if not connection.has_unread():
--- a/pebblepass/daemon/config.py
+++ b/pebblepass/daemon/config.py
@@ -1,4 +1,4 @@
-"""A router's configuration: the file named by LB_CONFIG, and the environment variables beside it."""
+"""A router's configuration: the file named by LB_CONFIG, and environment variables that override it."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 
 class ConfigError(Exception):
-    """The configuration is invalid; the text is one line."""
+    """The configuration is invalid; the message is one line."""
 
 
 class Config(Struct, frozen=True):
-    """The configuration in the router's own terms; times are nanoseconds."""
+    """A valid configuration; times are nanoseconds."""
 
     name: str
     listen: Address
@@ -36,18 +36,18 @@
     """Maximum number of open requests."""
     dial_timeout: int
     idle_close: int
-    """Time after which a cache server closes an idle connection, at the latest."""
+    """Maximum time after which a cache server closes an idle connection."""
     memory: int
     """Bytes; the platform kills a router that uses more."""
     sockets: int
     cores: float
-    """Number of cores that it may use; may be a fraction."""
+    """Number of cores that the router may use; may be a fraction."""
     ops: Address | None
     """The control address, if there is one."""
     inherited: int | None
-    """The descriptor of the clients' listening socket, if the platform holds it."""
+    """The descriptor of the clients' listening socket, if the process inherits it from the platform."""
     known: dict[str, Any] | None
-    """The cached endpoint list in discovery's format; it may be old."""
+    """The cached endpoint list in discovery's format; it may be outdated."""
 
 
 def load_config(environ: Mapping[str, str]) -> Config:
@@ -57,8 +57,8 @@
         raise ConfigError("LB_CONFIG is not set")
     try:
         with open(path, "rb") as file:
-            told = msgspec.json.decode(file.read())
-        return read_config(typed("the file", told, dict), environ)
+            decoded = msgspec.json.decode(file.read())
+        return read_config(typed("the file", decoded, dict), environ)
     except OSError as error:
         raise ConfigError(f"LB_CONFIG: {error}") from None
     except KeyError as error:
@@ -96,21 +96,21 @@
     return int(text)
 
 
-def read_config(told: dict[str, Any], environ: Mapping[str, str]) -> Config:
+def read_config(decoded: dict[str, Any], environ: Mapping[str, str]) -> Config:
     """Read the decoded file; raises KeyError, WireError, ValueError or TypeError if it is invalid."""
-    facts = typed("settings", told["settings"], dict)
-    ceilings = facts.get("ceilings") or {}
-    limits = typed("limits", told.get("limits") or {}, dict)
-    known = told.get("known")
+    settings = typed("settings", decoded["settings"], dict)
+    ceilings = settings.get("ceilings") or {}
+    limits = typed("limits", decoded.get("limits") or {}, dict)
+    known = decoded.get("known")
     if known is not None:
-        # Guards the start: an invalid list is a ConfigError, not a failure of the running router.
+        # Parsed here too, so that an invalid list is a ConfigError and not a failure of the running router.
         parse_endpoint_list(typed("known", known, dict), ClockOffset(0, 0))
     return Config(
-        name=environ.get("LB_NAME") or str(told.get("name") or "router"),
-        listen=parse_address("listen", environ.get("LB_LISTEN") or told["listen"]),
-        discovery=parse_address("discovery", environ.get("LB_DISCOVERY") or told["discovery"]),
-        seed=int(str(told.get("seed") or "0"), 16),
-        settings=read_settings(facts),
+        name=environ.get("LB_NAME") or str(decoded.get("name") or "router"),
+        listen=parse_address("listen", environ.get("LB_LISTEN") or decoded["listen"]),
+        discovery=parse_address("discovery", environ.get("LB_DISCOVERY") or decoded["discovery"]),
+        seed=int(str(decoded.get("seed") or "0"), 16),
+        settings=read_settings(settings),
         max_open=_positive("ceilings.maxOpen", ceilings.get("maxOpen"), DEFAULT_MAX_OPEN),
         dial_timeout=_positive(
             "ceilings.dialTimeoutNs", ceilings.get("dialTimeoutNs"), DEFAULT_DIAL_TIMEOUT_NS
@@ -119,7 +119,7 @@
         memory=_positive("limits.memory_mb", limits.get("memory_mb"), DEFAULT_MEMORY_MB) << 20,
         sockets=_positive("limits.sockets", limits.get("sockets"), DEFAULT_SOCKETS),
         cores=_cores(limits.get("cores")),
-        ops=parse_address("ops", ops) if (ops := environ.get("LB_OPS") or told.get("ops")) else None,
+        ops=parse_address("ops", ops) if (ops := environ.get("LB_OPS") or decoded.get("ops")) else None,
         inherited=_descriptor(environ.get("LB_INHERITED_FD")),
         known=known,
     )
--- a/pebblepass/daemon/connection_handover.py
+++ b/pebblepass/daemon/connection_handover.py
@@ -1,4 +1,4 @@
-"""The handover of one client's connection to another process: when it may begin, its state, how it ends."""
+"""The handover of one client's connection to another process."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ConnectionHandover:
-    """One connection on its way to another process: `begin` first, then either `cancel` or `complete`."""
+    """The handover of one connection: `begin` comes first, then either `cancel` or `complete`."""
 
     __slots__ = ("connection",)
 
@@ -15,13 +15,16 @@
         self.connection = connection
 
     def begin(self) -> bool:
-        """Stop reading if it is idle, or has received little of a command; returns whether it is."""
+        """Stop reading if the connection can be handed over; returns whether it can.
+
+        It can if it is idle, or has received little of a command.
+        """
         connection, transport = self.connection, self.connection.transport
         if transport is None or not connection.is_transferable:
             return False
         if connection.reader.buffered_bytes > MAX_PARTIAL_COMMAND:
             return False
-        # Danger: replies that the kernel has not accepted are lost with this process.
+        # Replies that the kernel has not accepted would be lost with this process.
         if transport.get_write_buffer_size():
             return False
         if connection.liveness.is_reading:
@@ -31,7 +34,7 @@
         return True
 
     def state(self) -> ConnectionState:
-        """The state that the other process needs to continue this connection."""
+        """Return the state that the other process needs to continue serving this connection."""
         connection = self.connection
         age_s = connection.server.loop.time() - connection.command_started_at
         session = connection.session
--- a/pebblepass/daemon/connection_pool.py
+++ b/pebblepass/daemon/connection_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to servers: gives exchanges to connections, dials, and limits their number."""
+"""The pool of connections to servers: assigns exchanges to connections, dials, and limits connections."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from pebblepass.wire.resp import MAX_ANSWER_VALUE_BYTES
 
 IDLE_CLOSE_FRACTION = 0.9
-"""Fraction of the servers' idle timeout after which idle connections are closed here."""
+"""Fraction of the servers' idle timeout after which this router closes an idle connection."""
 SWEEP_INTERVAL_S = 0.5
 FULL_SERVER_BACKOFF_S = 2.0
-"""Time without dials beyond the open connections after a server has rejected one."""
+"""Time without further dials to a server that has rejected a connection."""
 REUSE_DELAY_S = 0.01
-"""Time from an answer to the next request on a connection: a second answer may be milliseconds late."""
+"""Time from an answer to the next request on a connection: a duplicate answer may come milliseconds later."""
 TIMER_ROUNDING_S = 0.001  # event loops round to the nearest millisecond
 
 
 class Pool:
-    """Gives exchanges to connections, within the limit on connections to servers."""
+    """Assigns exchanges to connections, within the limit on connections to servers."""
 
     def __init__(
         self,
@@ -35,16 +35,16 @@
         dial_timeout: float,
         idle_close: float,
         reports: bool = True,
-        gather: int = 16 << 20,
+        buffer_bytes: int = 16 << 20,
     ) -> None:
         """`limit`: maximum number of connections; `dial_timeout` and `idle_close` are in seconds.
 
         `reports`: servers send load reports, so that a rejection without one has another reason than load;
-        `gather`: bytes for buffering long values of unknown length.
+        `buffer_bytes`: memory for long values of unknown length.
         """
         self.reports = reports
         self.poller = socket_poller(loop)
-        self.buffer_budget = BufferBudget(gather, MAX_ANSWER_VALUE_BYTES)
+        self.buffer_budget = BufferBudget(buffer_bytes, MAX_ANSWER_VALUE_BYTES)
         self.loop = loop
         self._limit, self._dial_timeout = limit, dial_timeout
         self._idle_limit = idle_close * IDLE_CLOSE_FRACTION
@@ -60,13 +60,13 @@
             self._servers[server_id] = Server(self, server_id, address, connect)
             return
         if server.address != address or server.connect is not connect:
-            # First: whoever handles an attempt's end may submit another one.
+            # Set first, as the handler of an attempt's end may submit another one.
             server.address, server.connect = address, connect
             self._retire(server)
         server.is_listed = True
 
     def unlist_server(self, server_id: str) -> None:
-        """Remove a server that drains or is gone: exchanges in flight finish, those that wait end."""
+        """Remove a server that drains or is gone: exchanges in flight finish, and waiting ones end now."""
         server = self._servers.get(server_id)
         if server is not None:
             server.is_listed = False
@@ -74,11 +74,11 @@
             self._forget_if_unused(server)
 
     def listed(self) -> Iterator[str]:
-        """The ids of the servers on the list."""
+        """Return the ids of the servers on the list."""
         return (server.id for server in self._servers.values() if server.is_listed)
 
     def addresses(self) -> dict[str, Address]:
-        """The addresses of the servers on the list, by id."""
+        """Return the addresses of the servers on the list, by id."""
         return {server.id: server.address for server in self._servers.values() if server.is_listed}
 
     @property
@@ -119,15 +119,15 @@
     def _take_idle(self, server: Server) -> Connection | None:
         """Remove and return the reusable idle connection that was used last, if there is one."""
         now = self.loop.time()
-        oldest, rested = now - self._idle_limit, now - REUSE_DELAY_S
-        at = len(server.idle)
-        while at:
-            at -= 1
-            connection = server.idle[at]
-            if connection.idle_since > rested:
+        earliest, latest = now - self._idle_limit, now - REUSE_DELAY_S
+        index = len(server.idle)
+        while index:
+            index -= 1
+            connection = server.idle[index]
+            if connection.idle_since > latest:
                 continue
-            del server.idle[at]
-            if connection.usable and connection.idle_since >= oldest and connection.has_nothing_unread:
+            del server.idle[index]
+            if connection.usable and connection.idle_since >= earliest and connection.has_nothing_unread:
                 return connection
             connection.close()
         return None
@@ -139,7 +139,7 @@
                 continue
             if exchange.may_begin():
                 return exchange
-            # Danger: it would be sent for a request that has its final reply, or whose client disconnected.
+            # Its request has its final reply, or its client has disconnected, so it must not be sent.
             exchange.end(Outcome.SUPERSEDED)
         return None
 
@@ -153,7 +153,7 @@
             self.released(connection)
 
     def released(self, connection: Connection) -> None:
-        """Keep a connection whose exchange has ended; it may be reused after REUSE_DELAY_S."""
+        """Keep a connection whose exchange has ended, for reuse after REUSE_DELAY_S."""
         server = connection.server
         if not connection.usable:
             connection.close()
@@ -166,8 +166,8 @@
     def _schedule_wake(self, server: Server) -> None:
         """Set the timer for when the oldest idle connection may be reused."""
         if server.wake_timer is None and server.idle:
-            left = server.idle[0].idle_since + REUSE_DELAY_S - self.loop.time()
-            server.wake_timer = self.loop.call_later(max(left, 0.0) + TIMER_ROUNDING_S, self._wake, server)
+            delay_s = server.idle[0].idle_since + REUSE_DELAY_S - self.loop.time()
+            server.wake_timer = self.loop.call_later(max(delay_s, 0.0) + TIMER_ROUNDING_S, self._wake, server)
 
     def _wake(self, server: Server) -> None:
         server.wake_timer = None
@@ -192,9 +192,9 @@
         self._forget_if_unused(server)
 
     def limit_connections(self, connection: Connection) -> bool:
-        """Limit the connections to a server that has rejected this one to the others that there are.
+        """Limit the connections to a server that has rejected this one to the others that are open.
 
-        Returns whether there are others. It bounds the dials of a fleet of routers at a full server.
+        Returns whether there are others. This bounds the dials of many routers to a server that is full.
         """
         server = connection.server
         others = sum(other is not connection and other.usable for other in server.connections)
@@ -221,9 +221,10 @@
             return
         self._schedule_wake(server)
         is_limited = self.loop.time() < server.connection_limit_until
-        most = server.connection_limit if is_limited else MAX_CONNECTIONS_PER_SERVER
-        # Idle connections that are not reusable yet suffice: a dial costs the server work, and takes as long.
-        while len(server.waiting) > len(server.dials) + len(server.idle) and server.connection_count < most:
+        limit = server.connection_limit if is_limited else MAX_CONNECTIONS_PER_SERVER
+        # Waits for idle connections that may not be reused yet: a dial takes as long, and costs the server
+        # work.
+        while len(server.waiting) > len(server.dials) + len(server.idle) and server.connection_count < limit:
             if self._connection_count >= self._limit and not self._evict():
                 return
             self._connection_count += 1
@@ -267,8 +268,8 @@
         while server.waiting:
             exchange = server.waiting.popleft()
             if not exchange.is_over:
-                # Guards against a dead server that looks like a slow one: otherwise the attempt would last
-                # until its timeout before another server is tried.
+                # One waiting attempt fails with each dial. Otherwise a dead server would look like a slow
+                # one, and its attempts would last until their timeout before another server is tried.
                 exchange.connection_failed = isolated
                 exchange.end(Outcome.CONNECT_FAILED)
                 break
@@ -276,7 +277,7 @@
         self._forget_if_unused(server)
 
     def _cancel_dials(self, server: Server) -> None:
-        """Cancel the dials in progress; uncounted here, as the task of one that has not begun never runs."""
+        """Cancel and uncount the dials in progress: the task of a dial that has not begun never runs."""
         for task in server.dials:
             task.cancel()
         self._connection_count -= len(server.dials)
@@ -288,7 +289,7 @@
         idle, server.idle = server.idle, []
         for connection in idle:
             connection.close()
-        # Danger: the failure of a dial to the old address would count against the new one.
+        # The failure of a dial to the old address would count against the server at the new one.
         self._cancel_dials(server)
         waiting, server.waiting = server.waiting, deque()
         for exchange in waiting:
--- a/pebblepass/daemon/deadlines.py
+++ b/pebblepass/daemon/deadlines.py
@@ -1,4 +1,4 @@
-"""Many deadlines on one timer of the loop: nearly all are cancelled, and must cost next to nothing."""
+"""Many deadlines with a single timer of the event loop: nearly all are cancelled, which has to be cheap."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from heapq import heappop, heappush
 
-STEP_NS = 500_000  # deadlines within a step come together, after its end: never early
-TIMER_ROUNDING_S = 0.0005  # loops count in whole milliseconds and round to the nearest
+STEP_NS = 500_000  # the deadlines within a step are called together after its end, so none is early
+TIMER_ROUNDING_S = 0.0005  # event loops round timers to the nearest millisecond
 
 log = logging.getLogger("pebblepass")
 
@@ -22,7 +22,7 @@
         self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        """Forget it, and let go of what it holds."""
+        """Drop the callback, and with it the references that it has."""
         self.callback = None
 
 
@@ -30,34 +30,34 @@
     """The deadlines of one loop, by the step in which they are due."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, now: Callable[[], int]) -> None:
-        """`now` gives nanoseconds of the loop's clock."""
+        """`now` returns the loop's time in nanoseconds."""
         self._loop, self._now = loop, now
         self._steps: dict[int, list[Deadline]] = {}
         self._order: list[int] = []  # a heap of the steps
         self._timer: asyncio.TimerHandle | None = None
 
     def add(self, due: int, callback: Callable[[], None]) -> Deadline:
-        """Call back once the clock shows `due`, in nanoseconds; never before."""
-        step, made = due // STEP_NS + 1, Deadline(callback)
-        held = self._steps.get(step)
-        if held is None:
-            self._steps[step] = [made]
+        """Call back once the clock has reached `due`, in nanoseconds, and never before."""
+        step, deadline = due // STEP_NS + 1, Deadline(callback)
+        deadlines = self._steps.get(step)
+        if deadlines is None:
+            self._steps[step] = [deadline]
             heappush(self._order, step)
             if self._order[0] == step:
-                self._arm()
+                self._set_timer()
         else:
-            held.append(made)
-        return made
+            deadlines.append(deadline)
+        return deadline
 
-    def _arm(self) -> None:
+    def _set_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         if self._order:
-            left = max(self._order[0] * STEP_NS - self._now(), 0) / 1e9
-            self._timer = self._loop.call_later(left + TIMER_ROUNDING_S, self._fire)
+            delay_s = max(self._order[0] * STEP_NS - self._now(), 0) / 1e9
+            self._timer = self._loop.call_later(delay_s + TIMER_ROUNDING_S, self._call_due)
 
-    def _fire(self) -> None:
+    def _call_due(self) -> None:
         self._timer = None
         now = self._now()
         while self._order and self._order[0] * STEP_NS <= now:
@@ -69,6 +69,6 @@
                 try:
                     callback()
                 except Exception:
-                    # Danger: a fault in one would lose all that are due with it.
-                    log.exception("a deadline's callback failed")
-        self._arm()
+                    # Caught, so that the other deadlines of the step are still called.
+                    log.exception("the callback of a deadline failed; continuing with the next one")
+        self._set_timer()
--- a/pebblepass/daemon/exchange.py
+++ b/pebblepass/daemon/exchange.py
@@ -1,4 +1,4 @@
-"""One request to a server and what comes of it, whatever connection it runs on."""
+"""One request to a server and the handling of its answer, independent of the kind of connection."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class ExchangeConnection(Protocol):
-    """The connection as the exchange on it sees it."""
+    """The connection as its exchange sees it."""
 
     exchange: Exchange | None
     unsent: bool
     """Whether the kernel has not accepted every byte of the request."""
 
     retired: bool
-    """Whether it takes no further exchange."""
+    """Whether it can be used for no further exchange."""
 
     def close(self) -> None:
         """Abort the connection."""
@@ -56,19 +56,21 @@
     array_expected = False
     """Whether the answers are elements of one array whose header has not been received."""
     connection_failed = False
-    """Whether it ended for a fault of its connection that says nothing of the server's health: the connection
-    had served before and broke without a byte of an answer, was rejected beside others of this router, or was
-    the first dial to time out since the server last responded."""
+    """Whether it ended for a fault of its connection that does not count in the server's health statistics.
+
+    The connection had served before and broke without a byte of an answer, or was rejected while this router
+    had other connections to the server, or was the first dial to time out since the server last responded.
+    """
     connection_rejected = False
     """Whether it was rejected together with a new connection, the only one to this server."""
 
     @property
     def is_wanted(self) -> bool:
-        """Whether it is still to be sent once there is a connection for it."""
+        """Whether it should still be sent once there is a connection for it."""
         return True
 
     def may_begin(self) -> bool:
-        """Whether it is to be sent now; one that is not may end itself in this call."""
+        """Whether it should be sent now; one that should not may end itself in this call."""
         return self.is_wanted
 
     def mark_unsent(self) -> None:
@@ -83,13 +85,13 @@
         """Handle the outcome, and the answer if there is one."""
 
     def written(self) -> None:
-        """Handle that the kernel has accepted the request's last byte."""
+        """Called once the kernel has accepted the request's last byte."""
 
     def value_started(self, length: int, source: ValueSource) -> None:
         """Handle the start of a value over 64 KiB, of `length` bytes."""
 
     def value_received(self, data: bytes) -> None:
-        """Handle a part of that value."""
+        """Handle a part of the value that has started."""
 
     def array_started(self, count: int) -> None:
         """Handle the header of the array of answers; `count` is -1 for an error line in its place."""
@@ -100,7 +102,7 @@
 
     @property
     def expected_hits(self) -> int:
-        """How many of the next answers may be passed as bare values if they are hits."""
+        """How many of the next answers may be passed to `record_hits` if they are hits."""
         return 0
 
     def record_hits(self, entries: list[bytes]) -> bool:
@@ -108,7 +110,7 @@
         raise NotImplementedError
 
     def end(self, outcome: Outcome, answer: Answer = NOTHING) -> None:
-        """End it with this outcome, unless it has ended."""
+        """End it with this outcome, unless it has ended before."""
         if not self.is_over:
             self.is_over, self.connection = True, None
             self.ended(outcome, answer)
@@ -116,8 +118,8 @@
     def withdraw(self) -> None:
         """End it as superseded, unless the kernel has accepted its last byte.
 
-        A request that was sent completely can't be recalled, and its answer still counts in the server's
-        health statistics. One sent in part is not executed: closing the connection recalls it.
+        A request that was sent completely may be executed, and its answer still counts in the server's health
+        statistics. One that was sent in part is never executed, as its connection is closed.
         """
         if self.connection is None or self.connection.unsent:
             self.give_up(Outcome.SUPERSEDED)
@@ -127,7 +129,7 @@
         connection = self.connection
         if connection is not None:
             connection.exchange = None
-            # Danger: one left open would count as busy for as long as its server is unresponsive, and the
-            # server would go on working on the attempt.
+            # Left open, it would count as busy for as long as its server is unresponsive, and the server
+            # would continue to work on the attempt.
             connection.close()
         self.end(outcome)
--- a/pebblepass/daemon/fleet.py
+++ b/pebblepass/daemon/fleet.py
@@ -1,4 +1,4 @@
-"""A router's part in a fleet: its member of the agreement, what operators ask, and when it is ready."""
+"""A router's membership in a fleet: its consensus service, the operators' calls, and its readiness."""
 
 from __future__ import annotations
 
@@ -27,146 +27,152 @@
 from pebblepass.wire.address import parse_address
 
 CALLS = "/control/policy/"
-LOCK_STEP_S = 0.2
+LOCK_RETRY_S = 0.2
 
 log = logging.getLogger("pebblepass")
 
 
 class PolicyHost(Protocol):
-    """What carries a router's decisions, as far as its part in a fleet is concerned."""
+    """The host of the decision module as the fleet member uses it."""
 
     @property
     def settings(self) -> Settings:
         """The platform's settings."""
 
     def now(self) -> int:
-        """The time in nanoseconds."""
+        """Return the time in nanoseconds."""
 
     def handle_event(self, event: PolicyChanged) -> None:
-        """Take the policy that may be admitted under, and until when."""
+        """Give the decision module the policy in force, and until when it applies."""
 
     def demand(self) -> dict[str, int]:
-        """The fetches that each namespace has wanted of the store so far, and its writes."""
+        """Return the number of origin fetches requested so far, and of writes, by namespace."""
 
 
 class Identity(Protocol):
-    """What a router's configuration says of itself."""
+    """The part of a router's configuration that identifies it."""
 
     @property
     def name(self) -> str:
-        """Its name in the fleet."""
+        """The router's name in the fleet."""
 
     @property
     def seed(self) -> int:
-        """Of what it draws."""
+        """The seed of its random numbers."""
 
 
 class FleetMember:
-    """What joins a running router to its fleet."""
+    """Makes a running router a member of its fleet."""
 
     service_class: type[ConsensusService] = ConsensusService
-    """A trial of a broken program puts another here."""
+    """Replaced by fault injection."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, host: PolicyHost, config: Identity, section: FleetSection
     ) -> None:
-        """Open what lasts; raises ConfigError in one plain line."""
+        """Open the log of a voter; raises a ConfigError of one line if the section is invalid."""
         self._loop, self._host, self._section = loop, host, section
         self.name = config.name
         if self.name not in section.members:
-            raise ConfigError(f"fleet.members: this router, {self.name}, is not among them")
-        where = section.listen or section.members[self.name]
-        self._listen = parse_address("fleet.listen", where)
+            raise ConfigError(f"fleet.members: this router, {self.name}, is not listed")
+        listen = section.listen or section.members[self.name]
+        self._listen = parse_address("fleet.listen", listen)
         for name, address in section.members.items():
             parse_address(f"fleet.members.{name}", address)
         if self.name in section.voters and not section.directory:
-            raise ConfigError(f"fleet.directory: {self.name} is a voter, and has to keep its promises")
-        self._folder = Directory(section.directory) if section.directory else None
+            raise ConfigError(f"fleet.directory: missing, but {self.name} is a voter and has to keep its log")
+        self._directory = Directory(section.directory) if section.directory else None
         try:
-            # In an upgrade the process that is there holds it: two must not vote for one.
-            self.alone = self._folder is None or self._folder.lock()
-            disk = open_log(self._folder, section.id, self.name) if self._folder and self.alone else None
+            # In an upgrade the older process has the lock: two processes must not vote as one member.
+            self.has_lock = self._directory is None or self._directory.lock()
+            disk = (
+                open_log(self._directory, section.id, self.name)
+                if self._directory and self.has_lock
+                else None
+            )
         except (OSError, StorageError) as error:
             raise ConfigError(f"fleet.directory {section.directory}: {error}") from None
         boot = os.urandom(6).hex()
         terms = LeaseTerms(section.lease_ms * 1_000_000, section.drift)
-        ground = PolicyChecker(host.settings)
+        checker = PolicyChecker(host.settings)
         setup = ReplicaSetup(
             self.name,
             boot,
             terms,
             genesis(dict(section.members), section.voters),
-            ground.check,
+            checker.check,
             f"{self.name}.{boot}" if disk is not None else "",
             config.seed,
-            ground.pools,
+            checker.pools,
             host.demand,
         )
         self._setup = setup
         self._ready_at = host.now() + int(section.alone_after_s * 1e9)
         self._was_ready = False
-        self._told = ServiceCallbacks(self._in_force, self._step)
+        self._callbacks = ServiceCallbacks(self._apply_policy, self._record_step)
         self.steps: Counter[str] = Counter()
         """Steps of changes so far, by name."""
-        self.service = self.service_class(loop, host.now, setup, section.id, disk, self._told)
+        self.service = self.service_class(loop, host.now, setup, section.id, disk, self._callbacks)
         self._lock_timer: asyncio.TimerHandle | None = None
 
     async def start(self) -> None:
-        """Begin; raises OSError where the address can't be had."""
-        await self.service.start(self._listen if self.alone else None)
-        if not self.alone:
-            self._lock_timer = self._loop.call_later(LOCK_STEP_S, self._succeed)
-
-    def _succeed(self) -> None:
-        """In an upgrade: once the older process has let go of the disk, this one votes for both."""
-        assert self._folder is not None
+        """Start the service; raises OSError if the address can't be bound."""
+        await self.service.start(self._listen if self.has_lock else None)
+        if not self.has_lock:
+            self._lock_timer = self._loop.call_later(LOCK_RETRY_S, self._retry_lock)
+
+    def _retry_lock(self) -> None:
+        """Vote in place of the older process of an upgrade, once it has unlocked the directory."""
+        assert self._directory is not None
         try:
-            if self._folder.lock():
-                disk = open_log(self._folder, self._section.id, self.name)
+            if self._directory.lock():
+                disk = open_log(self._directory, self._section.id, self.name)
                 self.service.close()
-                boot = os.urandom(6).hex()  # what it asked before counts for another run
-                fresh = msgspec.structs.replace(self._setup, boot_id=boot, new_disk_id=f"{self.name}.{boot}")
+                boot = os.urandom(6).hex()  # messages sent before belong to another boot
+                setup = msgspec.structs.replace(self._setup, boot_id=boot, new_disk_id=f"{self.name}.{boot}")
                 self.service = self.service_class(
-                    self._loop, self._host.now, fresh, self._section.id, disk, self._told
+                    self._loop, self._host.now, setup, self._section.id, disk, self._callbacks
                 )
-                self.alone = True
+                self.has_lock = True
                 self._lock_timer = None
                 self._starting = self._loop.create_task(self.service.start(self._listen))
                 return
         except (OSError, StorageError) as error:
-            log.error("fleet.directory %s: %s", self._section.directory, error)
-        self._lock_timer = self._loop.call_later(LOCK_STEP_S, self._succeed)
+            log.error(
+                "opening the log in fleet.directory %s failed, retrying: %s", self._section.directory, error
+            )
+        self._lock_timer = self._loop.call_later(LOCK_RETRY_S, self._retry_lock)
 
     def close(self) -> None:
-        """The router ends: its successor may have the address and the disk."""
+        """Close the service, and release the address and the directory for a successor."""
         if self._lock_timer is not None:
             self._lock_timer.cancel()
         self.service.close()
-        if self._folder is not None and self.alone:
-            self._folder.unlock()
+        if self._directory is not None and self.has_lock:
+            self._directory.unlock()
 
     def ready(self) -> bool:
-        """Whether it has held a lease since its start, or has waited for one for as long as it is to."""
+        """Whether it has held a lease since its start, or has waited for one for `alone_after_s`."""
         if not self._was_ready:
             now = self._host.now()
             self._was_ready = self.service.replica.may_admit(now) or now >= self._ready_at
         return self._was_ready
 
-    def _in_force(self, action: PolicyActivated) -> None:
+    def _apply_policy(self, action: PolicyActivated) -> None:
         policy = fleet_policy(action.value.version, action.value.policy)
         self._host.handle_event(
             PolicyChanged(policy, action.until, action.quota_leases, action.quota_leases_until)
         )
 
-    def _step(self, note: ChangeStep) -> None:
-        self.steps[note.event] += 1
-        told = {"event": note.event, "version": note.version, "peer": note.peer, "cause": note.cause}
-        log.info("fleet: %s", msgspec.json.encode({k: v for k, v in told.items() if v}).decode())
+    def _record_step(self, step: ChangeStep) -> None:
+        self.steps[step.event] += 1
+        fields = {"event": step.event, "version": step.version, "peer": step.peer, "cause": step.cause}
+        log.info("fleet: %s", msgspec.json.encode({k: v for k, v in fields.items() if v}).decode())
 
-    # What operators ask
+    # Calls of operators
 
     async def answer(self, method: str, path: str, body: bytes) -> Page | None:
-        """Answer a call of the control address; None: it is none of the fleet's."""
+        """Answer a call at the control address; None: the call does not concern the fleet."""
         if not path.startswith(CALLS):
             return None
         calls: dict[str, tuple[str, Callable[[], Any]]] = {
@@ -192,7 +198,7 @@
 
         replica, now = self.service.replica, self._host.now()
         others = [name for name in replica.decided.fleet.members if name != self.name]
-        told = FleetMetrics(
+        metrics = FleetMetrics(
             replica.decided.version,
             replica.may_admit(now),
             sum(replica.peers.is_alive(name, now) for name in others),
@@ -200,32 +206,32 @@
             self.service.counts,
             self.service.links.closed,
         )
-        return Page(200, exposition(told), CONTENT_TYPE)
+        return Page(200, exposition(metrics), CONTENT_TYPE)
 
     def _proposal(self, call: str, change: str, body: bytes) -> m.Proposal:
         if call == "withdraw":
-            who = body.decode("utf-8", "replace")[:200]
-            return m.Proposal(f"withdraw.{change}", who, f"{change} withdrawn", withdrawn_change_id=change)
-        told = read_policy("policy", body)
-        for name, address in told.added_members.items():
+            author = body.decode("utf-8", "replace")[:200]
+            return m.Proposal(f"withdraw.{change}", author, f"{change} withdrawn", withdrawn_change_id=change)
+        policy_file = read_policy("policy", body)
+        for name, address in policy_file.added_members.items():
             try:
                 parse_address(f"add.{name}", address)
             except ValueError as error:
                 raise PolicyError(f"policy: {error}") from None
-        fleet_only = told.policy() == type(told.policy())() and bool(
-            told.added_members or told.removed_members or told.voters
+        changes_only_fleet = policy_file.policy() == type(policy_file.policy())() and bool(
+            policy_file.added_members or policy_file.removed_members or policy_file.voters
         )
-        policy = None if fleet_only else told.policy()
+        policy = None if changes_only_fleet else policy_file.policy()
         return m.Proposal(
             change or os.urandom(6).hex(),
-            told.author,
-            told.reason,
+            policy_file.author,
+            policy_file.reason,
             policy,
-            told.added_members,
-            told.removed_members,
-            told.voters,
+            policy_file.added_members,
+            policy_file.removed_members,
+            policy_file.voters,
         )
 
 
-def _page(status: int, told: Any) -> Page:
-    return Page(status, msgspec.json.encode(told) + b"\n", "application/json")
+def _page(status: int, content: Any) -> Page:
+    return Page(status, msgspec.json.encode(content) + b"\n", "application/json")
--- a/pebblepass/daemon/health_check.py
+++ b/pebblepass/daemon/health_check.py
@@ -25,7 +25,7 @@
 
 
 class HealthCheckExchange(Exchange):
-    """Requests a load report, or a sign of life where servers send none, within `timeout` nanoseconds."""
+    """Requests a load report, or a PING where servers send no reports, within `timeout` nanoseconds."""
 
     is_probe = True
 
@@ -38,7 +38,7 @@
         self.give_up(Outcome.TIMEOUT)
 
     def request_bytes(self, address: Address) -> bytes:
-        """Encode the request for a load report, or for a sign of life."""
+        """Encode the request for a load report, or a plain liveness check."""
         reports = bool(self._host.settings.load_fields)
         if self._to_origin:
             path = "/stats" if reports else "/health/live"
--- a/pebblepass/daemon/inherited_listener.py
+++ b/pebblepass/daemon/inherited_listener.py
@@ -8,7 +8,7 @@
 from pebblepass.wire.address import Address
 
 
-def adopt(descriptor: int, address: Address) -> socket.socket:
+def adopt_listener(descriptor: int, address: Address) -> socket.socket:
     """Return the inherited socket that listens at this address.
 
     Raises ConfigError if the descriptor is no such socket; the descriptor stays open.
@@ -18,15 +18,14 @@
         listener = socket.socket(fileno=descriptor)
     except OSError as error:
         raise ConfigError(f"{where}: {error.strerror}") from None
-    # Guards the platform's other descriptors: one that is no such socket stays open.
-    wrong = ""
+    problem = ""
     if listener.family != socket.AF_INET or listener.type != socket.SOCK_STREAM:
-        wrong = "no TCP socket over IPv4"
+        problem = "not a TCP socket over IPv4"
     elif not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-        wrong = "does not listen"
+        problem = "does not listen"
     elif listener.getsockname() != address:
-        wrong = "listens at {}:{}, not at {}:{}".format(*listener.getsockname(), *address)
-    if wrong:
-        listener.detach()
-        raise ConfigError(f"{where}: {wrong}")
+        problem = "listens at {}:{}, not at {}:{}".format(*listener.getsockname(), *address)
+    if problem:
+        listener.detach()  # the descriptor may be another one of the platform's, so it is not closed
+        raise ConfigError(f"{where}: {problem}")
     return listener
--- a/pebblepass/daemon/lag.py
+++ b/pebblepass/daemon/lag.py
@@ -1,4 +1,4 @@
-"""Measures how late the event loop runs: for that time input stays unread through no fault of a server."""
+"""Measures how late the event loop runs: for that time answers stay unread, which is not a server's fault."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from collections.abc import Callable
 
 HEARTBEAT_NS = 20_000_000
-TOLERANCE_NS = 2_000_000  # a heartbeat this late is on time: the loop counts in milliseconds
+TOLERANCE_NS = 2_000_000  # a heartbeat that is not later counts as on time: timers have millisecond precision
 PEAK_WINDOW_NS = 2_000_000_000  # the peak lag is reported for one to two of these
 
 
 class LoopLag:
-    """A regular heartbeat of the event loop, and by how much it comes late."""
+    """A periodic timer of the event loop, the heartbeat, and by how much it is late."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, now: Callable[[], int], on_change: Callable[[int], None]
@@ -35,10 +35,10 @@
         self._timer = self._loop.call_later(HEARTBEAT_NS / 1e9, self._heartbeat)
 
     def total(self, now: int) -> int:
-        """Nanoseconds by which the loop has been held up since the start.
+        """Return by how many nanoseconds the loop has been late since the start.
 
-        Includes the lateness of a heartbeat that is overdue: after a hold-up the loop may dispatch sockets
-        before it runs timers.
+        Includes the lateness of a heartbeat that is overdue now: a late loop may dispatch sockets before it
+        runs timers.
         """
         late = now - self._due
         return self._total_lag + late if late > TOLERANCE_NS else self._total_lag
@@ -73,7 +73,7 @@
 def after_poll(loop: asyncio.AbstractEventLoop, callback: Callable[[], None]) -> None:
     """Call back once the loop has polled its sockets and dispatched what was readable.
 
-    After a hold-up a timer may run before input that has arrived long ago is read.
+    When the loop is late, a timer may run before input that has arrived long ago is read.
     """
     # The first iteration may begin before the sockets are polled, the second can't.
     loop.call_soon(loop.call_soon, callback)
--- a/pebblepass/daemon/load_reports.py
+++ b/pebblepass/daemon/load_reports.py
@@ -1,4 +1,4 @@
-"""Parses servers' load reports, and caches the recent ones."""
+"""Parses servers' load reports, and caches the recent results."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class LoadReportParser:
-    """Parses load reports; a server sends the same one until its next, so parsed reports are cached."""
+    """Parses load reports; a server repeats a report until its load changes, so results are cached."""
 
     __slots__ = ("_cache", "_fields")
 
@@ -18,12 +18,12 @@
         self._cache: dict[bytes, tuple[float, ...] | None] = {}
 
     def parse(self, report: bytes | None) -> tuple[float, ...] | None:
-        """Return the values of a load report; None if there is none, or it is invalid."""
+        """Return the values of a load report; None if there is no report, or it is invalid."""
         if not report:
             return None
         if report in self._cache:
             return self._cache[report]
         if len(self._cache) >= MAX_CACHED_REPORTS:
             self._cache.clear()
-        found = self._cache[report] = resp.parse_load(report, self._fields)
-        return found
+        parsed = self._cache[report] = resp.parse_load(report, self._fields)
+        return parsed
--- a/pebblepass/daemon/log.py
+++ b/pebblepass/daemon/log.py
@@ -1,43 +1,43 @@
-"""A log of few lines on standard error: a fault that repeats must not cost the CPU that it lacks."""
+"""The log on standard error, limited in lines per second: a repeating fault must not use up the CPU."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable
 
-LINES_A_SECOND = 5
+DEFAULT_LINES_PER_SECOND = 5
 
 
-class Limit(logging.Filter):
-    """Lets a few lines through each second and counts the rest."""
+class LogRateLimit(logging.Filter):
+    """Passes a few lines each second, drops the rest, and reports how many were dropped."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         super().__init__()
         self._now = now
-        self.lines_a_second = LINES_A_SECOND
+        self.lines_per_second = DEFAULT_LINES_PER_SECOND
         self._second, self._lines, self._dropped = 0, 0, 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether the line is written."""
+        """Return whether the line passes."""
         second = int(self._now())
         if second != self._second:
             if self._dropped:
-                record.msg = f"({self._dropped} lines left out) {record.msg}"
+                record.msg = f"({self._dropped} lines dropped) {record.msg}"
             self._second, self._lines, self._dropped = second, 0, 0
         self._lines += 1
-        kept = self._lines <= self.lines_a_second
-        self._dropped += not kept
-        return kept
+        passes = self._lines <= self.lines_per_second
+        self._dropped += not passes
+        return passes
 
 
-def make_logger(name: str, now: Callable[[], float]) -> Limit:
-    """Set the router's log up; `now` gives the time in seconds by which its lines are limited."""
-    limit = Limit(now)
+def make_logger(name: str, now: Callable[[], float]) -> LogRateLimit:
+    """Set up the router's log; `now` returns the time in seconds, for the limit."""
+    rate_limit = LogRateLimit(now)
     handler = logging.StreamHandler()
     handler.setFormatter(logging.Formatter(f"%(asctime)s {name} %(levelname)s %(message)s"))
-    handler.addFilter(limit)
+    handler.addFilter(rate_limit)
     logger = logging.getLogger("pebblepass")
     logger.addHandler(handler)
     logger.setLevel(logging.INFO)
     logger.propagate = False
-    return limit
+    return rate_limit
--- a/pebblepass/daemon/memory_budget.py
+++ b/pebblepass/daemon/memory_budget.py
@@ -1,4 +1,4 @@
-"""The memory budget for long commands of clients. No I/O, no clock."""
+"""The memory budget for clients' long commands. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 
 
 class BudgetWaiter(Protocol):
-    """A connection that waits for memory."""
+    """A connection that may wait for memory."""
 
     @property
     def closed(self) -> bool:
-        """Whether the connection has ended, so that it needs no memory."""
+        """Whether the connection is closed, so that it needs no memory."""
 
     def reserve(self) -> None:
-        """Try again to reserve memory; some has been released."""
+        """Try again to reserve memory, of which some has been released."""
 
 
 class MemoryBudget:
-    """Memory for long commands, reserved before a command is read, so that each one begun can be finished."""
+    """Memory for long commands, reserved for a whole command before it is read, so that it can finish."""
 
     def __init__(self, total: int) -> None:
         self._total = self._free = total
         self._waiting: deque[BudgetWaiter] = deque()
 
     def reserve(self, connection: BudgetWaiter, size: int) -> bool:
-        """Reserve bytes; returns False and queues the connection where too few are free."""
+        """Reserve `size` bytes; returns False and queues the connection if too few are free."""
         if size > self._free:
             self._waiting.append(connection)
             return False
@@ -38,7 +38,7 @@
         self.release(0)
 
     def release(self, size: int) -> None:
-        """Release reserved bytes, and let the queued connections try again."""
+        """Release `size` reserved bytes, and let the queued connections try again."""
         self._free += size
         waiting, self._waiting = self._waiting, deque()
         while waiting:
--- a/pebblepass/daemon/multi_get/batch_exchange.py
+++ b/pebblepass/daemon/multi_get/batch_exchange.py
@@ -1,4 +1,4 @@
-"""Keys of one command that travel together on one connection to a server."""
+"""Keys of one command that are sent together on one connection to a server."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from pebblepass.wire.resp import MULTI_GET_COMMAND, bulk_length, command, read_command
 
 NEVER = 1 << 63
-SLOW_RECHECK_NS = 5_000_000  # between checks of a slow batch while other keys are outstanding
+SLOW_RECHECK_NS = 5_000_000  # minimum interval of the checks of a slow batch while other keys are outstanding
 
 
 class BatchExchange(Exchange):
@@ -32,7 +32,7 @@
         host, now = registry.host, registry.host.now()
         self.begun_at, self.lag_before = now, host.lag.total(now)
         self._unreported: list[str] = []  # answered keys not yet reported to the decision module
-        self._latency = 0  # of one key, for that report
+        self._latency = 0  # nanoseconds for one key, for that report
         for key in batch.items:
             key.begin(self)
         due = multi_get.deadline
@@ -45,7 +45,7 @@
         self._arm_timer()
 
     def _arm_timer(self) -> None:
-        """Start one timer for the earliest of the three checks: most batches end before any of them."""
+        """Set one timer for the earliest of the three checks: most batches end before any of them."""
         at = min(self._timeout_at, self._hedge_at, self._stall_check_at)
         self._timer = self._registry.host.call_at(at, self._timer_fired)
 
@@ -67,9 +67,9 @@
             self._arm_timer()
 
     def may_begin(self) -> bool:
-        """Return whether the command has time left and its client is connected: one check for all keys.
+        """Return whether the command has time left and its client is connected, with one check for all keys.
 
-        A command whose client has disconnected is closed.
+        If the client has disconnected, the command is closed.
         """
         if self._registry.host.now() >= deadline_propagation.latest_start(self._multi_get.deadline):
             return False
@@ -81,7 +81,7 @@
     def request_bytes(self, address: Address) -> bytes:
         """Encode the reads of the keys that still need an answer; drop the others from the batch."""
         batch, now = self._batch, self._registry.host.now()
-        batch.last_answer_at = now  # waiting for a connection does not count against the server
+        batch.last_answer_at = now  # the wait for a connection does not count as a stall of the server
         to_send = []
         for key in batch.items:
             if key.is_wanted:
@@ -106,7 +106,7 @@
         """Check the array's length against the batch; a negative count is an error line for all keys."""
         self.array_expected = False
         if count != len(self._batch.items) and count >= 0:
-            # With another length, an answer would be attributed to the wrong key.
+            # With another length, answers would be attributed to the wrong keys.
             raise AnswerFormatError("answers to another number of keys")
         self._single_error = count < 0
 
@@ -127,7 +127,7 @@
 
     @property
     def expected_hits(self) -> int:
-        """The number of keys, from the next one on, that have no attempt: their hits need only the value."""
+        """The number of keys, from the next one on, without an attempt, so that hits need only the value."""
         if self._single_error:
             return 0
         batch, count = self._batch, 0
@@ -167,11 +167,11 @@
             self._registry.host.handle_event(BatchServed(served, self._batch.server, self._latency))
 
     def value_started(self, length: int, source: ValueSource) -> None:
-        """Announce that the next key's value is long and will be streamed."""
+        """Start streaming the long value of the next key."""
         self._batch.items[self._batch.answered].ensure_attempt().value_started(length, source)
 
     def value_received(self, data: bytes) -> None:
-        """Pass on a chunk of that value."""
+        """Pass on a part of that value."""
         self._batch.items[self._batch.answered].ensure_attempt().value_received(data)
 
     def _hedge_if_slow(self, now: int) -> int:
@@ -190,10 +190,10 @@
         return NEVER
 
     def _unblock_if_stalled(self, now: int) -> int:
-        """Resolve head-of-line blocking: time out the keys behind an unresponsive one.
+        """Time out the keys behind a key that is not answered, so that it does not block them.
 
-        They can then be retried elsewhere; the first key is still waited for. Return the time of the next
-        check.
+        They can then be retried elsewhere, while the batch still waits for the first key. Return the time of
+        the next check.
         """
         registry, batch, connection = self._registry, self._batch, self.connection
         if connection is None:
@@ -201,32 +201,32 @@
         retry_after, behind = registry.batches.check_stall(batch, now)
         if retry_after:
             return now + retry_after
-        self._report_served()  # the batch may stay open for long
+        self._report_served()  # the batch may stay open for a long time
         head = batch.unanswered[0]
-        if not head.streaming:  # else its client is the slow side, not the server
+        if not head.streaming:  # else its client is slow, not the server
             self._quarantine([head, *behind] if batch.as_command else [head])
         if behind:
-            connection.retired = True  # answers behind that key's no longer belong to a request
+            connection.retired = True  # answers after that of the first key no longer belong to a request
         for key in behind:
             attempt = key.ensure_attempt()
             attempt.exclude_from_health(head.streaming)
             attempt.end(Outcome.TIMEOUT)
         if batch.as_command and not batch.answered:
-            self.give_up(Outcome.TIMEOUT)  # the key that blocks can't be identified
+            self.give_up(Outcome.TIMEOUT)  # the blocking key can't be identified
         registry.schedule()
         return NEVER
 
     def _quarantine(self, keys: list[KeyAttempt]) -> None:
-        """Send these keys alone from now on: one of them blocks the others."""
+        """Send each of these keys alone from now on, as one of them blocks the others."""
         self._multi_get.quarantined.update(key.number for key in keys)
 
     def _timed_out(self) -> None:
-        # A streamed value may continue; the keys behind it have left the batch by then.
+        # A streamed value may continue; the keys behind it have been timed out already.
         if not self.is_over and not (self._batch.unanswered and self._batch.unanswered[0].streaming):
             self.give_up(Outcome.TIMEOUT)
 
     def ended(self, outcome: Outcome, answer: Answer) -> None:
-        """End the unanswered keys with the connection's outcome; `answer` belongs to the first of them."""
+        """End the unanswered keys with the outcome of the batch; `answer` belongs to the first of them."""
         batch = self._batch
         self._timer.cancel()
         self._multi_get.exchanges.pop(self, None)
@@ -242,7 +242,7 @@
             head.end(outcome, answer)
             for key in unanswered[1:]:
                 attempt = key.ensure_attempt()
-                # Count one failure once in the server's health statistics: on the first key.
+                # One failure counts once in the server's health statistics: for the first key.
                 if outcome is not Outcome.CONNECT_FAILED:
                     attempt.exclude_from_health()
                 attempt.end(outcome)
--- a/pebblepass/daemon/multi_get/interfaces.py
+++ b/pebblepass/daemon/multi_get/interfaces.py
@@ -1,4 +1,4 @@
-"""What the modules of this package require of each other, so that none of them imports in a circle."""
+"""Protocols between the modules of this package, which avoid circular imports."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class StreamedReply(Protocol):
-    """One key's reply with a value too long to be buffered, as its command drives it."""
+    """The reply of a key whose value is streamed, as its command uses it."""
 
     source: ValueSource | None
 
@@ -37,7 +37,7 @@
         """The reply to the command."""
 
     def open_key(self, request_id: str) -> None:
-        """Open the request of a key that has none, and create the attempt for what was already sent."""
+        """Open the request of a key that has none, and create its attempt if the key was already sent."""
 
     def complete_key(self, number: int, entry: bytes) -> None:
         """Record a key's final answer."""
@@ -49,7 +49,7 @@
         """Record that a streamed value is complete."""
 
     def fail_stream(self, number: int) -> None:
-        """Handle a streamed value that ended too early."""
+        """Handle a streamed value that ended before it was complete."""
 
 
 class CommandRegistry(Protocol[CommandT_contra]):
--- a/pebblepass/daemon/multi_get/key_attempt.py
+++ b/pebblepass/daemon/multi_get/key_attempt.py
@@ -1,4 +1,4 @@
-"""One key of a command in flight."""
+"""One key of a command, from the time at which it is requested."""
 
 from __future__ import annotations
 
@@ -7,10 +7,9 @@
 
 
 class KeyAttempt:
-    """The minimal state of a key that is in flight: enough for a hit. Any other outcome creates an attempt.
+    """The minimal state of a requested key, which suffices for a hit; any other outcome creates an attempt.
 
-    Nearly all keys are hits of healthy servers; a request and an attempt for each would cost as much as a
-    single read.
+    Nearly all keys are hits, and a request and an attempt for each would cost as much as a single read.
     """
 
     __slots__ = ("attempt", "batch", "multi_get", "number", "request_id", "server")
@@ -20,7 +19,7 @@
     ) -> None:
         self.multi_get, self.number, self.request_id = multi_get, number, request_id
         self.server = ""
-        """The server that the decision module has chosen; empty: not chosen yet, or the request is open."""
+        """The server that the decision module has chosen; empty if none is, or if the request is open."""
         self.batch: Carrier | None = None
         self.attempt = attempt
 
@@ -31,7 +30,7 @@
 
     @property
     def streaming(self) -> bool:
-        """Whether a long value of it is under way."""
+        """Whether its value is being streamed."""
         return self.attempt is not None and self.attempt.streaming
 
     def begin(self, batch: Carrier) -> None:
@@ -41,7 +40,7 @@
             self.attempt.begin(batch)
 
     def ensure_attempt(self) -> Attempt:
-        """Return the key's attempt, and create it, with its request, if there is none yet."""
+        """Return the key's attempt; create it, and its request, if there is none yet."""
         if self.attempt is None:
             self.multi_get.open_key(self.request_id)
         assert self.attempt is not None
--- a/pebblepass/daemon/multi_get/key_reply.py
+++ b/pebblepass/daemon/multi_get/key_reply.py
@@ -8,7 +8,7 @@
 
 
 class KeyReply:
-    """The reply of one key: it has a client reply's interface, and passes the answer to the command."""
+    """The reply of one key: has the interface of a client's reply, and passes the answer to the command."""
 
     __slots__ = ("_buffered", "_multi_get", "_number", "request", "source")
 
@@ -20,11 +20,11 @@
 
     @property
     def unread_ns(self) -> int:
-        """Always 0: the command's deadline already accounts for the time unread."""
+        """Always 0, as the command's deadline accounts for the time unread."""
         return 0
 
     def send(self, data: bytes) -> None:
-        """Deliver the key's entry, or the last chunk of its streamed value."""
+        """Pass on the key's entry, or the last part of its streamed value."""
         multi_get = self._multi_get
         if self.source is None:
             multi_get.complete_key(self._number, data)
@@ -42,7 +42,7 @@
         self._multi_get.start_stream(self._number, self)
 
     def write(self, data: bytes) -> bool:
-        """Write a chunk of a streamed value, or buffer it; return whether it was written."""
+        """Write a part of a streamed value, or buffer it; return whether it was written."""
         if self._multi_get.assembly.is_streaming(self._number):
             self._multi_get.reply.write(data)
             return True
@@ -60,7 +60,7 @@
             self.source.resume()
 
     def abort(self) -> None:
-        """Discard what is buffered: the streamed value ended too early."""
+        """Discard what is buffered: the streamed value has ended before it was complete."""
         self.source = None
         for data in self._buffered:
             self._multi_get.assembly.stream_bytes_released(len(data))
@@ -68,14 +68,14 @@
         self._multi_get.fail_stream(self._number)
 
     def free_command(self) -> None:
-        """Do nothing: no memory is reserved for a single key's words."""
+        """Do nothing: no memory is reserved for a single key."""
 
     def client_is_alive(self) -> bool:
         """Return whether the command's client is still connected."""
         return self._multi_get.reply.client_is_alive()
 
     def detach_request(self) -> None:
-        """End this key: the client has disconnected. Its connection closes the rest of the command."""
+        """End this key, whose client has disconnected; its connection closes the rest of the command."""
         multi_get = self._multi_get
         multi_get.abandoned.add(self._number)
         if multi_get.assembly.state(self._number) is KeyState.REQUESTED:
@@ -83,5 +83,5 @@
 
     @property
     def null(self) -> bytes:
-        """The null in its client's protocol."""
+        """The null value in the client's protocol version."""
         return self._multi_get.reply.null
--- a/pebblepass/daemon/multi_get/limits.py
+++ b/pebblepass/daemon/multi_get/limits.py
@@ -1,6 +1,6 @@
 """The bounds of multi-get, from the operator's `[many_keys]` section and the router's settings.
 
-Only here are the section's keys that bound memory and batches read under the operator's names for them.
+Translates the keys of the section that bound memory and batches into the terms of `pebblepass.multi_get`.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
     from pebblepass.decisions import Settings
     from pebblepass.operator_config import MultiGetSection
 
-MAX_MEMORY_FRACTION = 0.25  # of the router's memory, for replies that are being assembled
+MAX_MEMORY_FRACTION = 0.25  # maximum fraction of the router's memory for replies that are being assembled
 
 
 def allocation_bounds(section: MultiGetSection, memory: int) -> AllocationBounds:
-    """Return the bounds over all commands and for one; `memory`: the router's, in bytes."""
+    """Return the bounds for all commands and for a single one; `memory`: of the router, in bytes."""
     reply_memory = min(section.held_kib << 10, int(memory * MAX_MEMORY_FRACTION))
     return AllocationBounds(
         keys_in_flight=section.keys_in_flight,
@@ -32,7 +32,7 @@
 
 
 def batch_bounds(section: MultiGetSection, settings: Settings) -> BatchBounds:
-    """Return the bounds of a batch, and of the batches that one server has in flight."""
+    """Return the bounds of a batch, and of the batches in flight to one server."""
     return BatchBounds(
         keys=section.part_keys,
         pipelined=min(section.part_keys, settings.requests_per_connection),
--- a/pebblepass/daemon/multi_get/multi_get.py
+++ b/pebblepass/daemon/multi_get/multi_get.py
@@ -20,7 +20,7 @@
 
 
 class MultiGet:
-    """One command in progress: the source of its reply, paused while the client does not read."""
+    """One command in progress; as the source of its reply it is paused while the client does not read."""
 
     def __init__(
         self, registry: CommandRegistry[MultiGet], command: MultiGetCommand, reply: Reply, now: int
@@ -31,21 +31,21 @@
         self.deadline = now - reply.unread_ns + command.timeout_ms * NS_PER_MS
         self.is_paused = False
         self.is_over = False
-        """Whether the client has disconnected, or the answer is written."""
+        """Whether the client has disconnected, or the reply is written."""
         self.streams: dict[int, StreamedReply] = {}
         self.exchanges: dict[Exchange, None] = {}
         self._advertised_ms, self._info = -1, b""
         self.unopened: dict[str, KeyAttempt] = {}
-        """Keys that the decision module knows and that have no open request yet, by request id."""
+        """Keys that the decision module has received and that have no open request yet, by request id."""
         self.abandoned: set[int] = set()
-        """Numbers of keys that were ended one by one, because the client was found disconnected."""
+        """Numbers of keys that were ended one by one, as the client was found to have disconnected."""
         self.quarantined: set[int] = set()
-        """Numbers of keys that have blocked or failed a batch: they are sent alone from then on."""
+        """Numbers of keys that are sent alone, as they have blocked or failed a batch."""
         due = max(self.deadline - registry.deadline_margin, now)
         self.timer: Deadline = registry.host.call_at(due, lambda: after_poll(registry.loop, self.expire))
 
     def info_to_send(self, now: int) -> bytes:
-        """Return the list of names and values for a batch that is written at this time, in nanoseconds.
+        """Return the encoded fields for a batch that is written at the time `now`, in nanoseconds.
 
         Batches written within the same millisecond share one encoding.
         """
@@ -63,16 +63,16 @@
         return [self.request_id(number) for number in self.assembly.incomplete_numbers()]
 
     def pause(self) -> None:
-        """Stop requesting and reading: the client's connection takes no more."""
+        """Stop requesting keys and reading long values, as the client's connection accepts no more data."""
         self.is_paused = True
-        if self.reply.is_next:  # else it waits for the answers ahead, and its keys may be requested meanwhile
+        if self.reply.is_next:  # else it waits for the replies ahead, and its keys may be requested meanwhile
             self.registry.allocator.client_stalled(self.assembly, self.registry.host.now())
         for reply in self.streams.values():
             if reply.source is not None:
                 reply.source.pause()
 
     def resume(self) -> None:
-        """Continue: the client reads again, or the answers ahead on its connection are written."""
+        """Continue: the client reads again, or the replies ahead on its connection are written."""
         self.is_paused = False
         self.registry.allocator.client_resumed(self.assembly)
         for number, reply in self.streams.items():
@@ -87,7 +87,7 @@
             self.registry.schedule(self)
 
     def open_key(self, request_id: str) -> None:
-        """Open the request of a key that has none, and create the attempt for what was already sent."""
+        """Open the request of a key that has none, and create its attempt if the key was already sent."""
         self.registry.open_key(self, request_id)
 
     def start_stream(self, number: int, reply: StreamedReply) -> None:
@@ -104,7 +104,7 @@
         self.registry.schedule(self)
 
     def fail_stream(self, number: int) -> None:
-        """Handle a truncated value: fail the key if none of it is written yet, else cut the client off."""
+        """Handle a truncated value: fail the key if none of it is written yet, else abort the connection."""
         self.streams.pop(number, None)
         if self.is_over or self.assembly.state(number) is KeyState.COMPLETED:
             return
@@ -116,12 +116,12 @@
         self.reply.abort()
 
     def write_due(self) -> None:
-        """Write the entries that are due; finish the answer after the last one."""
+        """Write the entries whose turn it is; finish the reply after the last one."""
         assembly, reply = self.assembly, self.reply
         while not self.is_paused and not self.is_over:
-            due = assembly.take_writable()
-            if due:
-                reply.write(b"".join(due))
+            entries = assembly.take_writable()
+            if entries:
+                reply.write(b"".join(entries))
             number = assembly.start_next_stream()
             if number is None:
                 break
--- a/pebblepass/daemon/multi_get/registry.py
+++ b/pebblepass/daemon/multi_get/registry.py
@@ -1,4 +1,4 @@
-"""All multi-get commands in progress in one router: admission, turns in which keys are requested, and end."""
+"""All multi-get commands in progress in one router: their admission, the requests for keys, and their end."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 PATH = "RESP2 client, many keys"
 STARVED_RETRY_S = 0.01  # seconds until the next turn while other requests occupy all the capacity
-TURNS_BEFORE_SHORT_BATCHES = 12  # turns that request keys, after which batches that are not full are sent
+TURNS_BEFORE_SHORT_BATCHES = 12  # turns that request keys, after which batches that are not full are sent too
 MAX_BATCHES_PER_TURN = 8
 
 log = logging.getLogger("pebblepass")
@@ -54,7 +54,7 @@
         section: MultiGetSection,
         memory: int,
     ) -> None:
-        """`memory`: the router's, in bytes."""
+        """`memory`: of the router, in bytes."""
         self.loop, self.host, self._pool = loop, host, pool
         self.allocator = FairAllocator(allocation_bounds(section, memory))
         settings = host.settings
@@ -68,7 +68,7 @@
         self._changed: dict[MultiGet, None] = {}
         self._by_assembly: dict[ReplyAssembly, MultiGet] = {}
         self.unopened = 0
-        """The number of keys that the decision module knows and that have no open request yet."""
+        """The number of keys that the decision module has received and that have no open request yet."""
         self._scheduled = False
         self._consecutive_allocations = 0  # turns in a row in which keys were requested
         self._retry: asyncio.TimerHandle | None = None
@@ -76,7 +76,7 @@
     # Clients
 
     def command_arrived(self, words: list[bytes], reply: Reply, is_over_limit: bool) -> None:
-        """Accept a command, or answer it with one error line."""
+        """Accept a command, or reply with an error line."""
         host = self.host
         try:
             command = parse_many(words)
@@ -94,7 +94,7 @@
         if is_over_limit:
             self._reject(multi_get, b"-BUSY\r\n", refused="connections")
         elif multi_get.name in self._multi_gets or host.knows_key_of(multi_get.name):
-            # Two requests under one id would share attempts, and one would get the other's answer.
+            # Two requests with the same id would share attempts, and one would get the other's answer.
             self._reject(multi_get, b"-ERR duplicate id\r\n", failed="duplicate id")
         elif not self.allocator.add(multi_get.assembly):
             self._reject(multi_get, b"-BUSY\r\n", refused="commands of many keys")
@@ -157,7 +157,7 @@
         request = host.request(request_id)
         if request is not None:
             host.drop_request(request, failed)
-        elif host.ledger is not None:  # the key was never requested
+        elif host.ledger is not None:  # the key was not requested
             if failed:
                 host.ledger.record_failed(request_id, host.now(), failed)
             else:
@@ -200,19 +200,20 @@
         if allocation is not None:
             assembly, numbers = allocation
             self._request_keys(self._by_assembly[assembly], numbers)
-            # One chunk a turn: single requests are served in between.
+            # One chunk per turn, so that single requests are served in between.
             self.schedule()
         elif self.allocator.is_starved() and self._retry is None:
-            # No key is in flight whose end would schedule a turn: single requests occupy all the capacity.
+            # Single requests occupy all the capacity, so no key is in flight whose end would schedule a turn.
             self._retry = self.loop.call_later(STARVED_RETRY_S, self._retry_starved)
-        # Batches wait to fill up: a short one costs its server and this router as much as a full one.
+        # Batches wait until they are full: a short one costs its server and this router as much as a full
+        # one.
         self._send_batches(full_only=self._consecutive_allocations % TURNS_BEFORE_SHORT_BATCHES != 0)
 
     def _retry_starved(self) -> None:
         self._retry = None
         stalled = self.allocator.command_to_shed(self.host.now())
         if stalled is not None:
-            log.warning("closing a client that reads nothing of its reply: others wait for the memory")
+            log.warning("client does not read its reply while others wait for memory: connection aborted")
             self._by_assembly[stalled].reply.abort()
         self.schedule()
 
@@ -229,13 +230,13 @@
         self.host.handle_event(BatchArrived(names, texts, fields["c"], multi_get.deadline, tenant, name))
 
     def open_request(self, request_id: str) -> OpenRequest | None:
-        """Open the request of a key that had none until now; None: there is no such key."""
+        """Open the request of a key that has none; None if there is no such key."""
         multi_get = self._multi_gets.get(request_id.rpartition(".")[0])
         key = multi_get.unopened.get(request_id) if multi_get is not None else None
         return None if multi_get is None or key is None else self._open(multi_get, key)
 
     def open_key(self, multi_get: MultiGet, request_id: str) -> None:
-        """Open the request of one of the command's keys, and create the attempt for what was already sent."""
+        """Open the request of one of the command's keys, and create its attempt if it was already sent."""
         self._open(multi_get, multi_get.unopened[request_id])
 
     def _open(self, multi_get: MultiGet, key: KeyAttempt) -> OpenRequest:
--- a/pebblepass/daemon/multi_get_host.py
+++ b/pebblepass/daemon/multi_get_host.py
@@ -1,4 +1,4 @@
-"""Reads of many keys as the host of the decision module sees them."""
+"""Multi-gets as the host of the decision module sees them."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
     """Handles the decisions on keys of multi-gets; see `daemon.multi_get`."""
 
     unopened: int
-    """Number of keys that the decision module knows and that have no OpenRequest."""
+    """Number of keys that the decision module has received and that have no OpenRequest yet."""
 
     def open_ids(self) -> list[str]:
-        """The request ids of all keys without a final answer."""
+        """Return the request ids of all keys without a final answer."""
 
     def owns(self, request_id: str) -> bool:
         """Whether this is the request id of a key of an open command."""
 
     def open_request(self, request_id: str) -> OpenRequest | None:
-        """Make the OpenRequest of a key that had none; None: there is no such key."""
+        """Make the OpenRequest of a key that has none; None if there is no such key."""
 
     def send_batch(self, action: SendBatch) -> None:
-        """Send the keys of a batch to the server that the decision module has selected."""
+        """Queue the keys of a batch for the server that the decision module has selected."""
 
     def send_single(self, attempt: Attempt, server: str, timeout: int) -> None:
-        """Send a single key, such as a retry, to the selected server; `timeout` is in nanoseconds."""
+        """Queue a single key, such as a retry, for the selected server; `timeout` is in nanoseconds."""
 
-    def client_disconnected(self, read: Any) -> None:
-        """Drop the command whose client has disconnected; `read` is the `request` of its reply."""
+    def client_disconnected(self, multi_get: Any) -> None:
+        """Drop the command whose client has disconnected; `multi_get` is the `request` of its reply."""
 
     def server_left(self, server: str) -> None:
-        """Cancel what waits to be sent to a server that drains or is gone."""
+        """Cancel the keys that are queued for a server that drains or is gone."""
 
     def end_all(self) -> None:
         """Reply to every command now, with what has been received."""
 
     def abandon(self) -> None:
-        """Mark every command as failed: the router stops."""
+        """Drop every command without a reply: the router stops."""
--- a/pebblepass/daemon/origin.py
+++ b/pebblepass/daemon/origin.py
@@ -20,7 +20,7 @@
         HttpReader.__init__(self)
         self._body = bytearray()
         self._streaming = False
-        self._rest: memoryview | None = None  # of a buffered long value: not passed on yet
+        self._unsent: memoryview | None = None  # the rest of a buffered long value, not passed on yet
         self._paused = False
 
     def read_answer(self, data: bytes) -> None:
@@ -31,25 +31,25 @@
             self.fail_protocol(f"sent an invalid response ({error})")
             return
         if is_complete:
-            self._take()
+            self._handle_response()
 
     def eof_received(self) -> None:
         """Handle the end of the stream, which may complete a response."""
-        if self.exchange is not None and self._rest is None and self.is_complete_at_eof():
-            self._take()
+        if self.exchange is not None and self._unsent is None and self.is_complete_at_eof():
+            self._handle_response()
 
-    def _take(self) -> None:
+    def _handle_response(self) -> None:
         if self.status == 200 and len(self._body) > LONG_VALUE_BYTES and self.exchange is not None:
-            self._pass_on_gathered()
+            self._stream_buffered()
             return
         value = None if self._streaming else bytes(self._body)
         self._streaming = False
-        if len(self._body) > LONG_VALUE_BYTES:  # an error's text, which nobody needs, but it was counted
-            self._let_go()
+        if len(self._body) > LONG_VALUE_BYTES:  # an error's text: it is not used, but counts in the budget
+            self._discard_buffered()
         self._body.clear()
-        self._finish(value)
+        self._finish_exchange(value)
 
-    def _finish(self, value: bytes | None) -> None:
+    def _finish_exchange(self, value: bytes | None) -> None:
         status, report = self.status, self.headers.get(b"server-load")
         not_started = self.headers.get(b"not-started") == b"1"
         self.retired = not self.finish_response() or self.retired
@@ -86,64 +86,64 @@
         if len(self._body) > MAX_ANSWER_VALUE_BYTES:
             raise HttpError("value too long")
         if len(self._body) > LONG_VALUE_BYTES:
-            # Guards the memory: the client needs the length first, so the whole value is buffered here.
+            # The client needs the length first, so the whole value is buffered, which the budget limits.
             self.server.pool.buffer_budget.take(
                 self, len(self._body) - (before if before > LONG_VALUE_BYTES else 0)
             )
 
     # A long value received without a length: it stays buffered until the client has read it
 
-    def _pass_on_gathered(self) -> None:
+    def _stream_buffered(self) -> None:
         assert self.exchange is not None
-        self._rest, self._paused = memoryview(bytes(self._body)), False
+        self._unsent, self._paused = memoryview(bytes(self._body)), False
         self._body.clear()
-        self.exchange.value_started(len(self._rest), self)
-        self._feed()
+        self.exchange.value_started(len(self._unsent), self)
+        self._pass_on_buffered()
 
-    def _feed(self) -> None:
-        while self._rest and not self._paused and self.exchange is not None:
-            part, self._rest = self._rest[:LONG_VALUE_BYTES], self._rest[LONG_VALUE_BYTES:]
+    def _pass_on_buffered(self) -> None:
+        while self._unsent and not self._paused and self.exchange is not None:
+            part, self._unsent = self._unsent[:LONG_VALUE_BYTES], self._unsent[LONG_VALUE_BYTES:]
             self.exchange.value_received(bytes(part))
-        if self._rest is not None and not self._rest:
-            self._let_go()
-            self._finish(None)
+        if self._unsent is not None and not self._unsent:
+            self._discard_buffered()
+            self._finish_exchange(None)
 
     def pause(self) -> None:
-        """Pause reading, or passing on what is buffered."""
+        """Pause reading from the origin, or passing on what is buffered."""
         self._paused = True
-        if self._rest is None:
+        if self._unsent is None:
             super().pause()
 
     def resume(self) -> None:
-        """Resume reading, or passing on what is buffered."""
+        """Resume reading from the origin, or passing on what is buffered."""
         self._paused = False
-        if self._rest is None:
+        if self._unsent is None:
             super().resume()
         else:
-            self._feed()
+            self._pass_on_buffered()
 
     def pause_buffering(self) -> None:
-        """Pause reading: other values are being buffered."""
+        """Pause reading: the memory is in use for other values."""
         super().pause()
 
     def resume_buffering(self) -> None:
         """Resume reading."""
         super().resume()
 
-    def _let_go(self) -> None:
-        self._rest = None
+    def _discard_buffered(self) -> None:
+        self._unsent = None
         self.server.pool.buffer_budget.release(self)
 
     def close(self) -> None:
         """Abort the connection, and discard what is buffered."""
-        self._let_go()
+        self._discard_buffered()
         super().close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Handle the end of the connection; a value that is complete is still passed on to its client."""
-        if self._rest is not None and self.exchange is not None:
+        """Handle the end of the connection; a value that was received completely is still passed on."""
+        if self._unsent is not None and self.exchange is not None:
             self.retired = True
             self.server.pool.lost(self)
             return
-        self._let_go()
+        self._discard_buffered()
         super().connection_lost(exc)
--- a/pebblepass/daemon/reply.py
+++ b/pebblepass/daemon/reply.py
@@ -1,4 +1,4 @@
-"""The replies to the commands of one connection, written in the order of the commands."""
+"""Replies to the commands of one connection."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ReplyConnection(Protocol):
-    """The connection as its replies see it."""
+    """The client's connection as its replies use it."""
 
     replies: deque[Reply]
     blocked: bool
@@ -43,7 +43,7 @@
 
     def __init__(self, connection: ReplyConnection) -> None:
         self._connection = connection
-        self._held: list[bytes] = []
+        self._buffered: list[bytes] = []
         self.done = False
         self.source: ValueSource | None = None
         self.request: Any = None  # set and read by the host
@@ -67,7 +67,7 @@
         if connection.closed:
             return True
         if connection.replies[0] is not self:
-            self._held.append(data)
+            self._buffered.append(data)
             return False
         connection.write(data)
         return True
@@ -108,8 +108,8 @@
 
     def write_buffered(self) -> None:
         """Write what is buffered: the replies ahead have been written."""
-        for data in self._held:
+        for data in self._buffered:
             self._connection.write(data)
-        self._held.clear()
+        self._buffered.clear()
         if self.source is not None and not self._connection.blocked:
             self.source.resume()
--- a/pebblepass/daemon/request_hosts.py
+++ b/pebblepass/daemon/request_hosts.py
@@ -1,4 +1,4 @@
-"""What the server for clients asks of the parts that handle the clients' requests."""
+"""Interfaces that the server for clients requires of the parts that handle the clients' requests."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class PollTimes(Protocol):
-    """Tells when the event loop last polled its sockets."""
+    """Records when the event loop last polled its sockets."""
 
     sockets_polled_at: float
     """Loop time in seconds; every socket that was readable at this time has been read from since."""
@@ -35,7 +35,7 @@
 
 
 class MultiKeyHost(Protocol):
-    """Handles the clients' commands that read many keys."""
+    """Handles the clients' multi-get commands."""
 
     def command_arrived(self, words: list[bytes], reply: Reply, is_over_limit: bool) -> None:
         """Handle a command that was received completely; `is_over_limit`: reject its keys."""
--- a/pebblepass/daemon/router.py
+++ b/pebblepass/daemon/router.py
@@ -57,29 +57,29 @@
 log = logging.getLogger("pebblepass")
 
 
-class Clocked(Protocol):
-    """A loop that has its time in nanoseconds too, as the daemon's and the simulation's do."""
+class NanosecondClock(Protocol):
+    """An event loop that has its time in nanoseconds too, as those of the daemon and the simulation do."""
 
     def time_ns(self) -> int:
-        """The loop's time in nanoseconds."""
+        """Return the loop's time in nanoseconds."""
 
 
 class RouterHost:
-    """Feeds the decision module events one at a time, and carries out its actions."""
+    """Gives the decision module events one at a time, and carries out its actions."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, settings: Settings, seed: int, pool: Pool, max_open: int
     ) -> None:
         self.loop, self.settings = loop, settings
-        self.now: Callable[[], int] = cast(Clocked, loop).time_ns
-        """The loop's time in nanoseconds."""
+        self.now: Callable[[], int] = cast(NanosecondClock, loop).time_ns
+        """Returns the loop's time in nanoseconds."""
         self.call_at: Callable[[int, Callable[[], None]], Deadline] = Deadlines(loop, self.now).add
-        """Calls back once `now` has reached a time, never before."""
+        """Calls back once `now` has reached a time, and never before."""
         self.ready = False
         self.ledger: Ledger | None = None
         """Accounts for every request, if the operator has configured it; set by its owner."""
         self.subscribe: Callable[[], None] = lambda: None
-        """Begins a watch of discovery; set by the owner of the watch."""
+        """Starts the watch of the endpoint list; set by the owner of the discovery client."""
         self.multi_gets: MultiGetHost | None = None
         """Handles multi-gets, if the operator has configured them; set by its owner."""
         self._router = Router(settings, seed)
@@ -104,34 +104,34 @@
         return len(self.open_requests())
 
     def open_requests(self) -> dict[str, None]:
-        """The ids of the requests without a complete final answer, the oldest first."""
-        found = {
+        """Return the ids of the requests without a complete final answer, the oldest first."""
+        request_ids = {
             request.id: None
             for request in self._requests.values()
             if not request.closed or (request.streaming and not request.accounted)
         }
         if self.multi_gets is not None:
-            found.update(dict.fromkeys(self.multi_gets.open_ids()))
-        return found
+            request_ids.update(dict.fromkeys(self.multi_gets.open_ids()))
+        return request_ids
 
     def limits(self) -> dict[str, float]:
-        """The origin fetches per second allowed now, by namespace."""
+        """Return the origin fetches per second that are allowed now, by namespace."""
         return self._router.limits()
 
     def demand(self) -> dict[str, int]:
-        """The number of origin fetches requested so far, and of writes, by namespace."""
+        """Return the number of origin fetches requested so far, and of writes, by namespace."""
         return self._router.demand()
 
     def ready_servers(self) -> list[Server]:
-        """The ready servers of the last endpoint list."""
+        """Return the ready servers of the last endpoint list."""
         return self._router.ready_servers()
 
     def export_state(self) -> RouterState:
-        """The learned state of the decision module."""
+        """Return the learned state of the decision module."""
         return self._router.export_state(self.now())
 
-    def figures(self) -> list[str]:
-        """The platform's metrics, a line each."""
+    def metrics_lines(self) -> list[str]:
+        """Return the platform's metrics, one line each."""
         nodes = sum(kind != self.settings.origin_kind for kind in self.kinds.values())
         avoided = len(self._router.avoided(self.now()))
         return self.counters.lines(self.open_request_count, nodes, avoided)
@@ -139,13 +139,13 @@
     # Clients
 
     def request_arrived(self, command: Command, reply: ReplySlot) -> None:
-        """Accept or reject a request; either way it gets one final answer."""
+        """Accept or reject a request; in both cases it gets exactly one final answer."""
         request_id = command.id.decode("ascii")
         fields = command.fields
         if fields["c"] not in self.classes:
             reply.send(b"-ERR unknown class\r\n")
         elif self.is_known(request_id):
-            # Danger: two requests with one id would share attempts, and one would get the other's answer.
+            # Two requests with the same id would share attempts, and one would get the other's answer.
             reply.send(b"-ERR duplicate id\r\n")
             self.record_rejection(command, failed="duplicate id")
         elif self.free_capacity <= 0:
@@ -180,29 +180,32 @@
         )
 
     def knows_key_of(self, name: str) -> bool:
-        """Whether a request has an id that a key of a multi-get of this name would have."""
-        head = f"{name}."
-        return any(known.startswith(head) and known[len(head) :].isdigit() for known in self._requests)
+        """Whether an open request has an id that a key of a multi-get of this name could have."""
+        prefix = f"{name}."
+        return any(
+            request_id.startswith(prefix) and request_id[len(prefix) :].isdigit()
+            for request_id in self._requests
+        )
 
     def request(self, request_id: str) -> OpenRequest | None:
-        """The open request of this id, if there is one."""
-        found = self._requests.get(request_id)
+        """Return the open request of this id, if there is one."""
+        request = self._requests.get(request_id)
         return (
-            found
-            if found is not None or self.multi_gets is None
+            request
+            if request is not None or self.multi_gets is None
             else self.multi_gets.open_request(request_id)
         )
 
     def add_request(self, request: OpenRequest) -> None:
-        """Add the request of a multi-get's key, which the decision module knows already."""
+        """Add the request of a multi-get's key, which the decision module has received already."""
         request.reply.request = request
         self._requests[request.id] = request
 
     @property
     def free_capacity(self) -> int:
-        """How many more requests may be open."""
-        light = self.multi_gets.unopened if self.multi_gets is not None else 0
-        return self._max_open - len(self._requests) - light
+        """How many further requests may be opened now."""
+        unopened_keys = self.multi_gets.unopened if self.multi_gets is not None else 0
+        return self._max_open - len(self._requests) - unopened_keys
 
     def record_rejection(self, command: Command, refused: str = "", failed: str = "") -> None:
         """Account for a request that is rejected before the decision module receives it."""
@@ -231,13 +234,13 @@
                 self.ledger.record_disconnected(request.id, self.now())
         request.closed = request.accounted = True
         if isinstance(request.reply.source, Attempt):
-            request.reply.source.client_left()
+            request.reply.source.client_disconnected()
         request.withdraw()
         self.forget_if_settled(request)
         self.handle_event(ClientDisconnected(request.id))
 
     def end_open(self) -> None:
-        """Fail every open request now: the router is about to be killed."""
+        """Fail every open request now, with a reply, as the router is about to be killed."""
         if self.multi_gets is not None:
             self.multi_gets.end_all()
         for request in list(self._requests.values()):
@@ -246,7 +249,7 @@
                 self.handle_event(ClientDisconnected(request.id))
 
     def abandon(self) -> None:
-        """Account for every open request as failed, and close it: the router stops."""
+        """Account for every open request as failed and close it, without a reply, as the router stops."""
         if self.ledger is not None:
             for request_id in self.open_requests():
                 self.ledger.record_failed(request_id, self.now(), "router ended")
@@ -256,8 +259,8 @@
             request.closed = request.accounted = True
 
     def forget_if_settled(self, request: OpenRequest) -> None:
-        """Forget a request that is answered and has no attempt in flight."""
-        if request.closed and not request.out and request.id in self._requests:
+        """Forget a request that is closed and has no attempt in flight."""
+        if request.closed and not request.attempts_in_flight and request.id in self._requests:
             del self._requests[request.id]
             request.reply.free_command()
 
@@ -278,9 +281,9 @@
     # The endpoint list
 
     def servers_changed(self, listing: EndpointList) -> bool:
-        """Apply an endpoint list or a change of it; the decision module handles it before its consequences.
+        """Apply an endpoint list or a change of it; returns False if the decision module failed to handle it.
 
-        Returns False if the decision module failed to handle it.
+        The decision module receives it before the attempts that end because of it.
         """
         self._list_failed = False
         self._events.append(listing.change)
@@ -318,7 +321,7 @@
     # Events and actions
 
     def handle_event(self, event: Event) -> None:
-        """Give the decision module an event; events during its actions are queued."""
+        """Give the decision module an event; events that occur during its actions are queued."""
         self._events.append(event)
         self._handle_events()
 
@@ -333,22 +336,25 @@
                     for action in self._router.handle(event, self.now()):
                         self._carry_out(action)
                 except Exception:
-                    log.exception("decisions on %s failed: the requests concerned fail", type(event).__name__)
+                    log.exception(
+                        "the decision module failed to handle %s: the requests concerned fail",
+                        type(event).__name__,
+                    )
                     self._list_failed = self._list_failed or isinstance(event, ServersChanged)
                     self._fail_requests_of(event)
         finally:
             self._handling = False
 
     def _fail_requests_of(self, event: Event) -> None:
-        """Fail the requests of an event that raised in the decision module, unless attempts are in flight."""
-        owed: list[str] = []
+        """Fail the requests of an event whose handling raised an exception, unless attempts are in flight."""
+        request_ids: list[str] = []
         if isinstance(event, RequestArrived | AttemptEnded):
-            owed = [event.request]
+            request_ids = [event.request]
         elif isinstance(event, BatchArrived):
-            owed = event.requests
-        for request_id in owed:
+            request_ids = event.requests
+        for request_id in request_ids:
             request = self.request(request_id)
-            if request is not None and not request.out:
+            if request is not None and not request.attempts_in_flight:
                 self._answer(request_id, FAILED, failed="fault")
 
     def _carry_out(self, action: Action) -> None:
@@ -361,12 +367,14 @@
             case SetTimer():
                 self._set_timer(self.now() + action.delay, action.token)
             case Reject():
-                wait = b" %d" % -(-action.retry_after // NS_PER_MS) if action.retry_after > 0 else b""
-                self._answer(action.request, b"-BUSY%b\r\n" % wait, refused=action.reason.value)
+                retry_after_ms = (
+                    b" %d" % -(-action.retry_after // NS_PER_MS) if action.retry_after > 0 else b""
+                )
+                self._answer(action.request, b"-BUSY%b\r\n" % retry_after_ms, refused=action.reason.value)
             case Fail():
                 request = self.request(action.request)
-                missing = action.reason is Reason.NOT_FOUND and request is not None
-                data = request.reply.null if missing and request is not None else FAILED
+                is_missing = action.reason is Reason.NOT_FOUND and request is not None
+                data = request.reply.null if is_missing and request is not None else FAILED
                 self._answer(action.request, data, failed=action.reason.value)
             case Subscribe():
                 self.subscribe()
@@ -378,14 +386,14 @@
                 )
 
     def attempt(self, request: OpenRequest, server: str) -> Attempt:
-        """Make the attempt at a request on this server."""
+        """Make an attempt at a request on this server."""
         return Attempt(self, request, server, server in self._origins, self.now())
 
     def _send(self, action: Send) -> None:
         request = self._requests.get(action.request) or self.request(action.request)
         if request is None:
             log.error(
-                "decided to send request %s to %s, but it is not open: nothing is sent",
+                "the decision module sends request %s to %s, but the request is not open: nothing is sent",
                 action.request,
                 action.server,
             )
@@ -404,5 +412,5 @@
         self._pool.submit(action.server, attempt)
 
     def _set_timer(self, due: int, token: str) -> None:
-        # Danger: the module ignores an early timer, and the request would wait for ever.
+        # The decision module would ignore an early timer, and the request would never continue.
         self.call_at(due, lambda: self.handle_event(TimerFired(token)))
--- a/pebblepass/daemon/server_connection.py
+++ b/pebblepass/daemon/server_connection.py
@@ -1,4 +1,4 @@
-"""A listed server and its connections, each with at most one exchange on it."""
+"""A listed server and its connections, each of which carries at most one exchange at a time."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
 
 
 class PoolOfConnection(Protocol):
-    """The pool as its connections see it."""
+    """The pool as its connections use it."""
 
     poller: SocketPoller
     buffer_budget: BufferBudget
     reports: bool
-    """Whether servers give load reports."""
+    """Whether servers send load reports."""
 
     def released(self, connection: Connection) -> None:
-        """Keep a connection that has no exchange any longer."""
+        """Keep a connection whose exchange has ended."""
 
     def lost(self, connection: Connection) -> None:
-        """Forget a connection that has ended."""
+        """Forget a connection that is closed."""
 
     def limit_connections(self, connection: Connection) -> bool:
-        """Dial its server no more for a while; returns whether there are other connections to it."""
+        """Stop further dials to its server for a while; returns whether there are other connections to it."""
 
 
 class Connection(asyncio.Protocol):
-    """One connection, with at most one exchange at a time: no answer waits behind another exchange's."""
+    """One connection, with at most one exchange at a time, so that no exchange waits for another's answer."""
 
     def __init__(self, server: Server) -> None:
         self.server = server
@@ -49,8 +49,9 @@
         self.unsent = False
         self.retired = False
         self._poll_unread: Callable[[], int] | None = None
-        self._has_served = self._has_answer_bytes = False  # it has had an answer; part of one
-        self._reading_paused = False  # while the client of a streamed value does not read
+        # Whether it has received an answer, and a part of the current answer.
+        self._has_served = self._has_answer_bytes = False
+        self._reading_paused = False  # whether the client of a streamed value does not read
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport; with a limit of 0 it reports whether the kernel has accepted every byte."""
@@ -71,15 +72,15 @@
 
     @property
     def usable(self) -> bool:
-        """Whether it can take another exchange."""
+        """Whether it can be used for another exchange."""
         return not self.retired and self.transport is not None and not self.transport.is_closing()
 
     @property
     def has_nothing_unread(self) -> bool:
         """Whether the kernel has nothing unread: no end of file, no reset, no answer without a request.
 
-        Danger: answers carry no id, so that a late second one would be taken for the next request's; and a
-        request written after an unread end of file may have run, as far as this router can tell.
+        Answers have no id, so an unread one would be taken for the answer to the next request. And a request
+        written after an unread end of file would have to count as possibly executed.
         """
         return self._poll_unread is not None and not self._poll_unread()
 
@@ -88,7 +89,8 @@
         assert self.transport is not None
         self.exchange, exchange.connection = exchange, self
         self.transport.write(exchange.request_bytes(self.server.address))
-        # Guards requests that are not idempotent: if the kernel accepts nothing, nothing can have run.
+        # If the kernel has accepted nothing, the request was not executed, and even one that is not
+        # idempotent can be retried.
         self.unsent = self.unsent or self.transport.is_closing()
         if self.unsent:
             exchange.mark_unsent()
@@ -134,18 +136,22 @@
         self.exchange, self._has_answer_bytes = None, False
         self.server.unresponsive_since = None
         if self._reading_paused:
-            # Danger: the client that does not read would resume the exchange that has ended. The answer of
-            # the next one would stay unread, and its server look unresponsive.
+            # The client's next read would resume the exchange that has ended, not this connection. The answer
+            # to the next exchange would stay unread, and the server would look unresponsive.
             self.resume()
         self.check_trailing_bytes()
         self.server.pool.released(self)
 
     def reject(self, answer: Answer) -> None:
-        """Handle a rejection; without a load report, the first on a connection means too many connections."""
+        """Handle a rejection.
+
+        The server has too many connections if this is the first answer on the connection and has no load
+        report, although servers send load reports.
+        """
         exchange = self.exchange
-        describes_load = answer.report is not None or not self.server.pool.reports
-        if exchange is not None and not (describes_load or self._has_served or exchange.carries_several):
-            # Danger: kept open, it would be rejected again and again, and count as a usable connection.
+        is_for_load = answer.report is not None or not self.server.pool.reports
+        if exchange is not None and not (is_for_load or self._has_served or exchange.carries_several):
+            # Kept open, the connection would count as usable, and be rejected again and again.
             self.retired = True
             exchange.connection_rejected = not self.server.pool.limit_connections(self)
             exchange.connection_failed = not exchange.connection_rejected
@@ -185,13 +191,13 @@
         exchange, self.exchange = self.exchange, None
         self.server.pool.lost(self)
         if exchange is not None:
-            # Guards the health statistics of a sound server: idle connections break on their own.
+            # The break of a connection that was idle does not count against the health of its server.
             exchange.connection_failed = self._has_served and not (self._has_answer_bytes or self.unsent)
             exchange.end(Outcome.CONNECT_FAILED if self.unsent else Outcome.RESET)
 
 
 class Server:
-    """One server of the endpoint list, with its connections and the exchanges that wait for one."""
+    """One server of the endpoint list, with its connections and the exchanges that wait for a connection."""
 
     def __init__(
         self,
@@ -203,15 +209,15 @@
         self.pool, self.id, self.address, self.connect = pool, server_id, address, connect
         self.is_listed = True
         self.idle: list[Connection] = []
-        """Idle connections, the one used last at the end: the others grow old and are closed."""
+        """Idle connections; the one used last is at the end and reused first, so that the others time out."""
         self.wake_timer: asyncio.TimerHandle | None = None
         """Due when a waiting exchange may use the oldest idle connection."""
-        # Dictionaries keep the order of insertion; that of a set differs between processes.
+        # Dictionaries keep the order of insertion, while the order of a set differs between processes.
         self.connections: dict[Connection, None] = {}
         self.dials: dict[asyncio.Task[None], None] = {}
         self.waiting: deque[Exchange] = deque()
         self.connection_limit, self.connection_limit_until = MAX_CONNECTIONS_PER_SERVER, 0.0
-        """Maximum number of connections since it rejected one, and until which loop time that applies."""
+        """Maximum number of connections after the server has rejected one, and until which loop time."""
         self.unresponsive_since: float | None = None
         """Loop time of the first dial that timed out since the server last answered or accepted."""
 
@@ -220,14 +226,14 @@
         """Number of open connections and dials in progress."""
         return len(self.connections) + len(self.dials)
 
-    def record_dial_timeout(self, began: float, now: float) -> bool:
-        """Record a dial that timed out; returns whether that says nothing of the server's health.
+    def record_dial_timeout(self, started_at: float, now: float) -> bool:
+        """Record a dial that timed out; returns whether it is excluded from the server's health statistics.
 
-        `began` and `now` are loop times in seconds. The first timeout since the server last responded says
-        nothing, nor do those of the dials that were in progress then: single connections may be late or lost.
-        Danger: a server that is ejected for it gets hardly any requests for a minute. One that has vanished
-        fails the next dial too.
+        `started_at` and `now` are loop times in seconds. The first timeout since the server last responded is
+        excluded, and so are those of dials that were in progress then: single connections may be late or
+        lost, and a server that is ejected for that gets hardly any requests for a minute. A server that is
+        down fails the next dial too.
         """
         if self.unresponsive_since is None:
             self.unresponsive_since = now
-        return began < self.unresponsive_since
+        return started_at < self.unresponsive_since
--- a/pebblepass/daemon/session_commands.py
+++ b/pebblepass/daemon/session_commands.py
@@ -1,7 +1,7 @@
-"""Commands of usual clients that are not requests: the handshake, and a few queries.
+"""Session commands of Redis clients, which are not requests: the handshake and a few queries.
 
-Forms as Redis documents them (https://redis.io/docs/latest/commands/hello/ and the pages beside it); RESP3 as
-its specification has it, so far as answers here use it: maps and the null.
+Their formats are those of Redis (https://redis.io/docs/latest/commands/hello/ and the other commands' pages).
+Of RESP3, replies use only maps and the null.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 NO_PASSWORD = b"-ERR AUTH called without any password configured\r\n"
 LOADING = b"-LOADING no list of servers yet\r\n"
 MAX_NAME_BYTES = 128
-REDIS_VERSION = b"7.4.0"  # from which clients infer the features of the server
+REDIS_VERSION = b"7.4.0"  # clients infer the server's features from it
 
 
 class ClientSession(Struct):
-    """What a client has set by its handshake."""
+    """The state that a client has set by session commands."""
 
     number: int
-    """The number of the connection."""
+    """The number of the connection, which the client sees as its id."""
     protocol: int = 2
     name: bytes = b""
     has_quit: bool = False
@@ -31,9 +31,9 @@
 
 
 def answer_session_command(words: list[bytes], client: ClientSession, ready: bool, connected: int) -> bytes:
-    """Return the reply to a command that is not a request; an error changes nothing.
+    """Return the reply to a session command; one that is replied to with an error changes nothing.
 
-    `ready`: the router knows its servers; `connected`: number of client connections.
+    `ready`: whether the router knows its servers; `connected`: number of client connections.
     Raises UnknownCommandError.
     """
     name, args = words[0].upper(), words[1:]
@@ -66,7 +66,7 @@
 
 
 def _hello(args: list[bytes], client: ClientSession) -> bytes:
-    protocol, given = client.protocol, client.name
+    protocol, client_name = client.protocol, client.name
     if args:
         if args[0] not in (b"2", b"3"):
             return NO_PROTOCOL
@@ -78,9 +78,9 @@
             return NO_PASSWORD
         if option != b"SETNAME" or len(rest) < 2 or not _is_name(rest[1]):
             return b"-ERR syntax error in HELLO\r\n"
-        given, rest = rest[1], rest[2:]
-    client.protocol, client.name = protocol, given
-    facts = (
+        client_name, rest = rest[1], rest[2:]
+    client.protocol, client.name = protocol, client_name
+    properties = (
         (b"server", bulk(b"pebblepass")),
         (b"version", bulk(REDIS_VERSION)),
         (b"proto", b":%d\r\n" % protocol),
@@ -89,12 +89,12 @@
         (b"role", bulk(b"master")),
         (b"modules", b"*0\r\n"),
     )
-    head = b"%%%d\r\n" % len(facts) if protocol == 3 else b"*%d\r\n" % (2 * len(facts))
-    return head + b"".join(bulk(name) + value for name, value in facts)
+    header = b"%%%d\r\n" % len(properties) if protocol == 3 else b"*%d\r\n" % (2 * len(properties))
+    return header + b"".join(bulk(name) + value for name, value in properties)
 
 
-def _client(what: bytes, args: list[bytes], client: ClientSession) -> bytes:
-    match what:
+def _client(subcommand: bytes, args: list[bytes], client: ClientSession) -> bytes:
+    match subcommand:
         case b"SETNAME" if len(args) == 1:
             if not _is_name(args[0]):
                 return b"-ERR Client names cannot contain spaces, newlines or special characters.\r\n"
@@ -110,10 +110,10 @@
 
 
 def _command(args: list[bytes], client: ClientSession) -> bytes:
-    what = args[0].upper() if args else b""
-    if what == b"COUNT":
+    subcommand = args[0].upper() if args else b""
+    if subcommand == b"COUNT":
         return b":0\r\n"
-    return b"%0\r\n" if what == b"DOCS" and client.protocol == 3 else b"*0\r\n"
+    return b"%0\r\n" if subcommand == b"DOCS" and client.protocol == 3 else b"*0\r\n"
 
 
 def _info(ready: bool, connected: int) -> bytes:
@@ -138,5 +138,5 @@
 
 
 def null(protocol: int) -> bytes:
-    """The null value in a version of the protocol."""
+    """Encode the null value for this version of the protocol."""
     return b"_\r\n" if protocol == 3 else b"$-1\r\n"
--- a/pebblepass/daemon/socket_polling.py
+++ b/pebblepass/daemon/socket_polling.py
@@ -1,7 +1,7 @@
-"""Polls for what the event loop has not dispatched yet: events at a socket, connections in a backlog.
+"""Polls for events that the event loop has not dispatched yet, and accepts connections from a backlog.
 
-A simulated loop, which has no kernel behind its sockets, answers the same questions itself: by `poll_socket`
-and `accept_pending`.
+A simulated event loop has no kernel sockets. It implements these operations itself, as `poll_socket` and
+`accept_pending`.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 
 class SocketPoller(Protocol):
-    """Tells without waiting which events of `poll` are pending at a descriptor."""
+    """Polls without waiting which events are pending at a descriptor."""
 
     def poll(self, descriptor: int, events: int) -> int:
         """Return which of these events, or errors, are pending at a descriptor."""
 
     def read_poll(self, descriptor: int) -> Callable[[], int]:
-        """Return a function that polls one descriptor for READ_EVENTS, for a descriptor polled often."""
+        """Return a function that polls one descriptor for READ_EVENTS, and is cheaper than `poll`."""
 
 
 def socket_poller(loop: asyncio.AbstractEventLoop) -> SocketPoller:
@@ -52,7 +52,7 @@
         return found[0][1] if found else 0
 
     def read_poll(self, descriptor: int) -> Callable[[], int]:
-        """Return a function that polls one descriptor, which stays registered for the function's life."""
+        """Return a function that polls one descriptor, registered for as long as the function exists."""
         registered = select.poll()
         registered.register(descriptor, READ_EVENTS)
         poll = registered.poll
@@ -75,7 +75,7 @@
 
 
 def peer_has_closed(events: int) -> bool:
-    """Whether these pending events say that the peer has ended its sending, or the connection is broken."""
+    """Return whether these events mean that the peer sends nothing more, or that the connection is broken."""
     return bool(events & _CLOSE_EVENTS)
 
 
@@ -97,9 +97,9 @@
 
 def _accept_backlog(descriptor: int, on_accept: AcceptCallback, limit: int) -> int:
     accepted = 0
-    # A second socket object over the same descriptor: none may be left for a duplicate.
+    # A second socket object for the same descriptor: there may be no free descriptor for a duplicate.
     listening = socket.socket(fileno=descriptor)
-    with suppress(OSError):  # the backlog is empty, or no descriptor is left for a connection
+    with suppress(OSError):  # the backlog is empty, or there is no free descriptor
         while accepted < limit:
             sock, _ = listening.accept()
             sock.setblocking(False)
--- a/pebblepass/daemon/unread_age.py
+++ b/pebblepass/daemon/unread_age.py
@@ -1,24 +1,24 @@
 """How long a client's bytes may have been unread in the kernel. No I/O, no clock.
 
-A client's deadline counts from the arrival of its request, not from when this process has read it. The time
-of arrival is not recorded anywhere, but a bound is known: the last time at which nothing was unread.
+A client's deadline counts from the arrival of its request, not from the time at which this process reads it.
+The time of arrival is not known, but it is after the last time at which nothing was unread.
 """
 
 from __future__ import annotations
 
 RECENT_S = 0.05
-"""Bytes that can't be older than this count as read at once: the loop polls its sockets more often."""
+"""Younger bytes count as read at once: an event loop that runs on time polls its sockets more often."""
 SHORT_READ = 4096
-"""A read of fewer bytes has emptied the socket: loops read much more at a time."""
+"""A read of fewer bytes has emptied the socket: event loops read more than this at a time."""
 
 
 class UnreadAge:
-    """Bounds the age of what is read from one connection; times are seconds of one clock."""
+    """An upper bound of the age of bytes read from one connection; times are seconds of one clock."""
 
     __slots__ = ("_empty_at",)
 
     def __init__(self, empty_at: float) -> None:
-        """`empty_at`: a time at which nothing was unread; minus infinity if none is known."""
+        """`empty_at`: a time at which nothing was unread; minus infinity if no such time is known."""
         self._empty_at = empty_at
 
     def emptied(self, at: float) -> None:
@@ -28,7 +28,7 @@
     def read(self, now: float, size: int) -> float:
         """Record a read of `size` bytes; returns the seconds for which they may have been unread.
 
-        Returns 0 if they are recent, or if nothing is known of the time before.
+        Returns 0 if that is at most RECENT_S, or if no time at which nothing was unread is known.
         """
         age = now - self._empty_at
         if size < SHORT_READ:
@@ -37,10 +37,10 @@
 
 
 class BacklogAge:
-    """Bounds how long connections may have waited to be accepted; times are seconds of one clock.
+    """A bound of the time that connections have waited in the backlog; times are seconds of one clock.
 
-    Event loops accept one connection per iteration. While others wait, a poll of the sockets tells nothing of
-    how long each has waited.
+    Event loops accept one connection per iteration. While several wait, a poll of the listener does not show
+    when each of them was made.
     """
 
     def __init__(self) -> None:
@@ -51,7 +51,7 @@
         """Record a connection accepted now; returns a time at which it had not been made yet.
 
         `polled_at`: every socket that was readable then has been read from since. `more_wait`: whether
-        others are in the backlog. Returns minus infinity if nothing is known.
+        others are in the backlog. Returns minus infinity if no such time is known.
         """
         if self._was_empty:
             self._empty_at = max(self._empty_at, polled_at)
--- a/pebblepass/daemon/upgrade.py
+++ b/pebblepass/daemon/upgrade.py
@@ -1,4 +1,4 @@
-"""What a router does in an upgrade: exchanges its state and its clients' connections with another process."""
+"""The upgrade of a router: hands its state and its clients' connections over to another process."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 from pebblepass.handover.router_snapshot import RouterSnapshot, decode_snapshot, encode_snapshot
 from pebblepass.handover.state_aging import age_state
 
-MIN_SERVER_CONNECTIONS = 2  # that the old process may still open, for the requests that it has accepted
+MIN_SERVER_CONNECTIONS = 2  # that the old process may still have, for the requests that it has accepted
 
 
-class Routed(Struct, frozen=True):
+class RouterParts(Struct, frozen=True):
     """The parts of a router that take part in an upgrade."""
 
     loop: asyncio.AbstractEventLoop
@@ -34,23 +34,24 @@
     pool: Pool
     discovery: DiscoveryClient
     clock: ClockOffset
-    budget: int
+    command_memory: int
     """Bytes for clients' long commands in a process that runs alone."""
 
 
-class Succession:
-    """Carries out on a router what the handover decides."""
+class RouterUpgrade:
+    """Carries out the decisions of the handover on a router."""
 
-    def __init__(self, routed: Routed, listener: socket.socket, folder: str, own: int) -> None:
-        """`listener`: the clients' socket that the platform holds; `own`: a process's further descriptors,
-        including those for rejected client connections.
+    def __init__(self, parts: RouterParts, listener: socket.socket, folder: str, reserved: int) -> None:
+        """`listener`: the clients' listening socket, which the platform holds.
+
+        `reserved`: the descriptors of a process that neither served clients nor servers use.
         """
-        self._routed, self._listener = routed, listener
-        self.told = False
+        self._parts, self._listener = parts, listener
+        self.has_imported_state = False
         """Whether another process has sent its state."""
-        split = DescriptorSplit(routed.clients.limit, routed.pool.limit, own)
-        self._handover = Handover(routed.loop, folder, self, split)
-        self._leaving: list[ConnectionHandover] = []
+        split = DescriptorSplit(parts.clients.limit, parts.pool.limit, reserved)
+        self._handover = Handover(parts.loop, folder, self, split)
+        self._outgoing: list[ConnectionHandover] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def begin(self) -> None:
@@ -61,7 +62,7 @@
         """Report to the handover that the servers are known."""
         self._handover.servers_known()
 
-    def leave(self) -> bool:
+    def terminate(self) -> bool:
         """Handle SIGTERM; returns whether another process takes the connections over."""
         self._handover.terminate()
         return self._handover.can_send_connections
@@ -75,93 +76,93 @@
 
     def export_snapshot(self) -> bytes:
         """Encode the endpoint list and the learned state of the decision module."""
-        routed, host = self._routed, self._routed.host
+        parts, host = self._parts, self._parts.host
         servers = host.ready_servers()
         listing = encode_endpoint_list(
-            routed.discovery.generation, servers, routed.pool.addresses(), routed.clock
+            parts.discovery.generation, servers, parts.pool.addresses(), parts.clock
         )
         snapshot = RouterSnapshot(listing, host.export_state(), host.now())
-        return encode_snapshot(snapshot, routed.clock.unix_ms)
+        return encode_snapshot(snapshot, parts.clock.unix_ms)
 
     def import_snapshot(self, data: bytes) -> None:
-        """Import the endpoint list, until discovery sends one, and the fresh part of the state.
+        """Import the endpoint list, for use until discovery sends one, and the state that is not too old.
 
         Raises HandoverError.
         """
-        routed, now = self._routed, self._routed.host.now()
-        snapshot = decode_snapshot(data, now, routed.clock.monotonic)
+        parts, now = self._parts, self._parts.host.now()
+        snapshot = decode_snapshot(data, now, parts.clock.monotonic)
         try:
-            listing = parse_endpoint_list(snapshot.endpoint_list, routed.clock, ListKind.CACHED)
+            listing = parse_endpoint_list(snapshot.endpoint_list, parts.clock, ListKind.CACHED)
         except ValueError as error:
             raise HandoverError(str(error)) from None
-        routed.discovery.generation = listing.generation
-        routed.host.servers_changed(listing)
-        routed.host.handle_event(StateImported(age_state(snapshot.state, snapshot.exported_at, now)))
-        self.told = True
+        parts.discovery.generation = listing.generation
+        parts.host.servers_changed(listing)
+        parts.host.handle_event(StateImported(age_state(snapshot.state, snapshot.exported_at, now)))
+        self.has_imported_state = True
 
     def begin_serving(self) -> None:
         """Accept clients."""
-        # A duplicate: stop_accepting closes it, and this process may have to accept again.
-        self._run(self._routed.clients.listen(self._listener.dup()))
+        # A duplicate, as stop_accepting closes it, and this process may have to accept again.
+        self._run(self._parts.clients.listen(self._listener.dup()))
 
     def stop_accepting(self) -> None:
         """Stop accepting clients."""
-        self._routed.clients.stop_accepting()
+        self._parts.clients.stop_accepting()
 
     def hand_over_connections(self) -> None:
         """Hand every client's connection over, now or once it is idle."""
-        self._routed.clients.hand_over(self._give)
+        self._parts.clients.hand_over(self._queue_handover)
 
     def close_idle_connections(self) -> None:
         """Close idle connections: no process takes them over."""
-        self._routed.clients.finish(with_partial_commands=False)
+        self._parts.clients.finish(with_partial_commands=False)
 
     def connection_counts(self) -> ConnectionCounts:
-        """Lower the limit of server connections, offer idle clients once more, and return what remains.
+        """Lower the limit of server connections, offer idle clients again, and return the remaining counts.
 
         The second number is the new limit of server connections, not how many are open.
         """
-        pool = self._routed.pool
-        if self._routed.clients.on_handover is not None:
-            self._routed.clients.hand_over(self._give)  # some had unsent bytes before
+        pool = self._parts.pool
+        if self._parts.clients.on_handover is not None:
+            self._parts.clients.hand_over(self._queue_handover)  # some had unsent bytes before
         pool.limit = max(pool.busy, MIN_SERVER_CONNECTIONS)
-        return ConnectionCounts(self._routed.clients.connected, pool.limit)
+        return ConnectionCounts(self._parts.clients.connected, pool.limit)
 
     def limit_connections(self, limits: ConnectionLimits, alone: bool) -> None:
         """Set the connection limits; of two processes each has half of the memory for long commands."""
-        routed = self._routed
+        parts = self._parts
         if alone:
-            routed.clients.on_handover = None
-        routed.clients.limit, routed.pool.limit = limits.clients, limits.servers
-        routed.clients.budget.resize(routed.budget if alone else routed.budget // 2)
+            parts.clients.on_handover = None
+        parts.clients.limit, parts.pool.limit = limits.clients, limits.servers
+        parts.clients.budget.resize(parts.command_memory if alone else parts.command_memory // 2)
 
     def adopt_connection(self, sock: socket.socket, state: ConnectionState) -> None:
         """Serve a client's connection that another process has handed over."""
         sock.setblocking(False)
-        self._routed.clients.limit += 1  # the old process has lowered its own limit by one
-        self._run(self._routed.clients.adopt(sock, state))
+        self._parts.clients.limit += 1  # the old process has lowered its own limit by one
+        self._run(self._parts.clients.adopt(sock, state))
 
-    def _run(self, work: Coroutine[None, None, None]) -> None:
-        task = self._routed.loop.create_task(work)
+    def _run(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = self._parts.loop.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _give(self, handover: ConnectionHandover) -> None:
-        if not self._leaving:
-            self._routed.loop.call_soon(self._send)
-        self._leaving.append(handover)
+    def _queue_handover(self, handover: ConnectionHandover) -> None:
+        if not self._outgoing:
+            self._parts.loop.call_soon(self._send_queued)
+        self._outgoing.append(handover)
 
-    def _send(self) -> None:
+    def _send_queued(self) -> None:
         """Send many connections in one message: each message delays replies in both processes."""
-        leaving, self._leaving = self._leaving, []
-        for at in range(0, len(leaving), MAX_CONNECTIONS_PER_MESSAGE):
-            batch = leaving[at : at + MAX_CONNECTIONS_PER_MESSAGE]
-            self._send_some([handover for handover in batch if not handover.connection.closed])
+        outgoing, self._outgoing = self._outgoing, []
+        for start in range(0, len(outgoing), MAX_CONNECTIONS_PER_MESSAGE):
+            batch = outgoing[start : start + MAX_CONNECTIONS_PER_MESSAGE]
+            self._send_batch([handover for handover in batch if not handover.connection.closed])
 
-    def _send_some(self, handovers: list[ConnectionHandover]) -> None:
+    def _send_batch(self, handovers: list[ConnectionHandover]) -> None:
         descriptors = [handover.connection.descriptor for handover in handovers]
 
-        def done(sent: bool) -> None:
+        def on_sent(sent: bool) -> None:
             for handover in handovers:
                 if sent:
                     handover.complete()
@@ -169,4 +170,6 @@
                     handover.cancel()
 
         if handovers:
-            self._handover.send_connections(descriptors, [handover.state() for handover in handovers], done)
+            self._handover.send_connections(
+                descriptors, [handover.state() for handover in handovers], on_sent
+            )
--- a/pebblepass/daemon/value_stream.py
+++ b/pebblepass/daemon/value_stream.py
@@ -8,18 +8,18 @@
 from pebblepass.daemon.exchange import ValueSource
 
 STALL_TIMEOUT_S = 2.0
-"""A server pauses within a value for 0.1 s at most; after this time it is taken for unreachable."""
+"""Servers pause within a value for at most 0.1 s; one that pauses longer than this counts as unreachable."""
 
 
 class ValueStream:
-    """The source of a value that is being streamed, with the time of its last bytes."""
+    """The source of a value that is being streamed, and the time of its last bytes."""
 
     __slots__ = ("_last_bytes_at", "_loop", "_on_stall", "_source", "_timer", "length")
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, source: ValueSource, length: int, on_stall: Callable[[], None]
     ) -> None:
-        """`length`: the value's, in bytes; `on_stall` is called if no bytes are received for too long."""
+        """`length`: of the value, in bytes; `on_stall`: called if no bytes arrive for STALL_TIMEOUT_S."""
         self._loop, self._source, self.length, self._on_stall = loop, source, length, on_stall
         self._last_bytes_at = loop.time()
         self._timer = loop.call_later(STALL_TIMEOUT_S, self._check_stall)
@@ -39,7 +39,7 @@
         self._source.resume()
 
     def close(self) -> None:
-        """Stop the detection of a stall."""
+        """Stop detecting stalls."""
         self._timer.cancel()
 
     def _check_stall(self) -> None:
--- a/tests/simulation/test_rehearsal.py
+++ b/tests/simulation/test_rehearsal.py
@@ -220,7 +220,7 @@
     """Writes a second answer behind the first."""
 
     def forget_if_settled(self, request: OpenRequest) -> None:
-        if request.closed and not request.out and request.id in self._requests:
+        if request.closed and not request.attempts_in_flight and request.id in self._requests:
             assert isinstance(request.reply, Reply)
             request.reply._connection.write(b"-ERR and again\r\n")
         super().forget_if_settled(request)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -111,6 +111,6 @@
         running.process.send_signal(signal.SIGHUP)
         assert running.process.stderr is not None
         line = running.process.stderr.readline()
-        assert "the operator's file stays as it was" in line
+        assert "reloading the operator's file failed, its settings are unchanged" in line
         assert "log.lines_per_second" in line
         assert eventually(lambda: running.process.poll() is None, "it goes on")
