--- a/pebblepass/wire/__init__.py
+++ b/pebblepass/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What goes over the wire, as encoders and readers: RESP2, HTTP/1.1, addresses. Imports nothing of ours."""
+"""Encoders and parsers of RESP2, HTTP/1.1 and addresses. Imports no other package of the router."""
--- a/pebblepass/wire/answers.py
+++ b/pebblepass/wire/answers.py
@@ -1,8 +1,8 @@
 """Parses cache servers' answers from a connection's bytes, without reading beyond the end of an answer.
 
-An answer is an array of a value (or null), how it went, and a load report (PROTOCOL, Routers to cache
-servers), an error line, or what a health check gets. Where several are expected on one connection, the first
-byte after an answer is the next one's: a parser that consumes all input could not tell where one ends.
+An answer is an array of a value (or null), a cache note and a load report (PROTOCOL, Routers to cache
+servers), an error line, or the reply to a health check. With several answers on one connection, the first
+byte after an answer belongs to the next one, so the parser must not consume all input at once.
 """
 
 from __future__ import annotations
@@ -13,44 +13,40 @@
 
 from pebblepass.wire.resp import LONG_VALUE_BYTES, MAX_ANSWER_VALUE_BYTES
 
-MAX_METADATA = (
-    8 << 10
-)  # bytes of an answer without its value: far more than its cache note and load report take
+MAX_METADATA_BYTES = 8 << 10  # of an answer without its value; a cache note and a load report are far shorter
 
 _HIT_HEADER = re.compile(rb"\*3\r\n\$(\d{1,8})\r\n")
 _HIT_TRAILER = re.compile(rb"\r\n\$3\r\nhit\r\n\$(\d{1,4})\r\n([^\r\n]*)\r\n")
 _HEADER_LINE = re.compile(rb"(?:\*(\d{1,5}|-1)|\$(\d{1,8}|-1)|([+:-][^\r\n]*))\r\n")
-# Guards against waiting until the attempt's timeout for the rest of what can't become a line: a short
-# malformed line may be all that its server sends.
+# Rejects a malformed partial line at once: the server may send nothing more, and the attempt would wait until
+# its timeout.
 _PARTIAL_HEADER_LINE = re.compile(rb"(?:\*(?:-1?|\d{1,5})?|\$(?:-1?|\d{1,8})?|[+:-][^\r\n]*)\r?")
 
 
 class AnswerFormatError(Exception):
-    """The bytes are not an answer; the text says why."""
+    """The bytes are not a valid answer; the message is the object of "sent"."""
 
 
 class ParsedAnswer(Struct):
-    """One answer: its array's elements, or its line."""
+    """One answer: the elements of an array, or a line."""
 
     elements: list[bytes | None] = field(default_factory=list)
-    """Value, cache note, load report; empty if the answer is not an array."""
+    """Value, cache note and load report; empty if the answer is not an array."""
     line: bytes | None = None
-    """An error or status line with its mark, or a health check's bulk string after a `$`."""
+    """An error or status line with its type byte, or the bulk string of a health check after a `$`."""
 
 
 class AnswerParser:
-    """Parses the answers on one connection; the owner takes a value over 64 KiB out of `buffered` itself."""
+    """Parses the answers on one connection; its owner removes a value over 64 KiB from `buffered` itself."""
 
     def __init__(self) -> None:
         self.buffered = b""
-        """The bytes received of a partial answer."""
+        """Received bytes that are not parsed yet."""
         self._needed_bytes = 0
-        self._elements: list[bytes | None] | None = (
-            None  # after a long value: the elements received of its array
-        )
+        self._elements: list[bytes | None] | None = None  # of an array with a long value, received so far
         self._count = 0
         self.long_value_length = 0
-        """Length in bytes of the long value that the owner is to take out of `buffered` now, or 0."""
+        """Length in bytes of the long value that the owner has to remove from `buffered` now, or 0."""
 
     def feed(self, data: bytes) -> None:
         """Add received bytes."""
@@ -58,15 +54,15 @@
 
     @property
     def has_partial_answer(self) -> bool:
-        """Whether an answer is partially received."""
+        """Whether a part of an answer is received."""
         return bool(self.buffered) or self._elements is not None
 
     def long_value_received(self) -> None:
-        """Record that the owner has taken the long value out of `buffered`, without its line end."""
+        """Record that the owner has removed the long value from `buffered`, but not its line end."""
         self.long_value_length = 0
 
     def array_length(self) -> int | None:
-        """Consume an array's header and return its length; None: incomplete, -1: an error line instead."""
+        """Consume an array's header; return its length, None if incomplete, -1 for an error line instead."""
         found = self._match_header(0)
         if found is None:
             return None
@@ -76,7 +72,7 @@
         return int(found[1])
 
     def next_answer(self) -> ParsedAnswer | None:
-        """Return the next answer; None if it is incomplete, or the owner is to take a long value.
+        """Return the next answer; None if it is incomplete, or the owner has to remove a long value first.
 
         Raises AnswerFormatError.
         """
@@ -94,7 +90,7 @@
                 return self._finish_line(found)
             count = int(found[1])
             if not 1 <= count <= 9:
-                raise AnswerFormatError("an array without elements, or with too many")
+                raise AnswerFormatError("an array with no elements, or with more than 9")
             return self._array([], count, found.end())
         # A long value is followed by its line end, and then the rest of its array.
         if data[:2] != b"\r\n"[: len(data[:2])]:
@@ -102,9 +98,9 @@
         return self._array(self._elements, self._count, 2) if len(data) >= 2 else None
 
     def next_hits(self, limit: int) -> list[bytes]:
-        """Return the values of up to `limit` complete hits in the usual form, each as its bulk string.
+        """Return the values of up to `limit` complete hits in the usual form, each as a bulk string.
 
-        What follows them, and answers in any other form, are left for `next_answer`.
+        Answers in any other form, and those after them, are left for `next_answer`.
         """
         data, at, entries = self.buffered, 0, list[bytes]()
         if self._elements is not None or len(data) < self._needed_bytes:
@@ -124,7 +120,7 @@
         return entries
 
     def _plain_hit(self, data: bytes) -> ParsedAnswer | None:
-        """Return a complete hit in the usual form, as nearly all answers are; None: parse in full."""
+        """Return a complete hit in the usual form, which nearly all answers have; None for any other."""
         head = _HIT_HEADER.match(data)
         if head is None:
             return None
@@ -140,7 +136,7 @@
             self.buffered = self.buffered[found.end() :]
             return ParsedAnswer(line=found[3])
         length = int(found[2])
-        if length < 0 or length > MAX_METADATA:
+        if length < 0 or length > MAX_METADATA_BYTES:
             raise AnswerFormatError("a bulk string that is not an answer")
         if (text := self._bulk_string(found.end(), length)) is None:
             return None
@@ -170,7 +166,7 @@
                 self.buffered = self.buffered[at:]
                 self.long_value_length, self._elements, self._count = length, [b""], count
                 return None
-            if elements and length > MAX_METADATA:
+            if elements and length > MAX_METADATA_BYTES:
                 raise AnswerFormatError("a cache note or load report too long")
             if (text := self._bulk_string(at, length)) is None:
                 return None
@@ -181,7 +177,7 @@
 
     def _bulk_string(self, at: int, length: int) -> bytes | None:
         data, end = self.buffered, at + length
-        # Danger: a wrong length would truncate the value, or append to it what follows.
+        # A wrong length would truncate the value, or append the bytes that follow it.
         line_end = data[end : end + 2]
         if line_end != b"\r\n"[: len(line_end)]:
             raise AnswerFormatError("a value of another length than announced")
@@ -193,7 +189,7 @@
     def _match_header(self, at: int) -> re.Match[bytes] | None:
         found = _HEADER_LINE.match(self.buffered, at)
         if found is None:
-            tail = self.buffered[at : at + MAX_METADATA + 1]
-            if tail and (len(tail) > MAX_METADATA or not _PARTIAL_HEADER_LINE.fullmatch(tail)):
+            tail = self.buffered[at : at + MAX_METADATA_BYTES + 1]
+            if tail and (len(tail) > MAX_METADATA_BYTES or not _PARTIAL_HEADER_LINE.fullmatch(tail)):
                 raise AnswerFormatError("an invalid line")
         return found
--- a/pebblepass/wire/http.py
+++ b/pebblepass/wire/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 for a client: encodes requests, and reads the responses of one connection, one at a time."""
+"""An HTTP/1.1 client: encodes requests, and parses the responses on a connection, one at a time."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class HttpError(Exception):
-    """The bytes are not an HTTP/1.1 response."""
+    """The bytes are not a valid HTTP/1.1 response, or the response is too long."""
 
 
 class HttpReader:
-    """Reads the responses of one connection; a subclass receives their bodies."""
+    """Parses the responses on one connection; a subclass receives their bodies."""
 
     def __init__(self) -> None:
         self._reset()
@@ -26,7 +26,7 @@
         """The status code of the response being read, once its header is complete."""
 
     def read(self, data: bytes) -> bool:
-        """Read a part of a response; returns whether the response is complete.
+        """Parse a part of a response; returns whether the response is complete.
 
         Raises HttpError.
         """
@@ -35,7 +35,7 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            # Guards a complete response against what follows it: that only ends the use of the connection.
+            # Invalid bytes after a complete response only prevent the reuse of the connection.
             if not self._complete:
                 raise HttpError(str(error) or type(error).__name__) from None
             self._reusable = False
@@ -46,8 +46,8 @@
     def is_complete_at_eof(self) -> bool:
         """Handle the orderly end of the stream; returns whether that completes the response.
 
-        A body without a length and not in chunks goes on until the connection's end (RFC 9112, 6.3). A reset
-        is no such end: do not call this after one.
+        A body with neither a length nor chunks ends with the connection (RFC 9112, 6.3). Do not call this
+        after a reset, which is not an orderly end.
         """
         framed = b"content-length" in self.headers or b"transfer-encoding" in self.headers
         if self._in_body and not self._complete and not framed:
@@ -67,7 +67,7 @@
             self.headers[name.lower()] = value.strip(b" \t")  # httptools leaves trailing whitespace
 
     def on_headers_complete(self) -> None:
-        """Called by httptools; an interim response (1xx) has no body, and is ignored."""
+        """Called by httptools; an interim response (1xx) is ignored."""
         if self._complete or self._parser.get_status_code() < 200:
             return
         self.status = self._parser.get_status_code()
@@ -81,7 +81,7 @@
             self.body_received(data)
 
     def on_message_begin(self) -> None:
-        """Called by httptools: a second response in the same bytes belongs to no request."""
+        """Called by httptools; a second response belongs to no request, so the connection is not reused."""
         if self._complete:
             self._reusable = False
 
@@ -91,10 +91,10 @@
             self._complete = True
             self._reusable = self._parser.should_keep_alive()
         elif not self._complete:
-            self.headers.clear()  # those of an interim response
+            self.headers.clear()  # of an interim response
 
     def body_started(self, length: int | None) -> None:
-        """Handle the end of the header; `length` is the body's in bytes, if it is stated."""
+        """Handle the end of the header; `length`: of the body in bytes, None if it is not stated."""
         raise NotImplementedError
 
     def body_received(self, data: bytes) -> None:
--- a/pebblepass/wire/resp.py
+++ b/pebblepass/wire/resp.py
@@ -1,7 +1,8 @@
-"""Clients' commands off the wire: arrays of bulk strings, read strictly and within bounds.
+"""RESP2: parses clients' commands, and encodes commands and bulk strings.
 
-Caches' answers are left to hiredis. For commands it would allocate whatever a header claims (an array of
-a thousand million places, say) before anything of it has come, and strangers write those headers.
+Commands come from untrusted clients. A general parser such as hiredis would allocate as much as a header
+claims, for instance an array of a thousand million elements, before any of it is received. This parser
+accepts only arrays of bulk strings, within the bounds below.
 """
 
 from __future__ import annotations
@@ -12,35 +13,31 @@
 
 from msgspec import Struct
 
-# Guards the memory (32 MB on some days) against strangers who announce values that no client has.
+# The bounds limit the memory, which may be as small as 32 MB, against commands that no valid client sends.
 MAX_VALUE_BYTES = 64 << 10  # PROTOCOL: values hold at most 64 KiB
-MAX_ANSWER_VALUE_BYTES = (
-    4 << 20
-)  # a server's value is taken up to this length, in parts where it is over LONG_VALUE_BYTES
+MAX_ANSWER_VALUE_BYTES = 4 << 20  # of a server's value; one over LONG_VALUE_BYTES is streamed
 LONG_VALUE_BYTES = 64 << 10
 MAX_WORDS = 16
-MAX_NON_VALUE_BYTES = 16 << 10  # all words of a command but its value together: far more than any has
+MAX_NON_VALUE_BYTES = 16 << 10  # of all words of a command but its value; no valid command comes near
 MULTI_GET_COMMAND = b"KV.MGET"
-MAX_KEYS = 1024  # of one command that reads many
-MAX_MULTI_GET_WORDS = (
-    16 << 10
-)  # words of such a command that are cut, so that one too long is answered and passed over
-MIN_WORD_BYTES = 6  # bytes that a word takes up at least, with its header and ends
-MAX_SINGLE_READ_BYTES = 1024  # bytes of a command that is read in one step
-MAX_CACHED_FIELDS_BYTES = 128  # bytes of a list whose reading is remembered
-MAX_HEADER_BYTES = 16  # a length line: its mark, digits and end
+MAX_KEYS = 1024  # of one multi-get
+MAX_MULTI_GET_WORDS = 16 << 10  # of a multi-get; one with too many keys is parsed, and gets an error reply
+MIN_WORD_BYTES = 6  # of an encoded word: its header and line ends
+MAX_SINGLE_READ_BYTES = 1024  # of a command that is parsed in one step
+MAX_CACHED_FIELDS_BYTES = 128  # of a list of fields whose parsed form is cached
+MAX_HEADER_BYTES = 16  # of a length line: type byte, digits and line end
 
 
 class FramingError(Exception):
-    """The stream breaks the protocol's framing; the text is for the client."""
+    """The stream violates the framing of the protocol; the message is sent to the client."""
 
 
 class UnknownCommandError(ValueError):
-    """A command of another name than a read's or a write's."""
+    """The command is neither a read nor a write."""
 
 
 class Command(Struct):
-    """A request as it came: what is passed on, and the list of names and values taken apart."""
+    """A request as received: the words to pass on, and the parsed list of fields."""
 
     name: bytes
     key: bytes
@@ -65,29 +62,32 @@
 
 
 class CommandReader:
-    """Cuts a client's bytes into commands, each a list of its words."""
+    """Splits a client's bytes into commands, each a list of words."""
 
     def __init__(self, accepts_multi_get: bool = False) -> None:
         """`accepts_multi_get`: whether multi-gets, which have far more words, are accepted."""
         self._accepts_multi_get = accepts_multi_get
         self._buffer = bytearray()
         self.needed_bytes = 0
-        """Bytes that the command under way is known to need; 0 between commands."""
+        """Minimum number of bytes of the partial command; 0 if there is none."""
         self.framing_error = ""
-        """Why the stream can't be followed any further, once that is so."""
+        """Why the stream can't be parsed any further; empty as long as it can."""
 
     @property
     def buffered(self) -> bytes:
-        """What has come of the command under way."""
+        """The received bytes of the partial command."""
         return bytes(self._buffer)
 
     @property
     def buffered_bytes(self) -> int:
-        """How much that is."""
+        """The number of received bytes of the partial command."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> list[list[bytes]]:
-        """Return the commands that are now whole, up to a broken one if `broken` is set by it."""
+        """Add received bytes; return the commands that are complete, up to an invalid one.
+
+        An invalid one sets `framing_error`.
+        """
         if self.needed_bytes:
             self._buffer += data
             if len(self._buffer) < self.needed_bytes:
@@ -130,7 +130,8 @@
             if position - begin > MAX_VALUE_BYTES + MAX_NON_VALUE_BYTES:
                 raise FramingError("command too long")
             if len(data) < position:
-                # The words behind it take up room too: else a long list that trickles in is cut at each byte.
+                # Includes the words after this one, else a long command in small pieces is parsed at each
+                # piece.
                 self.needed_bytes = position - begin + MIN_WORD_BYTES * (count - len(words) - 1)
                 return [], 0
             if data[position - 2 : position] != b"\r\n":
@@ -143,7 +144,7 @@
         return words, position
 
     def _length(self, data: bytes, begin: int, mark: bytes) -> tuple[int, int]:
-        """A length line's number and where the line ends; 0 where it is not whole."""
+        """Return the number in a length line and the position after the line; 0 and 0 if it is incomplete."""
         end = data.find(b"\r\n", begin, begin + MAX_HEADER_BYTES)
         if end < 0 and len(data) - begin < MAX_HEADER_BYTES and mark.startswith(data[begin : begin + 1]):
             return 0, 0
@@ -154,27 +155,27 @@
 
 
 def _parse_single_read(data: bytes) -> list[bytes] | None:
-    """The words, if these bytes are one whole read and nothing else; None: look closer.
+    """Return the words if the data is exactly one complete read; None: parse it in full.
 
-    Nearly all that comes is that. What holds line ends of its own falls into other parts.
+    Nearly all data is a single read. Words that contain line ends are left to the full parser.
     """
     if not data.startswith(b"*4\r\n$6\r\n") or len(data) > MAX_SINGLE_READ_BYTES:
         return None
     parts = data.split(b"\r\n")
     if len(parts) != 10 or parts[9]:
         return None
-    _, _, name, at_key, key, at_id, request, at_info, info, _ = parts
-    whole = (
+    _, _, name, key_header, key, id_header, request, info_header, info, _ = parts
+    is_valid = (
         len(name) == 6
-        and at_key == b"$%d" % len(key)
-        and at_id == b"$%d" % len(request)
-        and at_info == b"$%d" % len(info)
+        and key_header == b"$%d" % len(key)
+        and id_header == b"$%d" % len(request)
+        and info_header == b"$%d" % len(info)
     )
-    return [name, key, request, info] if whole else None
+    return [name, key, request, info] if is_valid else None
 
 
 def _parse_single_multi_get(data: bytes) -> list[bytes] | None:
-    """The words, if these bytes are one whole read of many keys and nothing else; None: look closer."""
+    """Return the words if the data is exactly one complete multi-get; None: parse it in full."""
     if (
         not data.startswith(b"*")
         or data.find(MULTI_GET_COMMAND, 0, MAX_HEADER_BYTES * 2) < 0
@@ -190,14 +191,14 @@
     ):
         return None
     headers = parts[1:-1:2]
-    whole = words[0] == MULTI_GET_COMMAND and all(
+    is_valid = words[0] == MULTI_GET_COMMAND and all(
         header == b"$%d" % len(word) for header, word in zip(headers, words, strict=True)
     )
-    return words if whole else None
+    return words if is_valid else None
 
 
 def parse_request(words: list[bytes]) -> Command:
-    """Take a request apart; raises ValueError in one plain line."""
+    """Parse a request; raises ValueError, whose message is sent to the client."""
     name = words[0].upper()
     if name not in (b"KV.GET", b"KV.SET"):
         raise UnknownCommandError("unknown command")
@@ -213,7 +214,7 @@
 
 
 def check_key(key: bytes) -> None:
-    """Raise ValueError for a key that is none."""
+    """Raise ValueError if the key is invalid."""
     try:
         if not key or not key.decode().isprintable() or b" " in key:
             raise ValueError("key must be text without spaces")
@@ -222,8 +223,8 @@
 
 
 def read_fields(request: bytes, info: bytes) -> tuple[Mapping[str, str], int]:
-    """The list of names and values beside an id, and the client's patience in milliseconds; ValueError."""
-    # Danger: these words become HTTP lines at the origin, where a line break would forge a header.
+    """Return a request's fields and its timeout in milliseconds; raises ValueError."""
+    # These words become HTTP headers of origin requests, where a line break would inject a header.
     if not request or not _is_plain_text(request):
         raise ValueError("id and list must be plain text")
     return _cached_fields(info) if len(info) <= MAX_CACHED_FIELDS_BYTES else _parse_fields(info)
@@ -238,7 +239,7 @@
     except ValueError:
         raise ValueError("expected a list of names and values") from None
     if len(fields) < len(pairs) and sum(name == "d" for name, _ in pairs) > 1:
-        # Danger: of two times one would be kept to here, and the other passed on.
+        # With two timeouts, this router could apply one and advertise the other.
         raise ValueError("d must stand once")
     timeout = fields.get("d", "")
     if not timeout.isdecimal() or len(timeout) > 9:
@@ -248,7 +249,7 @@
     return MappingProxyType(fields), int(timeout)
 
 
-# Clients say the same time and again. Short ones alone: strangers' lists must not fill the memory.
+# Clients repeat the same lists. Only short ones are cached, as long ones could use up the memory.
 _cached_fields = lru_cache(256)(_parse_fields)
 
 
@@ -257,21 +258,21 @@
 
 
 def with_timeout(info: bytes, timeout_ms: int) -> bytes:
-    """Return a request's list of names and values with the value of `d` replaced, in milliseconds.
+    """Return a request's list of fields with the value of `d` replaced, in milliseconds.
 
-    All other names, their values and their order stay as they are. Raises ValueError where `d` is missing.
+    The other fields and the order stay unchanged. Raises ValueError if `d` is missing.
     """
-    listed = b"," + info
-    start = listed.index(b",d=") + len(b",d=")
-    end = listed.find(b",", start)
-    rest = listed[end:] if end >= 0 else b""
-    return b"%b%d%b" % (listed[1:start], timeout_ms, rest)
+    prefixed = b"," + info
+    start = prefixed.index(b",d=") + len(b",d=")
+    end = prefixed.find(b",", start)
+    rest = prefixed[end:] if end >= 0 else b""
+    return b"%b%d%b" % (prefixed[1:start], timeout_ms, rest)
 
 
 def read_command(key: bytes, name: bytes, info: bytes) -> bytes:
-    """Encode one read: in one format, as nearly all commands are reads."""
-    sizes = len(key), key, len(name), name, len(info), info
-    return b"*4\r\n$6\r\nKV.GET\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n" % sizes
+    """Encode a read with a single format operation, as nearly all commands are reads."""
+    words = len(key), key, len(name), name, len(info), info
+    return b"*4\r\n$6\r\nKV.GET\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n" % words
 
 
 def bulk(value: bytes) -> bytes:
@@ -280,7 +281,7 @@
 
 
 def bulk_length(encoded: bytes) -> int:
-    """The bytes of a bulk string's value, by its header."""
+    """Return the length in bytes of an encoded bulk string's value."""
     return int(encoded[1 : encoded.index(b"\r")])
 
 
@@ -290,9 +291,9 @@
 
 
 def parse_load(report: bytes, names: tuple[str, ...]) -> tuple[float, ...] | None:
-    """Read a load report into the order of the settings; None where it is not whole."""
+    """Return the values of a load report in the order of `names`; None if one is missing or invalid."""
     try:
-        told = dict(part.split("=", 1) for part in report.decode("ascii").split(","))
-        return tuple(float(told[name]) for name in names) or None
+        values = dict(part.split("=", 1) for part in report.decode("ascii").split(","))
+        return tuple(float(values[name]) for name in names) or None
     except (ValueError, KeyError):
         return None
--- a/tests/wire/test_answers.py
+++ b/tests/wire/test_answers.py
@@ -1,4 +1,4 @@
-"""Cache servers' answers, cut many at once: the same as one by one, whatever comes and in what pieces."""
+"""Parsing several cache answers at once gives the same as parsing them one by one, in pieces of any size."""
 
 from __future__ import annotations
 
@@ -12,36 +12,36 @@
 )
 
 
-def hit(value: bytes, how: bytes = b"hit", load: bytes = b"q=1") -> bytes:
-    return b"*3\r\n" + bulk(value) + bulk(how) + bulk(load)
+def hit(value: bytes, note: bytes = b"hit", load: bytes = b"q=1") -> bytes:
+    return b"*3\r\n" + bulk(value) + bulk(note) + bulk(load)
 
 
 ANSWERS = strategies.one_of(
     VALUES.map(hit),
-    VALUES.map(lambda value: hit(value, how=b"cold")),
+    VALUES.map(lambda value: hit(value, note=b"cold")),
     strategies.just(b"*3\r\n$-1\r\n$4\r\nmiss\r\n$3\r\nq=1\r\n"),
     strategies.just(b"-BUSY q=9\r\n"),
 )
 
 
-def one_by_one(data: bytes, size: int) -> list[bytes | None]:
-    """What each answer comes to, cut by `next` alone: a value, or None."""
+def parse_singly(data: bytes, size: int) -> list[bytes | None]:
+    """Parse with `next_answer` only; return the value of each answer, or None."""
     parser, found = AnswerParser(), list[bytes | None]()
-    for at in range(0, len(data), size):
-        parser.feed(data[at : at + size])
+    for start in range(0, len(data), size):
+        parser.feed(data[start : start + size])
         while (answer := parser.next_answer()) is not None:
             found.append(answer.elements[0] if answer.elements else None)
     return found
 
 
-def many_at_once(data: bytes, size: int, most: int) -> list[bytes | None]:
-    """The same with `hits` before each `next`, as a part's connection does."""
+def parse_in_groups(data: bytes, size: int, limit: int) -> list[bytes | None]:
+    """The same with `next_hits` before each `next_answer`, as the connection of a multi-get batch does."""
     parser, found = AnswerParser(), list[bytes | None]()
-    for at in range(0, len(data), size):
-        parser.feed(data[at : at + size])
+    for start in range(0, len(data), size):
+        parser.feed(data[start : start + size])
         while True:
-            entries = parser.next_hits(most)
-            assert len(entries) <= most
+            entries = parser.next_hits(limit)
+            assert len(entries) <= limit
             values = [entry[entry.index(b"\n") + 1 : -2] for entry in entries]
             assert entries == [bulk(value) for value in values]
             found += values
@@ -55,32 +55,32 @@
 
 
 @given(strategies.lists(ANSWERS, max_size=8), strategies.integers(1, 60), strategies.integers(1, 5))
-def test_answers_cut_many_at_once_are_those_cut_one_by_one(
-    answers: list[bytes], size: int, most: int
+def test_hits_parsed_in_groups_equal_answers_parsed_singly(
+    answers: list[bytes], size: int, limit: int
 ) -> None:
     data = b"".join(answers)
-    for piece in (size, max(len(data), 1)):
-        assert many_at_once(data, piece, most) == one_by_one(data, piece)
-        assert len(one_by_one(data, piece)) == len(answers)
+    for piece_size in (size, max(len(data), 1)):
+        assert parse_in_groups(data, piece_size, limit) == parse_singly(data, piece_size)
+        assert len(parse_singly(data, piece_size)) == len(answers)
 
 
 @given(strategies.lists(VALUES, min_size=1, max_size=4), strategies.data())
-def test_one_byte_changed_is_never_taken_for_a_value_of_another_length(
+def test_a_changed_byte_has_the_same_result_in_groups_and_singly(
     values: list[bytes], data: strategies.DataObject
 ) -> None:
     sent = bytearray(b"".join(map(hit, values)))
-    at = data.draw(strategies.integers(0, len(sent) - 1))
-    sent[at] = data.draw(strategies.sampled_from(b"\r\n$*0129kX"))
+    position = data.draw(strategies.integers(0, len(sent) - 1))
+    sent[position] = data.draw(strategies.sampled_from(b"\r\n$*0129kX"))
     outcomes: list[list[bytes | None] | None] = []
-    for most in (4, 0):
+    for limit in (4, 0):
         try:
-            outcomes.append(many_at_once(bytes(sent), len(sent), most))
+            outcomes.append(parse_in_groups(bytes(sent), len(sent), limit))
         except (AnswerFormatError, AssertionError):
-            outcomes.append(None)  # broken, or more is awaited
+            outcomes.append(None)  # invalid, or incomplete
     assert outcomes[0] == outcomes[1]
 
 
-def test_what_is_not_whole_is_left_where_it_is() -> None:
+def test_an_incomplete_hit_stays_buffered() -> None:
     parser = AnswerParser()
     data = hit(b"one") + hit(b"two")
     parser.feed(data[:-1])
@@ -91,7 +91,7 @@
     assert not parser.has_partial_answer
 
 
-def test_a_load_report_of_another_length_than_told_is_no_plain_hit() -> None:
+def test_a_hit_with_a_wrong_load_report_length_is_not_returned() -> None:
     parser = AnswerParser()
     parser.feed(hit(b"v").replace(b"$3\r\nq=1", b"$2\r\nq=1"))
     assert parser.next_hits(8) == []
--- a/tests/wire/test_resp.py
+++ b/tests/wire/test_resp.py
@@ -1,4 +1,4 @@
-"""Commands off the wire: the same words however their bytes come, and nothing that breaks the framing."""
+"""Commands are parsed to the same words in pieces of any size, and invalid ones are rejected."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from pebblepass.wire.resp import CommandReader, command, parse_request, read_fields
 
-# Line ends, marks and digits in the words themselves are what a reader in one step could trip over.
+# Line ends, type bytes and digits within words could confuse the parser that reads a command in one step.
 WORDS = strategies.binary(max_size=12) | strategies.sampled_from(
     [b"\r\n", b"a\r\nb", b"$3", b"*4", b"\r\n$1\r\n", b"", b"k" * 300, b"k" * 1100]
 )
@@ -15,29 +15,30 @@
 
 
 def in_pieces(data: bytes, size: int) -> tuple[list[list[bytes]], str]:
+    """Parse pieces of `size` bytes; return the commands, and the framing error if there is one."""
     reader, found = CommandReader(), []
-    for at in range(0, len(data), size):
-        found += reader.feed(data[at : at + size])
+    for start in range(0, len(data), size):
+        found += reader.feed(data[start : start + size])
         if reader.framing_error:
             break
     return found, reader.framing_error
 
 
 @given(READS)
-def test_a_read_gives_its_words_whole_or_in_pieces(words: list[bytes]) -> None:
+def test_a_read_is_parsed_to_its_words_in_any_pieces(words: list[bytes]) -> None:
     data = command(*words)
     for size in (len(data), 1, 7):
         assert in_pieces(data, size) == ([words], "")
 
 
 @given(strategies.lists(READS, min_size=2, max_size=4))
-def test_reads_that_come_together_are_told_apart(reads: list[list[bytes]]) -> None:
+def test_reads_received_together_are_separated(reads: list[list[bytes]]) -> None:
     data = b"".join(command(*words) for words in reads)
     assert in_pieces(data, len(data)) == (reads, "")
 
 
 @given(READS, READS, strategies.integers(1, 40))
-def test_a_read_with_the_start_of_the_next(first: list[bytes], second: list[bytes], more: int) -> None:
+def test_a_read_and_the_start_of_the_next_one(first: list[bytes], second: list[bytes], more: int) -> None:
     data = command(*first) + command(*second)
     assert in_pieces(data, len(command(*first)) + more) == ([first, second], "")
 
@@ -55,7 +56,7 @@
 
 
 @pytest.mark.parametrize(
-    ("info", "passed"),
+    ("info", "expected"),
     [
         (b"c=get,d=900,t=a", b"c=get,d=7,t=a"),
         (b"d=900,c=get", b"d=7,c=get"),
@@ -63,11 +64,11 @@
         (b"c=get,dd=1,d=900,x=d=2", b"c=get,dd=1,d=7,x=d=2"),
     ],
 )
-def test_what_is_passed_on_is_the_command_with_the_time_left(info: bytes, passed: bytes) -> None:
+def test_a_command_is_encoded_with_the_remaining_timeout(info: bytes, expected: bytes) -> None:
     read = parse_request([b"KV.GET", b"key", b"id", info])
-    assert read.as_bytes(7) == command(b"KV.GET", b"key", b"id", passed)
+    assert read.as_bytes(7) == command(b"KV.GET", b"key", b"id", expected)
     write = parse_request([b"KV.SET", b"key", b"id", info, b"a\r\nvalue"])
-    assert write.as_bytes(7) == command(b"KV.SET", b"key", b"id", passed, b"a\r\nvalue")
+    assert write.as_bytes(7) == command(b"KV.SET", b"key", b"id", expected, b"a\r\nvalue")
 
 
 @pytest.mark.parametrize(
@@ -83,55 +84,57 @@
         (b"c=get,d", "expected a list of names and values"),
     ],
 )
-def test_a_list_that_tells_no_single_time_is_refused_in_one_plain_line(info: bytes, problem: str) -> None:
+def test_fields_without_exactly_one_valid_timeout_are_rejected(info: bytes, problem: str) -> None:
     with pytest.raises(ValueError, match=f"^{problem}$"):
         parse_request([b"KV.GET", b"key", b"id", info])
     with pytest.raises(ValueError, match=f"^{problem}$"):
         read_fields(b"id", info)
 
 
-def test_another_name_may_stand_twice() -> None:
+def test_a_field_other_than_the_timeout_may_be_repeated() -> None:
     assert parse_request([b"KV.GET", b"key", b"id", b"c=get,x=1,d=900,x=2"]).timeout_ms == 900
 
 
-def long_list(count: int) -> bytes:
+def encode_multi_get(count: int) -> bytes:
     words = [b"KV.MGET", b"%d" % count, *[b"pkg/%d/1.0" % n for n in range(count)], b"q", b"c=get,d=5"]
     return command(*words)
 
 
 @pytest.mark.parametrize("size", [1, 7, 1000, 1 << 20])
-def test_a_read_of_many_keys_is_cut_alike_in_any_pieces(size: int) -> None:
-    data, cuts = long_list(500), 0
+def test_a_multi_get_is_parsed_the_same_in_any_pieces(size: int) -> None:
+    data, parse_count = encode_multi_get(500), 0
     reader = CommandReader(accepts_multi_get=True)
     found: list[list[bytes]] = []
-    for at in range(0, len(data), size):
+    for start in range(0, len(data), size):
         if reader.needed_bytes and len(reader._buffer) + size >= reader.needed_bytes:
-            cuts += 1
-        found += reader.feed(data[at : at + size])
+            parse_count += 1
+        found += reader.feed(data[start : start + size])
     assert [len(words) for words in found] == [504]
     assert found[0][2] == b"pkg/0/1.0"
     assert not reader.framing_error
-    # Each look at what is buffered goes a good part further: it would be one for each byte otherwise.
-    assert cuts < 40
+    # The buffer is parsed again only when much more of the command is received, not with each byte.
+    assert parse_count < 40
 
 
-def test_long_lists_are_for_reads_of_many_keys_only_and_only_where_they_are_taken() -> None:
-    other = command(*[b"KV.GET"] * 20)
+def test_more_words_than_usual_are_accepted_in_multi_gets_only() -> None:
+    too_many_words = command(*[b"KV.GET"] * 20)
     for reader, data in (
-        (CommandReader(accepts_multi_get=True), other),
-        (CommandReader(), long_list(20)),
+        (CommandReader(accepts_multi_get=True), too_many_words),
+        (CommandReader(), encode_multi_get(20)),
         (CommandReader(accepts_multi_get=True), b"*20000\r\n$7\r\nKV.MGET\r\n"),
     ):
         assert reader.feed(data) == []
         assert reader.framing_error == "invalid multibulk length"
 
 
-@pytest.mark.parametrize("at", range(0, 60))
-def test_a_byte_changed_in_a_long_list_is_judged_the_same_whole_as_byte_by_byte(at: int) -> None:
-    data = bytearray(long_list(20))
-    data[at] = ord("7")
-    whole, pieces = CommandReader(accepts_multi_get=True), CommandReader(accepts_multi_get=True)
+@pytest.mark.parametrize("position", range(0, 60))
+def test_a_multi_get_with_a_changed_byte_parses_the_same_bytewise(position: int) -> None:
+    data = bytearray(encode_multi_get(20))
+    data[position] = ord("7")
+    whole, bytewise = CommandReader(accepts_multi_get=True), CommandReader(accepts_multi_get=True)
     found = whole.feed(bytes(data))
-    parts = [words for byte in data for words in ([] if pieces.framing_error else pieces.feed(bytes([byte])))]
-    assert found == parts
-    assert whole.framing_error == pieces.framing_error
+    found_bytewise = [
+        words for byte in data for words in ([] if bytewise.framing_error else bytewise.feed(bytes([byte])))
+    ]
+    assert found == found_bytewise
+    assert whole.framing_error == bytewise.framing_error
