--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What holds for all tests: the same cases each time, and the list of those known to fail."""
+"""Settings for all tests: deterministic property tests, and the list of known failures."""
 
 from __future__ import annotations
 
@@ -8,6 +8,6 @@
 from tests.known_red import pytest_configure as pytest_configure
 from tests.known_red import pytest_terminal_summary as pytest_terminal_summary
 
-# A verdict of a property test that changes by chance tells nobody anything.
-settings.register_profile("same", derandomize=True, deadline=None)
-settings.load_profile("same")
+# Random cases would let a property test pass or fail by chance.
+settings.register_profile("deterministic", derandomize=True, deadline=None)
+settings.load_profile("deterministic")
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -37,7 +37,7 @@
 
 
 class KnownFailuresError(ValueError):
-    """The list can't be used; the message names the file, the line and the reason."""
+    """The list is invalid; the message names the file, the line and the reason."""
 
 
 @dataclass(frozen=True)
@@ -49,7 +49,7 @@
     command: str
     """The command that showed the failure, with its seed if it has one."""
     seen: str
-    """What was seen; begins with `flaky N of M:` for a test that fails in some runs only."""
+    """What was seen; begins with `flaky N of M:` if the test fails in some runs only."""
     issue: str
 
     @property
@@ -59,7 +59,7 @@
 
     @property
     def summary(self) -> str:
-        """The entry without its test's name, on one line."""
+        """The entry without the name of the test, on one line."""
         return f"{self.seen} ({self.command}; {self.issue})"
 
 
@@ -102,19 +102,19 @@
     if not path.exists():
         return known
     for number, line in enumerate(path.read_text().splitlines(), 1):
-        place = f"{path.name}:{number}"
+        location = f"{path.name}:{number}"
         try:
             entry = parse_entry(line)
         except KnownFailuresError as error:
-            raise KnownFailuresError(f"{place}: {error}") from None
+            raise KnownFailuresError(f"{location}: {error}") from None
         if entry.test in known:
-            raise KnownFailuresError(f"{place}: {entry.test} is listed twice")
+            raise KnownFailuresError(f"{location}: {entry.test} is listed twice")
         known[entry.test] = entry
     return known
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Read the list, and refuse one that can't be used before any test runs."""
+    """Read the list; an invalid one is an error before any test runs."""
     try:
         config.stash[KNOWN_FAILURES] = read_known_failures(config.rootpath / LIST_NAME)
     except KnownFailuresError as error:
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Child processes of tests: they start with default signal dispositions, and are always ended."""
+"""Child processes of tests, which start with default signal dispositions and are always ended."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def spawn(command: Sequence[str], **options: Any) -> subprocess.Popen[Any]:
-    """Start a process that takes signals as one started from an interactive shell does.
+    """Start a process with the signal dispositions of one that an interactive shell starts.
 
     Args:
         command: The program and its arguments.
@@ -33,7 +33,7 @@
 
 
 def kill_process(process: subprocess.Popen[Any]) -> None:
-    """Kill a process if it still runs, wait for its end, and close its pipes."""
+    """Kill a process if it still runs, wait for its exit, and close its pipes."""
     process.kill()
     process.wait()
     for stream in (process.stdin, process.stdout, process.stderr):
@@ -44,7 +44,7 @@
 
 @contextmanager
 def ending(process: subprocess.Popen[Any]) -> Iterator[None]:
-    """Kill the process at the end of the block if it still runs, also when the block fails."""
+    """Kill the process at the end of the block if it still runs, even if the block raises an exception."""
     try:
         yield
     finally:
@@ -52,10 +52,10 @@
 
 
 def end_by_sigterm(process: subprocess.Popen[Any], timeout_s: float) -> Any:
-    """End a process by SIGTERM, and return what it wrote to its error stream.
+    """End a process with SIGTERM, and return what it wrote to its error stream.
 
     Raises:
-        subprocess.TimeoutExpired: it did not end in time; it was killed.
+        subprocess.TimeoutExpired: it did not exit in time, and was killed.
     """
     with ending(process):
         process.terminate()
@@ -64,18 +64,18 @@
 
 
 def processes_with(variable: str, value: str) -> list[int]:
-    """The ids of the processes with this value of an environment variable."""
-    wanted = f"{variable}={value}".encode()
+    """Return the ids of the processes with this value of an environment variable."""
+    entry = f"{variable}={value}".encode()
     found = []
     for environ in Path("/proc").glob("[0-9]*/environ"):
-        with suppress(OSError):  # it has ended, or belongs to another user
-            if wanted in environ.read_bytes().split(b"\0"):
+        with suppress(OSError):  # it has exited, or belongs to another user
+            if entry in environ.read_bytes().split(b"\0"):
                 found.append(int(environ.parent.name))
     return found
 
 
 def kill_processes_with(variable: str, value: str) -> None:
-    """Kill the processes with this value of an environment variable, which only a test's own have."""
+    """Kill the processes with this value of an environment variable, which only the test's processes have."""
     for process_id in processes_with(variable, value):
         with suppress(ProcessLookupError):
             os.kill(process_id, signal.SIGKILL)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -49,14 +49,14 @@
 LONG_DEADLINE_MS = 60_000
 
 
-def eventually(check: Callable[[], Any], what: str) -> Any:
-    """Wait until `check` returns something true, and return it; `what` describes it for the failure."""
+def eventually(check: Callable[[], Any], description: str) -> Any:
+    """Wait until `check` returns something true, and return it; `description` is for the failure."""
     end = time.monotonic() + WAIT_TIMEOUT_S
     while time.monotonic() < end:
         if found := check():
             return found
         time.sleep(0.01)
-    raise AssertionError(f"timed out waiting for: {what}")
+    raise AssertionError(f"timed out waiting for: {description}")
 
 
 def bulk(*words: bytes) -> bytes:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter over a pipe: batches in, replies out, plain words on malformed input."""
+"""The adapter as a process: batches on its input, orders on its output, one error line for invalid input."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     return batch(1, {"create": {"salt": 5, "facts": FACTS}}, listed, router=router)
 
 
-def ask(corr: str, key: str | None = "k", category: str = "get") -> dict[str, Any]:
+def request(corr: str, key: str | None = "k", category: str = "get") -> dict[str, Any]:
     fields = {"corr": corr, "category": category, "clientGroup": None, "pathKey": key, "giveUpAtNs": 10**9}
     return {"request": {**fields, "mutates": category == "put", "repeat": False}}
 
@@ -77,28 +77,28 @@
     return groups[0]["orders"] if groups else []
 
 
-def test_hit_miss_and_write_over_a_pipe() -> None:
-    first = run(create(), batch(10, ask("r"), ask("w", category="put")))
+def test_orders_for_a_miss_and_a_write() -> None:
+    first = run(create(), batch(10, request("r"), request("w", category="put")))
     assert (first.returncode, first.stderr) == (0, "")
     (timer,) = orders(first, 0)
     assert set(timer) == {"setAlarm"}
     read, write = orders(first, 1)
     assert write["transmit"]["server"] == "10.1.0.0:80"
-    holder = read["transmit"]["server"]
+    cache = read["transmit"]["server"]
     second = run(
         create(),
-        batch(10, ask("r"), ask("w", category="put")),
-        batch(20, reply("r", holder, "lookup_miss"), reply("w", "10.1.0.0:80", "completed", terminal=True)),
+        batch(10, request("r"), request("w", category="put")),
+        batch(20, reply("r", cache, "lookup_miss"), reply("w", "10.1.0.0:80", "completed", terminal=True)),
         batch(30, reply("r", "10.1.0.0:80", "completed", 1, True), {"fired": {"handle": "subscribe"}}),
     )
     assert orders(second, 2) == [{"transmit": {"corr": "r", "server": "10.1.0.0:80", "patienceNs": 0}}]
     assert orders(second, 3) == [{"listen": {"want": True}}]
 
 
-def test_every_event_of_the_wire_is_taken() -> None:
+def test_every_kind_of_event_is_accepted() -> None:
     result = run(
         create(),
-        batch(10, ask("r", key=None)),
+        batch(10, request("r", key=None)),
         batch(
             11,
             {"opened": {"corr": "r", "copy": 0, "server": "10.0.0.0:80", "timeTakenNs": 1}},
@@ -115,16 +115,16 @@
     assert len(result.stdout.splitlines()) == 5
 
 
-def test_actions_are_the_same_for_any_hash_seed_and_any_split_over_processes() -> None:
-    events = [batch(10 + i, ask(f"r{i}", key=f"k{i % 7}")) for i in range(40)]
-    plain = run(create(), *events)
-    assert plain.stdout == run(create(), *events, hash_seed="77").stdout
-    beside = run(create(8), create(), *events)
-    assert plain.stdout.splitlines()[1:] == beside.stdout.splitlines()[2:]
+def test_orders_depend_on_neither_the_hash_seed_nor_other_routers() -> None:
+    events = [batch(10 + i, request(f"r{i}", key=f"k{i % 7}")) for i in range(40)]
+    alone = run(create(), *events)
+    assert alone.stdout == run(create(), *events, hash_seed="77").stdout
+    with_another_router = run(create(8), create(), *events)
+    assert alone.stdout.splitlines()[1:] == with_another_router.stdout.splitlines()[2:]
 
 
 @pytest.mark.parametrize(
-    ("line", "words"),
+    ("line", "message"),
     [
         ("{nonsense\n", "not JSON"),
         ("[]\n", "expected object"),
@@ -144,16 +144,16 @@
         (batch(1, {"create": {"salt": 1, "facts": {}}}), "missing field 'classes'"),
     ],
 )
-def test_malformed_input_is_named_in_one_line_and_ends_the_process(line: object, words: str) -> None:
+def test_malformed_input_ends_the_process_with_one_error_line(line: object, message: str) -> None:
     result = run(create(), line)
     assert result.returncode == 2
-    assert words in result.stderr
+    assert message in result.stderr
     assert len(result.stderr.splitlines()) == 1
-    assert len(result.stdout.splitlines()) == 1  # the good batch was answered, the bad one was not
+    assert len(result.stdout.splitlines()) == 1  # for the valid batch only
 
 
-def test_failure_in_the_decisions_is_a_panic() -> None:
-    result = run(create(), batch(10, ask("r", category="unheard-of")))
+def test_an_exception_in_the_decision_module_is_reported_as_a_panic() -> None:
+    result = run(create(), batch(10, request("r", category="unheard-of")))
     assert result.returncode == 0
     (order,) = orders(result, 1)
     assert "unheard-of" in order["panic"]["message"]
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures excuses exactly the tests that it names, and hides nothing else."""
+"""The list of known failures applies to exactly the tests that it names."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def printed(test: str, outcome: str, seen: str = SEEN) -> str:
-    """What a run prints for a listed test."""
+    """The line that a run prints for a listed test."""
     return f"known failure: {test}: {outcome}: {seen} ({COMMAND}; issue 7)"
 
 
@@ -56,14 +56,14 @@
 
 @pytest.fixture
 def project(tmp_path: Path) -> Path:
-    """A project with passing and failing tests, whose plain run leaves the long ones out."""
+    """A project with passing and failing tests, whose default run excludes the long ones."""
     (tmp_path / "pytest.ini").write_text("[pytest]\naddopts = -m 'not long'\nmarkers = long: a long run\n")
     (tmp_path / "test_some.py").write_text(TEST_MODULE % FAILING_COUNT)
     return tmp_path
 
 
 def unknown_names(root: Path) -> list[str]:
-    """The listed names that are not the exact node id of a test that a plain run collects."""
+    """Return the listed names that are not the exact node id of a test that a default run collects."""
     listed = read_known_failures(root / LIST_NAME)
     if not listed:
         return []
@@ -71,7 +71,7 @@
     return [name for name in listed if name not in collected]
 
 
-def test_every_listed_name_is_a_test() -> None:
+def test_every_listed_name_is_a_collected_test() -> None:
     assert unknown_names(ROOT) == []
 
 
@@ -80,12 +80,12 @@
     [
         "test_some.py::test_gone",
         "test_some.py::test_failing[99]",
-        "test_some.py::test_failing",  # has parameters: each case is listed apart
-        "test_some.py::test_long",  # a plain run leaves it out
+        "test_some.py::test_failing",  # has parameters, so each case is listed separately
+        "test_some.py::test_long",  # excluded from a default run
         "test_some.py",
     ],
 )
-def test_a_name_that_no_test_of_a_plain_run_has_is_found(project: Path, name: str) -> None:
+def test_a_name_that_a_default_run_does_not_collect_is_reported(project: Path, name: str) -> None:
     (project / LIST_NAME).write_text(entry(FAILING[0]) + entry(name))
     assert unknown_names(project) == [name]
 
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("workers", ["0", "2"])
-def test_any_number_of_listed_tests_run_are_printed_and_excused(project: Path, workers: str) -> None:
+def test_listed_tests_run_and_their_failures_are_printed_and_expected(project: Path, workers: str) -> None:
     (project / LIST_NAME).write_text("".join(map(entry, FAILING)))
     run = run_pytest(project, "-n", workers)
     assert run.returncode == 0, run.stdout
@@ -109,7 +109,7 @@
         assert printed(test, "failed") in run.stdout
 
 
-def test_a_failing_test_that_is_not_listed_fails_the_run(project: Path) -> None:
+def test_an_unlisted_failing_test_fails_the_run(project: Path) -> None:
     (project / LIST_NAME).write_text(entry(FAILING[0]) + entry(FAILING[1], FLAKY_SEEN))
     run = run_pytest(project, "-n", "0", *FAILING[:3])
     assert run.returncode == EXIT_FAILED
@@ -169,7 +169,7 @@
         (entry(FAILING[0], "Flaky 2 of 9: assert failed"), f"1: {NOT_A_FLAKY_COUNT}"),
     ],
 )
-def test_a_list_that_cannot_be_used_runs_nothing(project: Path, lines: str, message: str) -> None:
+def test_no_test_runs_with_an_invalid_list(project: Path, lines: str, message: str) -> None:
     (project / LIST_NAME).write_text(lines)
     run = run_pytest(project)
     assert run.returncode == EXIT_USAGE_ERROR
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""The helper for child processes restores signal dispositions, and leaves no process."""
+"""The helper for child processes restores signal dispositions, and leaves no process running."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("number", RESTORED_SIGNALS)
-def test_a_signal_that_its_parent_ignores_ends_a_spawned_process(number: signal.Signals) -> None:
+def test_a_signal_ignored_by_the_parent_ends_a_spawned_process(number: signal.Signals) -> None:
     with ignored(number):
         process = spawn(["sleep", "600"])
     with ending(process):
@@ -49,7 +49,7 @@
         assert process.wait(WAIT_TIMEOUT_S) == -number
 
 
-def test_a_process_is_ended_when_its_block_fails() -> None:
+def test_a_process_is_killed_when_its_block_fails() -> None:
     process = spawn(SLEEP, stdout=subprocess.PIPE)
     with pytest.raises(AssertionError, match="in the block"), ending(process):
         raise AssertionError("in the block")
@@ -74,16 +74,16 @@
     assert process.poll() == -signal.SIGKILL
 
 
-def test_only_the_processes_with_the_very_value_are_killed(tmp_path: Path) -> None:
+def test_only_processes_with_exactly_this_value_are_killed(tmp_path: Path) -> None:
     value = str(tmp_path)
-    processes = {each: spawn(SLEEP, env={VARIABLE: each}) for each in (value, value + "0")}
-    mine, other = processes.values()
+    processes = {mark: spawn(SLEEP, env={VARIABLE: mark}) for mark in (value, value + "0")}
+    marked, other = processes.values()
     try:
-        # The variable is there from the exec on.
-        eventually(lambda: processes_with(VARIABLE, value) == [mine.pid], "its variable")
+        # The variable is set only once the process has executed its program.
+        eventually(lambda: processes_with(VARIABLE, value) == [marked.pid], "its variable")
         eventually(lambda: processes_with(VARIABLE, value + "0") == [other.pid], "the other's variable")
         kill_processes_with(VARIABLE, value)
-        assert mine.wait(WAIT_TIMEOUT_S) == -signal.SIGKILL
+        assert marked.wait(WAIT_TIMEOUT_S) == -signal.SIGKILL
         assert other.poll() is None
     finally:
         for process in processes.values():
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -1,4 +1,4 @@
-"""Limits that the project keeps on itself, and the README's example."""
+"""Limits on the source code, the import contracts, and the build of the deploy file."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 
 
 MAX_DECISION_FILE_LINES, MAX_FUNCTION_LINES = 400, 40
-NOT_POLICY = {"__init__.py", "settings.py"}  # re-exports and parsing; they decide nothing
-INTERFACE = "interface"  # the directory of declarations alone
-TO_BE_SPLIT: dict[str, int] = {}
-"""Files still over the limit, each with the size that it may not exceed until it is split."""
+NOT_POLICY = {"__init__.py", "settings.py"}  # they contain re-exports and parsing, but no decisions
+INTERFACE = "interface"  # a directory with declarations only
+LONGER_FILES: dict[str, int] = {}
+"""The files that are over the limit until they are split, each with its own limit."""
 
 
-def test_every_decision_module_is_named_as_policy_and_small() -> None:
-    named = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
+def test_every_decision_module_is_listed_as_policy_and_short() -> None:
+    listed = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
     modules = set((ROOT / "pebblepass/decisions").rglob("*.py"))
-    assert {ROOT / name for name in named} == {
+    assert {ROOT / name for name in listed} == {
         path for path in modules if path.name not in NOT_POLICY and path.parent.name != INTERFACE
     }
     for path in modules:
-        limit = TO_BE_SPLIT.get(str(path.relative_to(ROOT)), MAX_DECISION_FILE_LINES)
+        limit = LONGER_FILES.get(str(path.relative_to(ROOT)), MAX_DECISION_FILE_LINES)
         assert len(path.read_text().splitlines()) <= limit, path.name
         assert functions_over(path.read_text(), MAX_FUNCTION_LINES) == [], path.name
 
 
-def test_a_function_over_the_limit_is_found() -> None:
+def test_a_function_over_the_limit_is_reported() -> None:
     body = "    value = 1\n"
     assert functions_over(f"def short():\n{body * 39}", MAX_FUNCTION_LINES) == []
     assert functions_over(f"def long():\n{body * 40}", MAX_FUNCTION_LINES) == ["long"]
@@ -70,7 +70,7 @@
         ("daemon/lag.py", "import pebblepass.emulators.core", "Dependencies point down the layers"),
     ],
 )
-def test_an_import_that_breaks_a_contract_is_found(
+def test_an_import_that_violates_a_contract_is_reported(
     tmp_path: Path, module: str, line: str, contract: str
 ) -> None:
     shutil.copytree(ROOT / "pebblepass", tmp_path / "pebblepass")
@@ -83,7 +83,7 @@
 
 
 def calls_of_shared_random(source: str) -> list[str]:
-    """Return the functions of the random module that are called, but for its generator class."""
+    """Return the functions of the random module that are called, except for its generator class."""
     called = [node.func for node in ast.walk(ast.parse(source)) if isinstance(node, ast.Call)]
     return [
         function.attr
@@ -94,7 +94,7 @@
     ]
 
 
-def test_the_decisions_draw_from_their_own_generator_alone() -> None:
+def test_the_decision_module_uses_only_its_own_random_generator() -> None:
     for path in (ROOT / "pebblepass/decisions").rglob("*.py"):
         source = path.read_text()
         assert calls_of_shared_random(source) == [], path.name
@@ -102,8 +102,8 @@
     assert calls_of_shared_random("x = random.Random(1).random() + random.uniform(0, 1)") == ["uniform"]
 
 
-def test_the_build_compiles_all_that_a_start_loads(tmp_path: Path) -> None:
-    """Where a router runs it can write nothing: each start would compile what is not compiled."""
+def test_the_build_compiles_every_module_that_a_start_loads(tmp_path: Path) -> None:
+    """A deployed router can write no files, so it would compile a missing module again at each start."""
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
     shutil.copytree(
         ROOT / "pebblepass", tmp_path / "pebblepass", ignore=shutil.ignore_patterns("__pycache__")
@@ -111,7 +111,7 @@
     (tmp_path / ".venv/bin").mkdir(parents=True)
     (tmp_path / ".venv/bin/python").symlink_to(sys.executable)
     shutil.copy(ROOT / "requirements.txt", tmp_path)
-    shutil.copy(ROOT / "requirements.txt", tmp_path / ".venv/installed.txt")  # nothing to install
+    shutil.copy(ROOT / "requirements.txt", tmp_path / ".venv/installed.txt")  # so that nothing is installed
     environ = {name: value for name, value in os.environ.items() if not name.startswith("PYTHON")}
     subprocess.run(["/bin/sh", "-c", deploy["build"]], cwd=tmp_path, env=environ, check=True)
     loaded = [path for name in (*deploy["policy"], *deploy["node"]) for path in _sources(tmp_path / name)]
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,4 +1,4 @@
-"""A test's coroutine on the virtual loop."""
+"""Runs a test's coroutine in virtual time."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 
 
 def run_virtual(work: Callable[[VirtualLoop], Awaitable[Any]]) -> Any:
+    """Run `work` on a new virtual event loop, and return its result."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         loop = runner.get_loop()
         assert isinstance(loop, VirtualLoop)
