--- a/pebblepass/daemon/__main__.py
+++ b/pebblepass/daemon/__main__.py
@@ -72,7 +72,7 @@
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft == resource.RLIM_INFINITY or soft >= config.sockets:
         return config
-    # With more connections than descriptors allowed, clients would use up those that dials and discovery
+    # If more were allocated, clients that keep their connections would use up those that dials and discovery
     # need.
     log.warning(
         "limits.sockets is %d, but the process may open only %d descriptors: using that", config.sockets, soft
@@ -118,8 +118,8 @@
     `early_sighups`: not empty if a SIGHUP was received since the files were read.
     """
     loop = asyncio.get_running_loop()
-    # Asyncio's own handler would print a callback's repeated exception without limit, which uses the
-    # CPU that requests need.
+    # The default handler ignores the log's rate limit: an exception that a callback raises again and again
+    # would use up the CPU.
     loop.set_exception_handler(
         lambda _, context: log.error("%s", context["message"], exc_info=context.get("exception"))
     )
--- a/pebblepass/daemon/attempts.py
+++ b/pebblepass/daemon/attempts.py
@@ -23,7 +23,7 @@
 PATH_SAFE_CHARACTERS = "/:@!$&'()*+,;=-._~"  # of a key; all other ones but letters and digits are quoted
 
 
-def _as_path(key: bytes) -> str:
+def _quote_path(key: bytes) -> str:
     if key.isalnum():
         return key.decode("ascii")
     # Imported with the first key that needs quoting, as the platform's keys do not, and it slows the start.
@@ -69,7 +69,7 @@
         """Detach the request, which the host has dropped: the disconnect will not be reported for it."""
 
 
-class Carrier(Protocol):
+class CarryingBatch(Protocol):
     """The batch that carries an attempt without a connection of its own."""
 
     begun_at: int
@@ -104,7 +104,7 @@
     """A request without a final answer, or with attempts in flight."""
 
     __slots__ = (  # noqa: RUF023
-        "id", "command", "reply", "deadline", "of_command",
+        "id", "command", "reply", "deadline", "is_multi_get_key",
         "attempts", "attempts_in_flight", "closed", "streaming", "accounted", "unsent",
     )  # fmt: skip
 
@@ -114,11 +114,11 @@
         command: Command,
         reply: ReplySlot,
         deadline: int,
-        of_command: bool = False,
+        is_multi_get_key: bool = False,
     ) -> None:
-        """`deadline`: in nanoseconds of the host's clock; `of_command`: it is a key of a multi-get."""
+        """`deadline`: in nanoseconds of the host's clock; `is_multi_get_key`: it is a key of a multi-get."""
         self.id, self.command, self.reply, self.deadline = request_id, command, reply, deadline
-        self.of_command = of_command
+        self.is_multi_get_key = is_multi_get_key
         self.attempts = self.attempts_in_flight = 0
         self.closed = self.streaming = self.accounted = False
         self.unsent: list[Attempt] | None = None
@@ -127,7 +127,7 @@
     def withdraw(self) -> None:
         """Withdraw the attempts that are not sent: it has its final answer, or its client has disconnected.
 
-        Otherwise a connection that is established much later would still send an attempt that waits for it.
+        Otherwise a connection established even a second later would still send an attempt that waits for it.
         """
         unsent, self.unsent = self.unsent, None
         for attempt in unsent or ():
@@ -141,7 +141,7 @@
     _latency = 0  # nanoseconds; set if it is not the time until the end, as for a long value or in a batch
     _stream: ValueStream | None = None
     _timer: Deadline | None = None
-    _batch: Carrier | None = None  # the batch that carries it, if any
+    _batch: CarryingBatch | None = None  # the batch that carries it, if any
     _excluded_from_health = False
 
     def __init__(
@@ -212,7 +212,7 @@
         """Whether a long value is being streamed."""
         return self._stream is not None
 
-    def begin(self, batch: Carrier) -> None:
+    def begin(self, batch: CarryingBatch) -> None:
         """Record that it was sent in this batch."""
         self._batch = batch
         self._sent_at, self._lag_before = batch.begun_at, batch.lag_before
@@ -260,7 +260,7 @@
             method = "GET" if command.value is None else "PUT"
             info = resp.with_timeout(command.info, timeout_ms)
             headers = b"Request-Id: %b\r\nRequest-Info: %b\r\n" % (command.id, info)
-            target = "/" + _as_path(command.key)
+            target = "/" + _quote_path(command.key)
             return http.request(method, target, f"{address[0]}:{address[1]}", headers, command.value)
         return command.as_bytes(timeout_ms)
 
--- a/pebblepass/daemon/client_connection.py
+++ b/pebblepass/daemon/client_connection.py
@@ -399,7 +399,7 @@
 
     def reject_unfinished(self) -> None:
         """Reply to a command that was not received in time, and close."""
-        # Connections that wait for this memory try next: they may have waited as long.
+        # Released first, as connections that wait for this memory may have waited as long.
         reserved, self._reserved = self._reserved, 0
         self.server.budget.release(reserved)
         self._closes_when_idle = True
--- a/pebblepass/daemon/multi_get/key_attempt.py
+++ b/pebblepass/daemon/multi_get/key_attempt.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pebblepass.daemon.attempts import Attempt, Carrier
+from pebblepass.daemon.attempts import Attempt, CarryingBatch
 from pebblepass.daemon.multi_get.interfaces import KeyOwner
 
 
@@ -20,7 +20,7 @@
         self.multi_get, self.number, self.request_id = multi_get, number, request_id
         self.server = ""
         """The server that the decision module has chosen; empty if none is, or if the request is open."""
-        self.batch: Carrier | None = None
+        self.batch: CarryingBatch | None = None
         self.attempt = attempt
 
     @property
@@ -33,7 +33,7 @@
         """Whether its value is being streamed."""
         return self.attempt is not None and self.attempt.streaming
 
-    def begin(self, batch: Carrier) -> None:
+    def begin(self, batch: CarryingBatch) -> None:
         """Mark the key as sent in this batch."""
         self.batch = batch
         if self.attempt is not None:
--- a/pebblepass/daemon/multi_get/registry.py
+++ b/pebblepass/daemon/multi_get/registry.py
@@ -245,7 +245,7 @@
         self.unopened -= 1
         command = multi_get.command.read(number, multi_get.assembly.keys[number])
         reply = KeyReply(multi_get, number)
-        request = OpenRequest(key.request_id, command, reply, multi_get.deadline, of_command=True)
+        request = OpenRequest(key.request_id, command, reply, multi_get.deadline, is_multi_get_key=True)
         self.host.add_request(request)
         if key.server:
             key.attempt = self.host.attempt(request, key.server)
--- a/pebblepass/daemon/reply.py
+++ b/pebblepass/daemon/reply.py
@@ -102,7 +102,7 @@
         self._connection.abort()
 
     def free_command(self) -> None:
-        """Release the memory reserved for the command, which the host needs no longer."""
+        """Release the memory reserved for the command, which the host no longer needs."""
         self._connection.budget.release(self.reserved)
         self.reserved = 0
 
--- a/pebblepass/daemon/router.py
+++ b/pebblepass/daemon/router.py
@@ -404,7 +404,7 @@
         if request.closed or now >= request.deadline or request.attempts > self.settings.max_attempts:
             attempt.end(Outcome.SUPERSEDED)
             return
-        if request.of_command and self.multi_gets is not None and action.server not in self._origins:
+        if request.is_multi_get_key and self.multi_gets is not None and action.server not in self._origins:
             self.multi_gets.send_single(attempt, action.server, action.timeout)
             return
         due = min(now + action.timeout, request.deadline) if action.timeout else request.deadline
--- a/pebblepass/wire/resp.py
+++ b/pebblepass/wire/resp.py
@@ -143,14 +143,14 @@
             self.needed_bytes = len(data) - begin + max(MIN_WORD_BYTES * (count - len(words) - 1), 1)
         return words, position
 
-    def _length(self, data: bytes, begin: int, mark: bytes) -> tuple[int, int]:
+    def _length(self, data: bytes, begin: int, type_byte: bytes) -> tuple[int, int]:
         """Return the number in a length line and the position after the line; 0 and 0 if it is incomplete."""
         end = data.find(b"\r\n", begin, begin + MAX_HEADER_BYTES)
-        if end < 0 and len(data) - begin < MAX_HEADER_BYTES and mark.startswith(data[begin : begin + 1]):
+        if end < 0 and len(data) - begin < MAX_HEADER_BYTES and type_byte.startswith(data[begin : begin + 1]):
             return 0, 0
         digits = data[begin + 1 : end] if end > 0 else b""
-        if data[begin : begin + 1] != mark or not digits.isdigit():
-            raise FramingError(f"expected {mark.decode()!r} and a length")
+        if data[begin : begin + 1] != type_byte or not digits.isdigit():
+            raise FramingError(f"expected {type_byte.decode()!r} and a length")
         return int(digits), end + 2
 
 
