--- a/pebblepass/daemon/__main__.py
+++ b/pebblepass/daemon/__main__.py
@@ -72,8 +72,8 @@
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft == resource.RLIM_INFINITY or soft >= config.sockets:
         return config
-    # If more were allocated, clients that keep their connections would use up those that dials and discovery
-    # need.
+    # Warning: if more were allocated, clients that keep their connections would use up those that dials and
+    # discovery need.
     log.warning(
         "limits.sockets is %d, but the process may open only %d descriptors: using that", config.sockets, soft
     )
@@ -118,8 +118,8 @@
     `early_sighups`: not empty if a SIGHUP was received since the files were read.
     """
     loop = asyncio.get_running_loop()
-    # The default handler ignores the log's rate limit: an exception that a callback raises again and again
-    # would use up the CPU.
+    # Warning: the default handler ignores the log's rate limit: an exception that a callback raises again and
+    # again would use up the CPU.
     loop.set_exception_handler(
         lambda _, context: log.error("%s", context["message"], exc_info=context.get("exception"))
     )
@@ -136,7 +136,7 @@
         operator.reload()
 
     loop.add_signal_handler(signal.SIGTERM, terminated.set)
-    # Without a handler SIGHUP would end the process.
+    # Warning: without a handler SIGHUP would end the process.
     loop.add_signal_handler(signal.SIGHUP, reload)
     if accounting is not None:
         daemon.host.ledger = accounting.ledger
@@ -155,7 +155,8 @@
 
 def main() -> int:
     """Run the router; an invalid configuration is reported in one line, with exit code 2."""
-    # Without a handler an early SIGHUP would end the process; ignored, it would leave the old file in force.
+    # Warning: without a handler an early SIGHUP would end the process; ignored, it would leave the old file
+    # in force.
     early_sighups: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, _: early_sighups.append(number))
     with asyncio.Runner(loop_factory=DaemonLoop) as runner:
@@ -177,7 +178,7 @@
         except (OSError, ConfigError) as error:
             print(f"pebblepass: {error}", file=sys.stderr)
             return 2 if isinstance(error, ConfigError) else 1
-    # As it finalizes, the interpreter restores the default action of signals with a handler, so that
+    # Warning: as it finalizes, the interpreter restores the default action of signals with a handler, so that
     # another signal would kill the process. It keeps signals ignored that are ignored already.
     for number in (signal.SIGTERM, signal.SIGHUP):
         signal.signal(number, signal.SIG_IGN)
--- a/pebblepass/daemon/attempts.py
+++ b/pebblepass/daemon/attempts.py
@@ -127,7 +127,8 @@
     def withdraw(self) -> None:
         """Withdraw the attempts that are not sent: it has its final answer, or its client has disconnected.
 
-        Otherwise a connection established even a second later would still send an attempt that waits for it.
+        Warning: otherwise a connection established a second later would still send an attempt that waits for
+        it.
         """
         unsent, self.unsent = self.unsent, None
         for attempt in unsent or ():
@@ -187,8 +188,8 @@
         request = self._request
         if request.reply.client_is_alive():
             return True
-        # The client's connection is closed in the next iteration only; failed attempts would be retried until
-        # then.
+        # Warning: the client's connection is closed in the next iteration only; failed attempts would be
+        # retried until then.
         self._host.drop_request(request)
         request.reply.detach_request()
         self.withdraw()
--- a/pebblepass/daemon/caches.py
+++ b/pebblepass/daemon/caches.py
@@ -57,8 +57,8 @@
 
     def check_trailing_bytes(self) -> None:
         """Retire the connection if bytes after the exchange's answers were received."""
-        # They would be taken for the answer to the next request. They are not parsed, as an error in them
-        # must not turn the valid answer before them into a failure.
+        # Warning: these bytes would be taken for the answer to the next request. They are not parsed, as an
+        # error in them must not turn the valid answer before them into a failure.
         self.retired = self.retired or self._parser.has_partial_answer
 
     def _pass_on_value(self) -> bool:
--- a/pebblepass/daemon/client_connection.py
+++ b/pebblepass/daemon/client_connection.py
@@ -125,8 +125,8 @@
         """Treat the end of the client's sending as its disconnect."""
         self._handle_disconnect()
         if self.transport is not None and self.transport.get_write_buffer_size():
-            # A transport that is closed rather than aborted keeps its descriptor until its client has read
-            # the rest, which may be never, while no limit counts that descriptor any longer.
+            # Warning: a transport that is closed rather than aborted keeps its descriptor until its client
+            # has read the rest, which may be never, while no limit counts that descriptor any longer.
             self.transport.abort()
         return False
 
@@ -134,7 +134,7 @@
         if self.closed:
             return
         self.closed = True
-        # A connection left registered would keep its memory, count in the limit, and block a drain.
+        # Warning: a connection left registered would keep its memory, count in the limit, and block a drain.
         self.server.unregister(self)
         if self._reserved:
             self.server.budget.release(self._reserved)
@@ -158,7 +158,8 @@
         starts_command = not reader.needed_bytes
         commands = reader.feed(data)
         if len(commands) > 1 and self.client_has_disconnected():
-            # The commands of a client that sent several and disconnected would be sent to servers for nobody.
+            # Warning: the commands of a client that sent several and disconnected would be sent to servers
+            # for nobody.
             self.abort()
             return
         self.has_sent_command = self.has_sent_command or bool(commands)
@@ -261,8 +262,8 @@
         if not replies:
             self.last_used_at = self.server.loop.time()
         if not replies and self._closes_when_idle and self.transport is not None:
-            # Closing with unread bytes would lose a request, and send a reset that may destroy the last
-            # reply.
+            # Warning: closing with unread bytes would lose a request, and send a reset that may destroy the
+            # last reply.
             if not (self._draining and self.has_unread()):
                 self.transport.close()
         elif not replies and self.server.on_handover is not None:
@@ -294,7 +295,8 @@
         if should_read == self.liveness.is_reading or self.transport is None or self.transport.is_closing():
             return
         if should_read and self.client_has_disconnected():
-            # Commands sent before the disconnect would be sent to servers, however long ago that was.
+            # Warning: commands sent before the disconnect would be sent to servers, however long ago that
+            # was.
             self.server.loop.call_soon(self.abort)
             return
         if should_read:
--- a/pebblepass/daemon/client_liveness.py
+++ b/pebblepass/daemon/client_liveness.py
@@ -33,7 +33,8 @@
         """The file descriptor of the connection's socket, once it is connected."""
         self.is_reading = True
         """Whether the event loop reads from the connection."""
-        # Unknown before the first read, as the connection may have waited for a long time to be accepted.
+        # Warning: unknown before the first read, as the connection may have waited for a long time to be
+        # accepted.
         self._confirmed_alive_at = float("-inf")
         self._last_read_at = float("inf")
         self._reading_since = now
--- a/pebblepass/daemon/client_server.py
+++ b/pebblepass/daemon/client_server.py
@@ -158,8 +158,9 @@
 
         Returns whether there may be more, for a later iteration of the loop.
         """
-        # The kernel has accepted them already, and the requests that they have sent are lost if the listener
-        # closes. Accepted all at once, they would use up the descriptors that dials and discovery need.
+        # Warning: the kernel has accepted them already, and the requests that they have sent are lost if the
+        # listener closes. Accepted all at once, they would use up the descriptors that dials and discovery
+        # need.
         if self._listener is None:
             return False
         return accept_pending(self.loop, self._listener, self._accept, 1 - len(self._tasks))
--- a/pebblepass/daemon/connection_handover.py
+++ b/pebblepass/daemon/connection_handover.py
@@ -24,7 +24,7 @@
             return False
         if connection.reader.buffered_bytes > MAX_PARTIAL_COMMAND:
             return False
-        # Replies that the kernel has not accepted would be lost with this process.
+        # Warning: replies that the kernel has not accepted would be lost with this process.
         if transport.get_write_buffer_size():
             return False
         if connection.liveness.is_reading:
--- a/pebblepass/daemon/connection_pool.py
+++ b/pebblepass/daemon/connection_pool.py
@@ -139,7 +139,8 @@
                 continue
             if exchange.may_begin():
                 return exchange
-            # Its request has its final reply, or its client has disconnected, so it must not be sent.
+            # Warning: its request has its final reply, or its client has disconnected, so it must not be
+            # sent.
             exchange.end(Outcome.SUPERSEDED)
         return None
 
@@ -289,7 +290,7 @@
         idle, server.idle = server.idle, []
         for connection in idle:
             connection.close()
-        # The failure of a dial to the old address would count against the server at the new one.
+        # Warning: the failure of a dial to the old address would count against the server at the new one.
         self._cancel_dials(server)
         waiting, server.waiting = server.waiting, deque()
         for exchange in waiting:
--- a/pebblepass/daemon/daemon.py
+++ b/pebblepass/daemon/daemon.py
@@ -185,7 +185,7 @@
             return
         delay_s = self._settled_at - self._loop.time()
         if delay_s > 0:
-            # After a start that has used up the CPU quota the platform throttles the process, and
+            # Warning: after a start that has used up the CPU quota the platform throttles the process, and
             # with it the clients that it has accepted.
             self._loop.call_later(delay_s, self._become_ready)
             return
@@ -252,8 +252,8 @@
                     self._loop.time() >= started_at + PARTIAL_COMMANDS_S + longest * SERVED_SHARE
                 )
             if self._loop.time() >= started_at + longest + ANSWER_SLACK_S:
-                # A request may have a later deadline than its class has, but SIGKILL would end it without a
-                # reply.
+                # Warning: a request may have a later deadline than its class has, but SIGKILL would end it
+                # without a reply.
                 self.host.end_open()
 
     def stop(self) -> None:
--- a/pebblepass/daemon/deadlines.py
+++ b/pebblepass/daemon/deadlines.py
@@ -69,6 +69,6 @@
                 try:
                     callback()
                 except Exception:
-                    # Caught, so that the other deadlines of the step are still called.
+                    # Warning: if it were not caught, the other deadlines of the step would be lost.
                     log.exception("the callback of a deadline failed; continuing with the next one")
         self._set_timer()
--- a/pebblepass/daemon/exchange.py
+++ b/pebblepass/daemon/exchange.py
@@ -129,7 +129,7 @@
         connection = self.connection
         if connection is not None:
             connection.exchange = None
-            # Left open, it would count as busy for as long as its server is unresponsive, and the server
-            # would continue to work on the attempt.
+            # Warning: left open, it would count as busy for as long as its server is unresponsive, and the
+            # server would continue to work on the attempt.
             connection.close()
         self.end(outcome)
--- a/pebblepass/daemon/router.py
+++ b/pebblepass/daemon/router.py
@@ -145,7 +145,8 @@
         if fields["c"] not in self.classes:
             reply.send(b"-ERR unknown class\r\n")
         elif self.is_known(request_id):
-            # Two requests with the same id would share attempts, and one would get the other's answer.
+            # Warning: two requests with the same id would share attempts, and one would get the other's
+            # answer.
             reply.send(b"-ERR duplicate id\r\n")
             self.record_rejection(command, failed="duplicate id")
         elif self.free_capacity <= 0:
@@ -412,5 +413,5 @@
         self._pool.submit(action.server, attempt)
 
     def _set_timer(self, due: int, token: str) -> None:
-        # The decision module would ignore an early timer, and the request would never continue.
+        # Warning: the decision module would ignore an early timer, and the request would never continue.
         self.call_at(due, lambda: self.handle_event(TimerFired(token)))
--- a/pebblepass/daemon/server_connection.py
+++ b/pebblepass/daemon/server_connection.py
@@ -79,8 +79,8 @@
     def has_nothing_unread(self) -> bool:
         """Whether the kernel has nothing unread: no end of file, no reset, no answer without a request.
 
-        Answers have no id, so an unread one would be taken for the answer to the next request. And a request
-        written after an unread end of file would have to count as possibly executed.
+        Warning: answers have no id, so an unread one would be taken for the answer to the next request. And a
+        request written after an unread end of file would have to count as possibly executed.
         """
         return self._poll_unread is not None and not self._poll_unread()
 
@@ -136,8 +136,8 @@
         self.exchange, self._has_answer_bytes = None, False
         self.server.unresponsive_since = None
         if self._reading_paused:
-            # The client's next read would resume the exchange that has ended, not this connection. The answer
-            # to the next exchange would stay unread, and the server would look unresponsive.
+            # Warning: the client's next read would resume the exchange that has ended, not this connection.
+            # The answer to the next exchange would stay unread, and the server would look unresponsive.
             self.resume()
         self.check_trailing_bytes()
         self.server.pool.released(self)
@@ -151,7 +151,7 @@
         exchange = self.exchange
         is_for_load = answer.report is not None or not self.server.pool.reports
         if exchange is not None and not (is_for_load or self._has_served or exchange.carries_several):
-            # Kept open, the connection would count as usable, and be rejected again and again.
+            # Warning: kept open, the connection would count as usable, and be rejected again and again.
             self.retired = True
             exchange.connection_rejected = not self.server.pool.limit_connections(self)
             exchange.connection_failed = not exchange.connection_rejected
@@ -230,9 +230,9 @@
         """Record a dial that timed out; returns whether it is excluded from the server's health statistics.
 
         `started_at` and `now` are loop times in seconds. The first timeout since the server last responded is
-        excluded, and so are those of dials that were in progress then: single connections may be late or
-        lost, and a server that is ejected for that gets hardly any requests for a minute. A server that is
-        down fails the next dial too.
+        excluded, and so are those of dials that were in progress then, as single connections may be late or
+        lost. A server that is down fails the next dial too. Warning: a server that is ejected gets hardly any
+        requests for a minute.
         """
         if self.unresponsive_since is None:
             self.unresponsive_since = now
--- a/pebblepass/wire/answers.py
+++ b/pebblepass/wire/answers.py
@@ -177,7 +177,7 @@
 
     def _bulk_string(self, at: int, length: int) -> bytes | None:
         data, end = self.buffered, at + length
-        # A wrong length would truncate the value, or append the bytes that follow it.
+        # Warning: a wrong length would truncate the value, or append the bytes that follow it.
         line_end = data[end : end + 2]
         if line_end != b"\r\n"[: len(line_end)]:
             raise AnswerFormatError("a value of another length than announced")
--- a/pebblepass/wire/resp.py
+++ b/pebblepass/wire/resp.py
@@ -224,7 +224,7 @@
 
 def read_fields(request: bytes, info: bytes) -> tuple[Mapping[str, str], int]:
     """Return a request's fields and its timeout in milliseconds; raises ValueError."""
-    # These words become HTTP headers of origin requests, where a line break would inject a header.
+    # Warning: these words become HTTP headers of origin requests, where a line break would inject a header.
     if not request or not _is_plain_text(request):
         raise ValueError("id and list must be plain text")
     return _cached_fields(info) if len(info) <= MAX_CACHED_FIELDS_BYTES else _parse_fields(info)
@@ -239,7 +239,7 @@
     except ValueError:
         raise ValueError("expected a list of names and values") from None
     if len(fields) < len(pairs) and sum(name == "d" for name, _ in pairs) > 1:
-        # With two timeouts, this router could apply one and advertise the other.
+        # Warning: with two timeouts, this router could apply one and advertise the other.
         raise ValueError("d must stand once")
     timeout = fields.get("d", "")
     if not timeout.isdecimal() or len(timeout) > 9:
