--- a/pebblepass/daemon/fleet.py
+++ b/pebblepass/daemon/fleet.py
@@ -70,7 +70,7 @@
     def __init__(
         self, loop: asyncio.AbstractEventLoop, host: PolicyHost, config: Identity, section: FleetSection
     ) -> None:
-        """Open the log of a voter; raises a ConfigError of one line if the section is invalid."""
+        """Open the log of a voter; raises a ConfigError of one line if the section or the log is invalid."""
         self._loop, self._host, self._section = loop, host, section
         self.name = config.name
         if self.name not in section.members:
--- a/tests/wire/test_resp.py
+++ b/tests/wire/test_resp.py
@@ -14,7 +14,7 @@
 READS = strategies.tuples(strategies.just(b"KV.GET"), WORDS, WORDS, WORDS).map(list)
 
 
-def in_pieces(data: bytes, size: int) -> tuple[list[list[bytes]], str]:
+def parse_in_pieces(data: bytes, size: int) -> tuple[list[list[bytes]], str]:
     """Parse pieces of `size` bytes; return the commands, and the framing error if there is one."""
     reader, found = CommandReader(), []
     for start in range(0, len(data), size):
@@ -28,31 +28,31 @@
 def test_a_read_is_parsed_to_its_words_in_any_pieces(words: list[bytes]) -> None:
     data = command(*words)
     for size in (len(data), 1, 7):
-        assert in_pieces(data, size) == ([words], "")
+        assert parse_in_pieces(data, size) == ([words], "")
 
 
 @given(strategies.lists(READS, min_size=2, max_size=4))
 def test_reads_received_together_are_separated(reads: list[list[bytes]]) -> None:
     data = b"".join(command(*words) for words in reads)
-    assert in_pieces(data, len(data)) == (reads, "")
+    assert parse_in_pieces(data, len(data)) == (reads, "")
 
 
 @given(READS, READS, strategies.integers(1, 40))
 def test_a_read_and_the_start_of_the_next_one(first: list[bytes], second: list[bytes], more: int) -> None:
     data = command(*first) + command(*second)
-    assert in_pieces(data, len(command(*first)) + more) == ([first, second], "")
+    assert parse_in_pieces(data, len(command(*first)) + more) == ([first, second], "")
 
 
 @given(READS, strategies.data())
-def test_one_byte_changed_is_judged_the_same_in_one_step_as_byte_by_byte(
+def test_a_read_with_a_changed_byte_parses_the_same_in_any_pieces(
     words: list[bytes], data: strategies.DataObject
 ) -> None:
     sent = bytearray(command(*words))
-    at = data.draw(strategies.integers(0, len(sent) - 1))
-    sent[at] = data.draw(strategies.sampled_from(b"\r\n$*0129kX"))
-    whole, why = in_pieces(bytes(sent), len(sent))
-    pieces, other = in_pieces(bytes(sent), 1)
-    assert (whole, why) == (pieces, other)
+    position = data.draw(strategies.integers(0, len(sent) - 1))
+    sent[position] = data.draw(strategies.sampled_from(b"\r\n$*0129kX"))
+    commands, error = parse_in_pieces(bytes(sent), len(sent))
+    commands_bytewise, error_bytewise = parse_in_pieces(bytes(sent), 1)
+    assert (commands, error) == (commands_bytewise, error_bytewise)
 
 
 @pytest.mark.parametrize(
