--- a/tests/multi_get/deployment.py
+++ b/tests/multi_get/deployment.py
@@ -15,10 +15,10 @@
 from pebblepass.daemon.config import read_config
 from pebblepass.daemon.daemon import Daemon
 from pebblepass.daemon.multi_get.registry import MultiGetRegistry
-from pebblepass.emulators.listening import LOOPBACK, Line, Place, Station
+from pebblepass.emulators.listeners import LOOPBACK, EmulatorConnection, ListenerGroup, PendingReply
+from pebblepass.emulators.observer import NullObserver
 from pebblepass.emulators.ports import take_port
 from pebblepass.emulators.registry import RegistryAgent
-from pebblepass.emulators.witness import Nobody
 from pebblepass.operator_config import MultiGetSection
 from pebblepass.simulation.clock import VirtualLoop
 from pebblepass.wire.resp import bulk, command
@@ -40,7 +40,7 @@
     return "ok"
 
 
-class EmulatedServer(Station):
+class EmulatedServer(ListenerGroup):
     """A cache server or the origin, which replies to each key as the deployment's behavior says."""
 
     def __init__(self, deployment: Deployment, name: str, is_store: bool = False) -> None:
@@ -66,7 +66,7 @@
         return f"{key} of {request.partition('.')[0]}".encode()
 
 
-class NodeConnection(Line):
+class NodeConnection(EmulatorConnection):
     def __init__(self, node: EmulatedServer) -> None:
         super().__init__(node, NETWORK_DELAY_S)
         self.node = node
@@ -79,9 +79,9 @@
             if arguments[0] == b"KV.MGET":
                 self.process_multi_get(arguments)
             else:
-                self.process_get(arguments[1].decode(), arguments[2].decode(), self.place())
+                self.process_get(arguments[1].decode(), arguments[2].decode(), self.reserve_reply())
 
-    def process_get(self, key: str, request: str, place: Place) -> None:
+    def process_get(self, key: str, request: str, place: PendingReply) -> None:
         node, delay_s = self.node, SERVICE_TIME_S
         outcome = node.next_outcome(key, request)
         if outcome.startswith("slow"):
@@ -118,10 +118,10 @@
             else:
                 value = self.node.value(key.decode(), request)
                 entries.append(b"*3\r\n%b$3\r\nhit\r\n$-1\r\n" % bulk(value))
-        self.place().answer(b"*%d\r\n%b" % (len(keys), b"".join(entries)))
+        self.reserve_reply().answer(b"*%d\r\n%b" % (len(keys), b"".join(entries)))
 
 
-class StoreConnection(Line):
+class StoreConnection(EmulatorConnection):
     def __init__(self, store: EmulatedServer) -> None:
         super().__init__(store, NETWORK_DELAY_S)
         self.store = store
@@ -143,7 +143,11 @@
     def on_message_complete(self) -> None:
         deployment, key = self.store.deployment, unquote(self.target[1:].decode())
         self.target = b""
-        outcome, request, place = self.store.next_outcome(key, self.request), self.request, self.place()
+        outcome, request, place = (
+            self.store.next_outcome(key, self.request),
+            self.request,
+            self.reserve_reply(),
+        )
         if outcome == "silent":
             return
         deployment.fetches_in_flight += 1
@@ -157,7 +161,7 @@
         }
         self.store.loop.call_later(SERVICE_TIME_S, self.finish_fetch, place, replies[outcome])
 
-    def finish_fetch(self, place: Place, reply: bytes) -> None:
+    def finish_fetch(self, place: PendingReply, reply: bytes) -> None:
         self.store.deployment.fetches_in_flight -= 1
         place.answer(reply)
 
@@ -208,7 +212,9 @@
         servers = [*self.nodes, self.store]
         for server in servers:
             await server.begin()
-        self.agent = RegistryAgent(self.loop, "r0", [self.entry(server) for server in servers], Nobody())
+        self.agent = RegistryAgent(
+            self.loop, "r0", [self.entry(server) for server in servers], NullObserver()
+        )
         await self.agent.start()
         self.port = take_port()
         config_fields = {
@@ -244,8 +250,8 @@
         self.daemon.stop()
         self.agent.close()
         for server in [*self.nodes, self.store]:
-            server.refuse()
-            server.break_all()
+            server.stop_accepting()
+            server.reset_connections()
 
     def ledger_row(self) -> dict[str, Any]:
         """Return the ledger's row for the class `get`."""
--- a/tests/multi_get/test_registry.py
+++ b/tests/multi_get/test_registry.py
@@ -92,7 +92,7 @@
         client.send_multi_get(KEYS * 4, d=5000)
         await deployment.wait_until(lambda: len(deployment.attempts) >= 8)
         drained_at = deployment.loop.time()
-        deployment.agent.change(deployment.entry(deployment.nodes[0], "draining"))
+        deployment.agent.apply_change(deployment.entry(deployment.nodes[0], "draining"))
         assert entry_labels(await client.read_reply()) == expected_values(KEYS * 4)
         late = [at for at, server, _, _ in deployment.attempts if server == "s0" and at > drained_at + 0.5]
         assert late == []
@@ -125,7 +125,7 @@
 def test_all_keys_are_rejected_at_once_if_all_servers_are_down() -> None:
     async def test(deployment: Deployment) -> None:
         for server in [*deployment.nodes, deployment.store]:
-            server.refuse()
+            server.stop_accepting()
         client = await deployment.client()
         started_at = deployment.loop.time()
         assert set(entry_labels(await client.multi_get(KEYS, d=1000))) == {"refused"}
