--- a/pebblepass/emulators/__init__.py
+++ b/pebblepass/emulators/__init__.py
@@ -1,1 +1,1 @@
-"""Scripted peers on loopback: mirror nodes, the package store, the registry and clients."""
+"""Emulators on loopback: cache servers, the origin store, the registry agent and clients."""
--- a/pebblepass/emulators/advertised.py
+++ b/pebblepass/emulators/advertised.py
@@ -1,27 +1,27 @@
-"""The timeout that an attempt advertises to its server: `d` in its list of names and values. No I/O."""
+"""The timeout that an attempt advertises to its server: `d` in its info list. No I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MOST_DIGITS = 9  # as clients' own timeouts are bounded
+MAX_TIMEOUT_DIGITS = 9  # the same limit as for the timeouts that clients send
 
 
 @dataclass(frozen=True, slots=True)
 class AdvertisedTimeout:
-    """What an attempt told its server of its client's time; the times are the loop's, in seconds."""
+    """The timeout that an attempt carried to its server; `*_at` are loop times in seconds."""
 
     request: str
     server: str
     timeout_ms: int | None
-    """None: the attempt has no `d`, or one that can't be read."""
+    """None if `d` is missing or can't be parsed."""
     first_byte_at: float
     last_byte_at: float
 
 
 def read_advertised_timeout(info: bytes) -> int | None:
-    """Read `d` from a list of names and values; None where it is missing, malformed or there twice."""
-    found = [part[len(b"d=") :] for part in info.split(b",") if part.startswith(b"d=")]
-    if len(found) != 1 or not found[0].isdigit() or len(found[0]) > MOST_DIGITS:
+    """Parse `d` from an info list; None if it is missing, malformed or present twice."""
+    values = [field[len(b"d=") :] for field in info.split(b",") if field.startswith(b"d=")]
+    if len(values) != 1 or not values[0].isdigit() or len(values[0]) > MAX_TIMEOUT_DIGITS:
         return None
-    return int(found[0])
+    return int(values[0])
--- a/pebblepass/emulators/clients.py
+++ b/pebblepass/emulators/clients.py
@@ -1,4 +1,4 @@
-"""Stand-in clients: kept connections to one router, one request at a time on each, and what came of it."""
+"""Emulated clients: persistent connections to one router, one request at a time on each, and its outcome."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 
 
 class Answer(Enum):
-    """What became of one request, as its client sees it."""
+    """The outcome of one request, as its client sees it."""
 
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
     WRONG = "wrong"
-    """Served with a value that was made for another request."""
+    """Served with a value that belongs to another request."""
     CUT = "cut"
-    """A value was begun and not finished."""
+    """The connection ended in the middle of the reply."""
     CLOSED = "closed"
-    """The router closed the connection without a byte of an answer."""
+    """The router closed the connection before the first byte of a reply."""
     UNREACHED = "unreached"
-    """No connection came up."""
+    """No connection could be opened."""
 
 
 OnAnswer = Callable[[Answer, int], None]
-"""Takes the answer and, for a refusal, after how many milliseconds to come back (0: it does not say)."""
+"""Called with the answer and, for a refusal, its retry delay in milliseconds (0: none given)."""
 
 
 class Request:
-    """One request on its way: its command, its client's patience, and who is told of the end."""
+    """One request in flight: its encoded command and the callbacks for its progress."""
 
     def __init__(
         self,
@@ -43,63 +43,63 @@
         on_sent: Callable[[], None],
         on_answer: OnAnswer,
     ) -> None:
-        """`expected_prefix`: the start of a value made for this request; `on_sent` runs after the write."""
+        """`expected_prefix` is how a correct value begins; `on_sent` is called after the write."""
         self.data, self.expected_prefix, self.on_sent, self.on_answer = (
             command(*words),
             expected_prefix,
             on_sent,
             on_answer,
         )
-        self.line: ClientConnection | None = None
+        self.connection: ClientConnection | None = None
         self.first_on_connection = False
-        """Whether it is the first one on its connection."""
+        """Whether this is the first request on its connection."""
         self.finished = False
         self.expected_prefixes: tuple[bytes, ...] = ()
-        """For a read of many keys: what each value begins with, in the order asked."""
+        """For a multi-get: how each value begins, in the order of the keys."""
         self.entries: list[tuple[Answer, int]] = []
-        """What came of each of its keys."""
+        """For a multi-get: the answer and the retry delay of each key."""
 
-    def end(self, answer: Answer, back_ms: int = 0) -> None:
-        """End it, once."""
+    def end(self, answer: Answer, retry_after_ms: int = 0) -> None:
+        """Report the answer; later calls do nothing."""
         if not self.finished:
             self.finished = True
-            self.on_answer(answer, back_ms)
+            self.on_answer(answer, retry_after_ms)
 
     def end_sending(self) -> bool:
-        """The client goes away: it ends its sending, and takes only what is already on its way to it.
+        """Half-close the connection, as a departing client does; replies in flight still arrive.
 
-        Returns whether the request was written; one that was not is over.
+        Returns whether the request was written; a request that was not is finished.
         """
-        if self.line is None:
+        if self.connection is None:
             self.finished = True
             return False
-        self.line.end_sending()
+        self.connection.end_sending()
         return True
 
     def abandon(self) -> None:
-        """The client closes its connection at once, and is told of nothing more."""
+        """Close the connection at once and suppress further callbacks."""
         self.finished = True
-        if self.line is not None:
-            self.line.close()
+        if self.connection is not None:
+            self.connection.close()
 
 
 class ClientPool:
-    """The connections of a router's clients; more are opened when all are busy."""
+    """The client connections to one router; another one is opened when all are busy."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: Address) -> None:
         self.loop, self.address = loop, address
         self.idle: list[ClientConnection] = []
         self.connections: dict[ClientConnection, None] = {}
         self.on_unexpected_bytes: Callable[[bytes], None] = lambda _: None
-        """Told of bytes that came when nothing was asked."""
+        """Called with bytes that arrive while no request is pending."""
         self._dials: dict[asyncio.Task[None], None] = {}
 
     def send(self, request: Request) -> None:
-        """Write a request on a kept connection, or on a new one."""
+        """Write a request on an idle connection, or on a new one."""
         while self.idle:
-            line = self.idle.pop()
-            if line.usable:
-                line.start(request, first_on_connection=False)
+            connection = self.idle.pop()
+            if connection.usable:
+                connection.start(request, first_on_connection=False)
                 return
         dial = self.loop.create_task(self._dial(request))
         self._dials[dial] = None
@@ -107,7 +107,7 @@
     async def _dial(self, request: Request) -> None:
         task = asyncio.current_task()
         try:
-            _, line = await self.loop.create_connection(lambda: ClientConnection(self), *self.address)
+            _, connection = await self.loop.create_connection(lambda: ClientConnection(self), *self.address)
         except OSError:
             request.end(Answer.UNREACHED)
             return
@@ -115,18 +115,18 @@
             if task is not None:
                 self._dials.pop(task, None)
         if request.finished:
-            line.close()
-        elif not line.usable:
+            connection.close()
+        elif not connection.usable:
             request.end(Answer.UNREACHED)
         else:
-            line.start(request, first_on_connection=True)
+            connection.start(request, first_on_connection=True)
 
     def close(self) -> None:
         """Close every connection."""
         for dial in list(self._dials):
             dial.cancel()
-        for line in list(self.connections):
-            line.close()
+        for connection in list(self.connections):
+            connection.close()
 
 
 class ClientConnection(asyncio.Protocol):
@@ -140,25 +140,25 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Register the connection with its pool."""
         self.transport = cast(asyncio.Transport, transport)
         self._pool.connections[self] = None
 
     @property
     def usable(self) -> bool:
-        """Whether it can take a request."""
+        """Whether the connection is open for requests."""
         return self.transport is not None and not self.transport.is_closing()
 
     def start(self, request: Request, first_on_connection: bool) -> None:
-        """Write a request."""
+        """Write a request to the transport."""
         assert self.transport is not None
-        self._request, request.line, request.first_on_connection = request, self, first_on_connection
+        self._request, request.connection, request.first_on_connection = request, self, first_on_connection
         self._answer_started = False
         self.transport.write(request.data)
         request.on_sent()
 
     def data_received(self, data: bytes) -> None:
-        """Read an answer."""
+        """Parse the reply and report the answer."""
         request = self._request
         if request is None:
             self._pool.on_unexpected_bytes(data)
@@ -191,16 +191,16 @@
             answer = answer[0]
         self._end(*_classify_reply(answer, request.expected_prefix))
 
-    def _end(self, answer: Answer, back_ms: int = 0) -> None:
+    def _end(self, answer: Answer, retry_after_ms: int = 0) -> None:
         request, self._request = self._request, None
         if self.usable:
             self._pool.idle.append(self)
         if request is not None:
-            request.line = None
-            request.end(answer, back_ms)
+            request.connection = None
+            request.end(answer, retry_after_ms)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Take the end of the connection."""
+        """Unregister the connection and report the answer of a pending request."""
         self.transport = None
         self._pool.connections.pop(self, None)
         if self in self._pool.idle:
@@ -209,19 +209,19 @@
             self._end(Answer.CUT if self._answer_started else Answer.CLOSED)
 
     def end_sending(self) -> None:
-        """Close this end's half; what the router has written still arrives."""
+        """Shut down the sending side; what the router writes still arrives."""
         if self.usable:
             assert self.transport is not None
             self.transport.write_eof()
 
     def close(self) -> None:
-        """Close it."""
+        """Abort the connection."""
         if self.transport is not None:
             self.transport.abort()
 
 
 def _classify_reply(answer: object, expected_prefix: bytes) -> tuple[Answer, int]:
-    """What one answer, or an entry of a command's, comes to, and after how many milliseconds to come back."""
+    """Classify a reply, or one entry of a multi-get reply; returns the answer and its retry delay in ms."""
     if isinstance(answer, hiredis.ReplyError):
         words = str(answer).split()
         if words and words[0] == "BUSY":
--- a/pebblepass/emulators/core_runner.py
+++ b/pebblepass/emulators/core_runner.py
@@ -1,4 +1,4 @@
-"""A core on an event loop: one timer, set for when the core has something to tell next."""
+"""Runs a `Core` on an event loop, with one timer set to the core's next event."""
 
 from __future__ import annotations
 
@@ -10,33 +10,36 @@
 
 
 class CoreRunner(Generic[Job]):
-    """Runs requests on a core and tells of each that is done, with the time."""
+    """Runs requests on a core and reports each one that is done, with the time."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, facts: CoreParameters, done: Callable[[Job, float], None]
+        self,
+        loop: asyncio.AbstractEventLoop,
+        parameters: CoreParameters,
+        on_done: Callable[[Job, float], None],
     ) -> None:
-        self._loop, self._facts, self._done = loop, facts, done
+        self._loop, self._parameters, self._on_done = loop, parameters, on_done
         self._timer: asyncio.TimerHandle | None = None
         self.core: Core[Job]
         self.incarnation = -1
-        """Counts the starts: what was under way to an earlier one comes to nothing."""
+        """Counts the starts, so that requests in transit to an earlier start can be dropped."""
         self.restart(cold=False)
 
     def restart(self, cold: bool) -> None:
-        """Start anew: what was held is gone."""
+        """Replace the core; requests that it held are lost."""
         self.incarnation += 1
-        self.core = Core(self._facts, self._loop.time(), cold)
+        self.core = Core(self._parameters, self._loop.time(), cold)
         self._set_timer()
 
     def offer(self, job: Job, work: float) -> bool:
-        """Take a request; False: the queue is full."""
+        """Accept a request; False if the queue is full."""
         self._advance()
-        taken = self.core.offer(self._loop.time(), job, work)
+        accepted = self.core.offer(self._loop.time(), job, work)
         self._set_timer()
-        return taken
+        return accepted
 
     def set_speed_factor(self, factor: float) -> None:
-        """From now on the core has so much of its speed."""
+        """Set the fraction of its speed that the core has from now on."""
         self._advance()
         self.core.speed_factor = factor
         self._set_timer()
@@ -45,9 +48,9 @@
         due = self.core.next_event()
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = None if due is None else self._loop.call_at(due, self._due)
+        self._timer = None if due is None else self._loop.call_at(due, self._on_timer)
 
-    def _due(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
         self._advance()
         self._set_timer()
@@ -55,4 +58,4 @@
     def _advance(self) -> None:
         now = self._loop.time()
         for job in self.core.advance(now):
-            self._done(job, now)
+            self._on_done(job, now)
--- a/pebblepass/emulators/node.py
+++ b/pebblepass/emulators/node.py
@@ -1,4 +1,4 @@
-"""A stand-in mirror node: RESP2 on loopback in front of one modelled core and its kept copies."""
+"""An emulated cache server: RESP2 on loopback, one modelled core and the stored copies."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 from pebblepass.emulators.observer import EmulatorObserver
 from pebblepass.wire.resp import MULTI_GET_COMMAND, bulk
 
-GARBLED = (b"*3\r\n$9\r\nnot nine\r\n", b"\x00\xfe\x17\r\n", b"*2\r\n*1\r\n$1\r\nx\r\n", b"$-7\r\n")
-DRAIN_S = 4.0  # a node that drains ends after so long
-MANY_WORDS = 5  # of a read of many keys at least: its name, the number of keys, a key, its id and its list
+GARBLED_REPLIES = (b"*3\r\n$9\r\nnot nine\r\n", b"\x00\xfe\x17\r\n", b"*2\r\n*1\r\n$1\r\nx\r\n", b"$-7\r\n")
+DRAIN_S = 4.0  # from the start of a node's drain to its end
+MULTI_GET_MIN_WORDS = 5  # the name, the number of keys, at least one key, the request id and the info list
 
 
 @dataclass(frozen=True, slots=True)
 class WorkRange:
-    """What one class of requests costs a core, in seconds, least and most."""
+    """The least and the most work of a request of one class, in seconds of a core of speed 1."""
 
     least: float
     most: float
@@ -39,27 +39,30 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSetup:
-    """Everything that a stand-in mirror node is told."""
+    """An emulated cache server's configuration."""
 
     id: str
     core: CoreParameters
     memory: int
-    """Copies that it keeps at most; the one used longest ago goes first."""
+    """The most copies that it stores; the least recently used is evicted first."""
     report_period: float
     works: dict[str, WorkRange]
     miss_work: float
-    """The work of a miss, as a share of a hit's."""
+    """The work of a miss, as a fraction of the work of a hit."""
     error_rate: float
     value_bytes: tuple[float, float]
     delays: dict[str, float]
-    """One way from each zone to this node, in seconds."""
+    """The one-way delay from each zone to this node, in seconds."""
     overload_multiple: float = 4.0
     fall_window: float = 2.0
 
 
 @dataclass(slots=True)
 class AnswerFaults:
-    """How a node answers while it is in trouble: the share of its answers that each touches."""
+    """Faults injected into a node's replies.
+
+    `half`, `garble` and `reset` are upper bounds for one random draw per reply; scenarios set them by name.
+    """
 
     half: float = 0.0
     garble: float = 0.0
@@ -69,18 +72,18 @@
 
 
 @dataclass(slots=True)
-class _Asked:
-    request: str
+class _PendingRequest:
+    request_id: str
     request_class: str
     key: str
-    idempotency: str | None
+    idempotency_key: str | None
     write: bool
-    place: PendingReply
+    reply: PendingReply
     hit: bool = False
 
 
 class EmulatedNode:
-    """One mirror node. It stores; what it lacks it reports as a miss."""
+    """One emulated cache server; a key without a stored copy is a miss."""
 
     def __init__(
         self,
@@ -89,219 +92,226 @@
         rng: random.Random,
         effects: EffectLog,
         observer: EmulatorObserver,
-        missed: Callable[[str, EmulatedNode], None],
-        silence: SetAddressSilent = leave_address_reachable,
-        read: Callable[[str, str], None] = lambda _, __: None,
+        on_miss: Callable[[str, EmulatedNode], None],
+        set_address_silent: SetAddressSilent = leave_address_reachable,
+        on_read: Callable[[str, str], None] = lambda _, __: None,
     ) -> None:
-        """`missed` is told a request and this node; `read` the key of a copy that was read, and the id."""
+        """`on_miss` gets the request id and this node; `on_read` the key of a read copy and the node id."""
         self.loop, self.setup, self.rng = loop, setup, rng
-        self._effects, self._observer, self._missed, self._read = effects, observer, missed, read
-        self.listeners = ListenerGroup(loop, tuple(setup.delays), silence)
+        self._effects, self._observer, self._on_miss, self._on_read = effects, observer, on_miss, on_read
+        self.listeners = ListenerGroup(loop, tuple(setup.delays), set_address_silent)
         self.faults = AnswerFaults()
         self.copies: OrderedDict[str, None] = OrderedDict()
-        self.core_runner: CoreRunner[_Asked] = CoreRunner(loop, setup.core, self._done)
-        self._cold: ColdBudget | None = None
+        self.core_runner: CoreRunner[_PendingRequest] = CoreRunner(loop, setup.core, self._on_done)
+        self._cold_budget: ColdBudget | None = None
         self._report, self._report_until = b"", 0.0
-        self._recent = (sum((w.least + w.most) / 2 for w in setup.works.values()) / len(setup.works)) * 1000
+        self._mean_latency_ms = (
+            sum((w.least + w.most) / 2 for w in setup.works.values()) / len(setup.works)
+        ) * 1000
 
     async def start(self, cold: bool = False) -> None:
-        """Listen; a node that starts cold warms up first and keeps no copies yet."""
+        """Listen; a node that starts cold has no copies and warms up first."""
         self._begin(cold)
-        await self.listeners.open(lambda zone: _NodeLine(self, self.setup.delays[zone]))
+        await self.listeners.open(lambda zone: _NodeConnection(self, self.setup.delays[zone]))
 
     def _begin(self, cold: bool) -> None:
         setup = self.setup
         self.core_runner.restart(cold)
         started = self.loop.time()
-        self._cold = (
+        self._cold_budget = (
             ColdBudget(setup.core, started, setup.overload_multiple, setup.fall_window) if cold else None
         )
         self._report_until = 0.0
 
-    # What breaks
+    # Faults
 
     def kill(self) -> None:
-        """The process dies: connections are reset, new ones refused, all that it held is gone."""
+        """Emulate the death of the process: reset connections, refuse new ones, lose copies and requests."""
         self.listeners.stop_accepting()
         self.listeners.reset_connections()
         self.copies.clear()
         self._begin(cold=False)
 
     def restart(self) -> None:
-        """The process starts again, cold, at the same addresses."""
+        """Start again, cold, at the same addresses."""
         self.faults = AnswerFaults()
         self._begin(cold=True)
         self.listeners.reopen()
 
     def drop_copies(self, share: float) -> None:
-        """That share of the kept copies goes void."""
+        """Drop a random share of the copies."""
         for key in [key for key in self.copies if self.rng.random() < share]:
             del self.copies[key]
 
     def store_copy(self, key: str) -> None:
-        """Store a copy."""
+        """Store a copy and evict the least recently used ones beyond the limit."""
         self.copies[key] = None
         self.copies.move_to_end(key)
         while len(self.copies) > self.setup.memory:
             self.copies.popitem(last=False)
 
-    # What is asked
+    # Requests
 
-    def handle_request(self, words: list[bytes], line: _NodeLine, first_byte_at: float) -> None:
-        """Take a command whose last byte has left its router."""
-        place = line.reserve_reply()
+    def handle_request(self, words: list[bytes], connection: _NodeConnection, first_byte_at: float) -> None:
+        """Handle a command that its router has written in full."""
+        reply = connection.reserve_reply()
         name = words[0].upper() if words else b""
         if name == b"PING":
-            place.answer(b"+PONG\r\n")
+            reply.answer(b"+PONG\r\n")
         elif name == b"INFO":
-            place.answer(bulk(self.report()))
+            reply.answer(bulk(self.report()))
         elif name in (b"CLIENT", b"SELECT"):
-            place.answer(b"+OK\r\n")
-        elif name == MULTI_GET_COMMAND and len(words) >= MANY_WORDS:
-            # Routers are told that this node takes no such command; what one advertises counts all the same.
+            reply.answer(b"+OK\r\n")
+        elif name == MULTI_GET_COMMAND and len(words) >= MULTI_GET_MIN_WORDS:
+            # Routers know that this node rejects multi-get; the timeout of one is reported anyway.
             self._report_timeout(words[-2].decode(), words[-1], first_byte_at)
-            place.answer(b"-SYNTAX unknown command\r\n")
+            reply.answer(b"-SYNTAX unknown command\r\n")
         elif name not in (b"KV.GET", b"KV.SET") or len(words) != (4 if name == b"KV.GET" else 5):
-            place.answer(b"-SYNTAX unknown command\r\n")
+            reply.answer(b"-SYNTAX unknown command\r\n")
         else:
             info = dict(part.partition("=")[::2] for part in words[3].decode().split(","))
             request = words[2].decode()
             self._observer.attempt_received(request, self.setup.id, self.loop.time())
             self._report_timeout(request, words[3], first_byte_at)
-            asked = _Asked(
-                request, info.get("c", ""), words[1].decode(), info.get("k"), name == b"KV.SET", place
+            pending = _PendingRequest(
+                request, info.get("c", ""), words[1].decode(), info.get("k"), name == b"KV.SET", reply
             )
-            self.loop.call_later(line.delay, self._offer, asked, self.core_runner.incarnation)
+            self.loop.call_later(connection.delay, self._offer, pending, self.core_runner.incarnation)
 
     def _report_timeout(self, request: str, info: bytes, first_byte_at: float) -> None:
-        """Report to the observer how much time an attempt says that its client has left."""
+        """Report the timeout that an attempt advertises to the observer."""
         timeout_ms, now = read_advertised_timeout(info), self.loop.time()
         self._observer.timeout_advertised(
             AdvertisedTimeout(request, self.setup.id, timeout_ms, first_byte_at, now)
         )
 
-    def _offer(self, asked: _Asked, incarnation: int) -> None:
+    def _offer(self, pending: _PendingRequest, incarnation: int) -> None:
         if incarnation != self.core_runner.incarnation or self.listeners.silent:
             return
         now = self.loop.time()
-        works = self.setup.works.get(asked.request_class)
+        works = self.setup.works.get(pending.request_class)
         if works is None:
-            asked.place.answer(b"-SYNTAX unknown class\r\n")
+            pending.reply.answer(b"-SYNTAX unknown class\r\n")
             return
         work = works.least + (works.most - works.least) * self.rng.random()
-        asked.hit = asked.write or asked.key in self.copies
-        if not asked.hit:
+        pending.hit = pending.write or pending.key in self.copies
+        if not pending.hit:
             work *= self.setup.miss_work
-        informed = self._observer.router_knows_start(asked.request, self.setup.id)
-        over = self._cold.add_work(now, work, informed) if self._cold is not None else None
-        if over is not None:
-            self._observer.cold_node_overloaded(self.setup.id, over, now)
+        informed = self._observer.router_knows_start(pending.request_id, self.setup.id)
+        overload_informed_share = (
+            self._cold_budget.add_work(now, work, informed) if self._cold_budget is not None else None
+        )
+        if overload_informed_share is not None:
+            self._observer.cold_node_overloaded(self.setup.id, overload_informed_share, now)
             self.faults.overloaded = True
             self.kill()
             return
-        if self.faults.draining or not self.core_runner.offer(asked, work):
-            self._observer.attempt_answered(asked.request, self.setup.id, "busy", now)
-            asked.place.answer(b"-BUSY %b\r\n" % self.report())
-
-    def _done(self, asked: _Asked, now: float) -> None:
-        works = self.setup.works[asked.request_class]
-        self._recent += ((works.least + works.most) * 500 - self._recent) / 16
-        if asked.write:
-            self._effects.run(asked.request, asked.request_class, asked.idempotency, now)
+        if self.faults.draining or not self.core_runner.offer(pending, work):
+            self._observer.attempt_answered(pending.request_id, self.setup.id, "busy", now)
+            pending.reply.answer(b"-BUSY %b\r\n" % self.report())
+
+    def _on_done(self, pending: _PendingRequest, now: float) -> None:
+        works = self.setup.works[pending.request_class]
+        self._mean_latency_ms += ((works.least + works.most) * 500 - self._mean_latency_ms) / 16
+        if pending.write:
+            self._effects.apply(pending.request_id, pending.request_class, pending.idempotency_key, now)
         if self.rng.random() < self.setup.error_rate:
-            self._observer.attempt_answered(asked.request, self.setup.id, "error", now)
-            asked.place.answer(b"-ERR failed\r\n")
+            self._observer.attempt_answered(pending.request_id, self.setup.id, "error", now)
+            pending.reply.answer(b"-ERR failed\r\n")
             return
-        if not asked.hit:
-            self._missed(asked.request, self)
-            self._observer.attempt_answered(asked.request, self.setup.id, "miss", now)
-            asked.place.answer(b"*3\r\n$-1\r\n$4\r\nmiss\r\n" + bulk(self.report()))
+        if not pending.hit:
+            self._on_miss(pending.request_id, self)
+            self._observer.attempt_answered(pending.request_id, self.setup.id, "miss", now)
+            pending.reply.answer(b"*3\r\n$-1\r\n$4\r\nmiss\r\n" + bulk(self.report()))
             return
-        if not asked.write and asked.key in self.copies:
-            self.copies.move_to_end(asked.key)
-            self._read(asked.key, self.setup.id)
-        value = make_value(self.rng, asked.key, asked.request, self.setup.id, self.setup.value_bytes)
+        if not pending.write and pending.key in self.copies:
+            self.copies.move_to_end(pending.key)
+            self._on_read(pending.key, self.setup.id)
+        value = make_value(self.rng, pending.key, pending.request_id, self.setup.id, self.setup.value_bytes)
         answer = b"*3\r\n%b$3\r\nhit\r\n%b" % (bulk(value), bulk(self.report()))
-        self._answer(asked, answer, now)
+        self._answer(pending, answer, now)
 
-    def _answer(self, asked: _Asked, answer: bytes, now: float) -> None:
-        """Answer, unless the node is in a trouble that spoils this one."""
-        trouble, line = self.faults, asked.place.line
+    def _answer(self, pending: _PendingRequest, answer: bytes, now: float) -> None:
+        """Send a hit, or a faulty reply if an injected fault applies to it."""
+        faults, connection = self.faults, pending.reply.connection
         draw = self.rng.random()
-        if draw < trouble.half:
-            asked.place.answer(answer[: len(answer) // 2], line.close)
-        elif draw < trouble.garble:
-            asked.place.answer(self.rng.choice(GARBLED))
-        elif draw < trouble.reset:
-            asked.place.answer(answer[: len(answer) // 3], line.reset)
+        if draw < faults.half:
+            pending.reply.answer(answer[: len(answer) // 2], connection.close)
+        elif draw < faults.garble:
+            pending.reply.answer(self.rng.choice(GARBLED_REPLIES))
+        elif draw < faults.reset:
+            pending.reply.answer(answer[: len(answer) // 3], connection.reset)
         else:
-            self._observer.attempt_answered(asked.request, self.setup.id, "hit", now)
-            asked.place.answer(answer)
+            self._observer.attempt_answered(pending.request_id, self.setup.id, "hit", now)
+            pending.reply.answer(answer)
             return
-        self._observer.attempt_answered(asked.request, self.setup.id, "spoilt", now)
+        self._observer.attempt_answered(pending.request_id, self.setup.id, "spoilt", now)
 
     def report(self) -> bytes:
-        """The load report, as of its last refresh."""
+        """The load report, refreshed once per report period."""
         now = self.loop.time()
         if now >= self._report_until:
-            self._report = b"latency_ms=%.2f,queue=%d" % (self._recent, self.core_runner.core.queue_length)
+            self._report = b"latency_ms=%.2f,queue=%d" % (
+                self._mean_latency_ms,
+                self.core_runner.core.queue_length,
+            )
             self._report_until = now + self.setup.report_period
         return self._report
 
 
 def make_value(rng: random.Random, key: str, request: str, server: str, length: tuple[float, float]) -> bytes:
-    """A value that tells for which key and request it was made, and by whom."""
-    told = f"{key} {request} {server} ".encode()
+    """Make a value that names its key, its request and the server that made it."""
+    prefix = f"{key} {request} {server} ".encode()
     size = int(length[0] + (length[1] - length[0]) * rng.random())
-    return told + b"." * max(0, size - len(told))
+    return prefix + b"." * max(0, size - len(prefix))
 
 
 def encoded_length(words: list[bytes]) -> int:
-    """How many bytes a command took on the wire."""
+    """The size of a RESP command on the wire, in bytes."""
     return len(b"*%d\r\n" % len(words)) + sum(len(b"$%d\r\n\r\n" % len(word)) + len(word) for word in words)
 
 
-class FirstBytes:
-    """When the first byte of the command under way on one connection came, however it is cut into pieces."""
+class FirstByteTracker:
+    """Tracks when the first byte of each command arrived, however the commands are split into segments."""
 
     def __init__(self) -> None:
-        self._pending = 0  # bytes that belong to no command that is whole
-        self._first_at = self._came_at = 0.0
+        self._pending = 0  # bytes after the last complete command
+        self._first_at = self._last_at = 0.0
 
-    def came(self, length: int, now: float) -> None:
-        """Take so many bytes."""
+    def bytes_received(self, length: int, now: float) -> None:
+        """Count bytes that have arrived."""
         if not self._pending:
             self._first_at = now
         self._pending += length
-        self._came_at = now
+        self._last_at = now
 
     def command_ended(self, length: int) -> float:
-        """Take note that a command of this length is whole; returns when its first byte came."""
-        first_at, self._first_at = self._first_at, self._came_at  # what follows has come with its last byte
+        """Count a complete command of this length; returns when its first byte arrived."""
+        first_at, self._first_at = self._first_at, self._last_at  # bytes after it arrived with its last byte
         self._pending -= length
         return first_at
 
 
-class _NodeLine(EmulatorConnection):
-    """A router's connection to a node."""
+class _NodeConnection(EmulatorConnection):
+    """A router's connection to an emulated cache server."""
 
     def __init__(self, node: EmulatedNode, delay: float) -> None:
         super().__init__(node.listeners, delay)
         self._node = node
         self._reader = hiredis.Reader()
-        self._first_bytes = FirstBytes()
+        self._first_byte_tracker = FirstByteTracker()
 
     def data_received(self, data: bytes) -> None:
-        """Read commands; what can't be read closes the connection."""
+        """Parse commands; malformed data closes the connection."""
         if self.listeners.silent:
             return
-        self._first_bytes.came(len(data), self.listeners.loop.time())
+        self._first_byte_tracker.bytes_received(len(data), self.listeners.loop.time())
         try:
             self._reader.feed(data)
             while (words := self._reader.gets()) is not False:
                 if not isinstance(words, list) or not all(isinstance(word, bytes) for word in words):
                     raise hiredis.ProtocolError("not a command")
-                first_byte_at = self._first_bytes.command_ended(encoded_length(words))
+                first_byte_at = self._first_byte_tracker.command_ended(encoded_length(words))
                 self._node.handle_request(words, self, first_byte_at)
         except (hiredis.ProtocolError, UnicodeDecodeError):
             self.close()
--- a/pebblepass/emulators/observer.py
+++ b/pebblepass/emulators/observer.py
@@ -1,4 +1,4 @@
-"""What stand-ins tell whoever watches: the only way from them to a count or a check."""
+"""The interface through which emulators report what they see to counters and checks."""
 
 from __future__ import annotations
 
@@ -9,51 +9,51 @@
 
 
 class EmulatorObserver(Protocol):
-    """Takes what stand-ins see; times are the loop's, in seconds."""
+    """Receives events from the emulators; times are loop times in seconds."""
 
     def attempt_received(self, request: str, server: str, now: float) -> None:
-        """An attempt has come whole to a mirror node or the store."""
+        """An attempt has arrived in full at a cache server or the store."""
 
     def timeout_advertised(self, advertised: AdvertisedTimeout) -> None:
-        """An attempt has told its server how much time its client has left, or has failed to."""
+        """An attempt has arrived, with the timeout that it advertises or without one."""
 
     def attempt_answered(self, request: str, server: str, outcome: str, now: float) -> None:
         """An attempt was answered: `hit`, `miss`, `stored`, `fetched`, `busy`, `error` or `spoilt`."""
 
-    def effect_repeated(self, doubled: RepeatedEffect) -> None:
-        """An effect has happened twice."""
+    def effect_repeated(self, effect: RepeatedEffect) -> None:
+        """A write has taken effect more than once."""
 
     def registry_update_sent(self, router: str, server: str, state: str, now: float) -> None:
-        """The registry has written to a router that a server is `up`, `draining` or `removed`."""
+        """The registry has sent a router the state of a server: `up`, `draining` or `removed`."""
 
     def router_knows_start(self, request: str, server: str) -> bool:
-        """Whether the router that holds this request was told of the server's last start."""
+        """Whether the router of this request has been sent the server's latest start."""
 
     def cold_node_overloaded(self, server: str, informed_share: float, now: float) -> None:
-        """A cold node was sent too much; that share of it came from routers told of its start."""
+        """A cold node was overloaded; `informed_share` of the work came from routers that knew its start."""
 
 
 class NullObserver:
-    """A observer that takes no notice; for stand-ins used on their own."""
+    """Ignores all events; for emulators without checks."""
 
     def attempt_received(self, request: str, server: str, now: float) -> None:
-        """Take no notice."""
+        """Ignore the event."""
 
     def timeout_advertised(self, advertised: AdvertisedTimeout) -> None:
-        """Take no notice."""
+        """Ignore the event."""
 
     def attempt_answered(self, request: str, server: str, outcome: str, now: float) -> None:
-        """Take no notice."""
+        """Ignore the event."""
 
-    def effect_repeated(self, doubled: RepeatedEffect) -> None:
-        """Take no notice."""
+    def effect_repeated(self, effect: RepeatedEffect) -> None:
+        """Ignore the event."""
 
     def registry_update_sent(self, router: str, server: str, state: str, now: float) -> None:
-        """Take no notice."""
+        """Ignore the event."""
 
     def router_knows_start(self, request: str, server: str) -> bool:
-        """NullObserver was told."""
+        """Return False: no registry updates are tracked."""
         return False
 
     def cold_node_overloaded(self, server: str, informed_share: float, now: float) -> None:
-        """Take no notice."""
+        """Ignore the event."""
--- a/pebblepass/emulators/store.py
+++ b/pebblepass/emulators/store.py
@@ -1,4 +1,4 @@
-"""A stand-in package store: HTTP/1.1 on loopback in front of a few slow places of service."""
+"""An emulated origin store: HTTP/1.1 on loopback with a few slow service slots."""
 
 from __future__ import annotations
 
@@ -27,28 +27,28 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreSetup:
-    """Everything that a stand-in store is told."""
+    """An emulated store's configuration."""
 
     id: str
     core: CoreParameters
     work: float
-    """Seconds that one request takes, on average."""
+    """The mean service time of a request, in seconds."""
     error_rate: float
     value_bytes: tuple[float, float]
     delays: dict[str, float]
 
 
 @dataclass(slots=True)
-class _Asked:
-    request: str
+class _PendingRequest:
+    request_id: str
     fields: dict[str, str]
     key: str
     write: bool
-    place: PendingReply
+    reply: PendingReply
 
 
 class EmulatedStore:
-    """The one slow origin. What it has served is stored where the request missed."""
+    """The emulated origin store."""
 
     def __init__(
         self,
@@ -57,29 +57,29 @@
         rng: random.Random,
         effects: EffectLog,
         observer: EmulatorObserver,
-        fetched: Callable[[str, str], None],
-        written: Callable[[str], None],
-        silence: SetAddressSilent = leave_address_reachable,
+        on_fetch: Callable[[str, str], None],
+        on_write: Callable[[str], None],
+        set_address_silent: SetAddressSilent = leave_address_reachable,
     ) -> None:
         self.loop, self.setup, self.rng = loop, setup, rng
         self._effects, self._observer = effects, observer
-        self._fetched, self._written = fetched, written
-        self.listeners = ListenerGroup(loop, tuple(setup.delays), silence)
-        self.core_runner: CoreRunner[_Asked] = CoreRunner(loop, setup.core, self._done)
+        self._on_fetch, self._on_write = on_fetch, on_write
+        self.listeners = ListenerGroup(loop, tuple(setup.delays), set_address_silent)
+        self.core_runner: CoreRunner[_PendingRequest] = CoreRunner(loop, setup.core, self._on_done)
         self.fetches = self.writes = 0
 
     async def start(self) -> None:
-        """Listen."""
-        await self.listeners.open(lambda zone: _StoreLine(self, self.setup.delays[zone]))
+        """Open the listeners."""
+        await self.listeners.open(lambda zone: _StoreConnection(self, self.setup.delays[zone]))
 
     def kill(self) -> None:
-        """The store goes down: connections are reset, new ones refused, all that it held is gone."""
+        """Emulate an outage: reset connections, refuse new ones, lose the pending requests."""
         self.listeners.stop_accepting()
         self.listeners.reset_connections()
         self.core_runner.restart(cold=False)
 
     def restart(self) -> None:
-        """The store is back."""
+        """End the outage and listen again."""
         self.listeners.reopen()
 
     def handle_request(
@@ -87,13 +87,13 @@
         method: bytes,
         target: str,
         headers: dict[bytes, bytes],
-        line: EmulatorConnection,
+        connection: EmulatorConnection,
         first_byte_at: float,
     ) -> None:
-        """Take a request whose last byte has left its router."""
-        place = line.reserve_reply()
+        """Handle a request that its router has written in full."""
+        reply = connection.reserve_reply()
         if method == b"GET" and target in ("/health/live", "/stats"):
-            place.answer(_answer(200, self.report()))
+            reply.answer(_http_response(200, self.report()))
             return
         request = headers.get(b"request-id", b"").decode()
         info = headers.get(b"request-info", b"").decode()
@@ -103,54 +103,54 @@
                 AdvertisedTimeout(request, self.setup.id, timeout_ms, first_byte_at, now)
             )
         if method not in (b"GET", b"PUT") or not request or not info:
-            place.answer(_answer(400, b""))
+            reply.answer(_http_response(400, b""))
             return
         fields = dict(part.partition("=")[::2] for part in info.split(","))
         self._observer.attempt_received(request, self.setup.id, self.loop.time())
-        asked = _Asked(request, fields, unquote(target[1:]), method == b"PUT", place)
-        self.loop.call_later(line.delay, self._offer, asked, self.core_runner.incarnation)
+        pending = _PendingRequest(request, fields, unquote(target[1:]), method == b"PUT", reply)
+        self.loop.call_later(connection.delay, self._offer, pending, self.core_runner.incarnation)
 
-    def _offer(self, asked: _Asked, incarnation: int) -> None:
+    def _offer(self, pending: _PendingRequest, incarnation: int) -> None:
         if incarnation != self.core_runner.incarnation:
             return
         now = self.loop.time()
         work = self.setup.work * self.rng.uniform(0.6, 1.4)
-        if not self.core_runner.offer(asked, work):
-            self._observer.attempt_answered(asked.request, self.setup.id, "busy", now)
-            asked.place.answer(_answer(503, b"", b"Not-Started: 1\r\n", self.report()))
+        if not self.core_runner.offer(pending, work):
+            self._observer.attempt_answered(pending.request_id, self.setup.id, "busy", now)
+            pending.reply.answer(_http_response(503, b"", b"Not-Started: 1\r\n", self.report()))
 
-    def _done(self, asked: _Asked, now: float) -> None:
-        self.writes += asked.write
-        self.fetches += not asked.write
+    def _on_done(self, pending: _PendingRequest, now: float) -> None:
+        self.writes += pending.write
+        self.fetches += not pending.write
         if self.rng.random() < self.setup.error_rate:
-            self._observer.attempt_answered(asked.request, self.setup.id, "error", now)
-            asked.place.answer(_answer(500, b"", report=self.report()))
+            self._observer.attempt_answered(pending.request_id, self.setup.id, "error", now)
+            pending.reply.answer(_http_response(500, b"", report=self.report()))
             return
-        if asked.write:
-            self._effects.run(asked.request, asked.fields.get("c", ""), asked.fields.get("k"), now)
-            self._written(asked.key)
+        if pending.write:
+            self._effects.apply(pending.request_id, pending.fields.get("c", ""), pending.fields.get("k"), now)
+            self._on_write(pending.key)
         else:
-            self._fetched(asked.request, asked.key)
-        outcome = "stored" if asked.write else "fetched"
-        self._observer.attempt_answered(asked.request, self.setup.id, outcome, now)
-        value = make_value(self.rng, asked.key, asked.request, self.setup.id, self.setup.value_bytes)
-        asked.place.answer(_answer(200, value, report=self.report()))
+            self._on_fetch(pending.request_id, pending.key)
+        outcome = "stored" if pending.write else "fetched"
+        self._observer.attempt_answered(pending.request_id, self.setup.id, outcome, now)
+        value = make_value(self.rng, pending.key, pending.request_id, self.setup.id, self.setup.value_bytes)
+        pending.reply.answer(_http_response(200, value, report=self.report()))
 
     def report(self) -> bytes:
-        """The load report."""
+        """The load report that each reply carries."""
         return b"latency_ms=%.2f,queue=%d" % (self.setup.work * 1000, self.core_runner.core.queue_length)
 
 
 _REASONS = {200: b"OK", 400: b"Bad Request", 500: b"Internal Server Error", 503: b"Service Unavailable"}
 
 
-def _answer(status: int, body: bytes, headers: bytes = b"", report: bytes = b"") -> bytes:
+def _http_response(status: int, body: bytes, headers: bytes = b"", report: bytes = b"") -> bytes:
     load = b"Server-Load: %b\r\n" % report if report else b""
     head = b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n" % (status, _REASONS[status], len(body))
     return b"%b%b%b\r\n%b" % (head, headers, load, body)
 
 
-class _StoreLine(EmulatorConnection):
+class _StoreConnection(EmulatorConnection):
     """A router's connection to the store."""
 
     def __init__(self, store: EmulatedStore, delay: float) -> None:
@@ -162,7 +162,7 @@
         self._first_byte_at = 0.0
 
     def data_received(self, data: bytes) -> None:
-        """Read requests; what can't be read closes the connection."""
+        """Parse requests; malformed data closes the connection."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade, UnicodeDecodeError):
--- a/tests/emulators/test_advertised.py
+++ b/tests/emulators/test_advertised.py
@@ -1,4 +1,4 @@
-"""What stand-ins report of the timeout that an attempt advertises, however it is written and cut up."""
+"""Emulators report the timeout that an attempt advertises, however its bytes are segmented."""
 
 from __future__ import annotations
 
@@ -27,54 +27,54 @@
 PIECE_GAP_S = 0.05
 
 
-class Listener(NullObserver):
-    """Keeps what was advertised."""
+class RecordingObserver(NullObserver):
+    """Records the advertised timeouts."""
 
     def __init__(self) -> None:
         self.advertised: list[AdvertisedTimeout] = []
 
     def timeout_advertised(self, advertised: AdvertisedTimeout) -> None:
-        """Keep it."""
+        """Record the timeout."""
         self.advertised.append(advertised)
 
 
-async def start_node(loop: VirtualLoop, listener: Listener) -> Address:
-    """Start a mirror node."""
+async def start_node(loop: VirtualLoop, observer: RecordingObserver) -> Address:
+    """Start an emulated cache server."""
     setup = NodeSetup("s0", CORE, 10, 1.0, {"read": WorkRange(0.001, 0.001)}, 0.5, 0.0, (10, 10), DELAYS)
-    node = EmulatedNode(loop, setup, random.Random(1), EffectLog({}, print), listener, lambda _, __: None)
+    node = EmulatedNode(loop, setup, random.Random(1), EffectLog({}, print), observer, lambda _, __: None)
     await node.start()
     return node.listeners.address("here")
 
 
-async def start_store(loop: VirtualLoop, listener: Listener) -> Address:
-    """Start a package store."""
+async def start_store(loop: VirtualLoop, observer: RecordingObserver) -> Address:
+    """Start an emulated store."""
     setup = StoreSetup("store", CORE, 0.001, 0.0, (10, 10), DELAYS)
     rng, effects = random.Random(1), EffectLog({}, print)
-    store = EmulatedStore(loop, setup, rng, effects, listener, lambda _, __: None, lambda _: None)
+    store = EmulatedStore(loop, setup, rng, effects, observer, lambda _, __: None, lambda _: None)
     await store.start()
     return store.listeners.address("here")
 
 
-Start = Callable[[VirtualLoop, Listener], Awaitable[Address]]
+StartEmulator = Callable[[VirtualLoop, RecordingObserver], Awaitable[Address]]
 
 
-def reported(start: Start, *pieces: bytes) -> list[AdvertisedTimeout]:
-    """What a stand-in reports of these bytes; each piece is written so long after the one before it."""
-    listener = Listener()
+def reported(start: StartEmulator, *pieces: bytes) -> list[AdvertisedTimeout]:
+    """The timeouts that an emulator reports for these pieces, written `PIECE_GAP_S` apart."""
+    observer = RecordingObserver()
 
     async def work(loop: VirtualLoop) -> None:
-        _, writer = await asyncio.open_connection(*await start(loop, listener))
+        _, writer = await asyncio.open_connection(*await start(loop, observer))
         for piece in pieces:
             writer.write(piece)
             await asyncio.sleep(PIECE_GAP_S)
         writer.close()
 
     run_virtual(work)
-    return listener.advertised
+    return observer.advertised
 
 
 def at(gaps: int) -> Any:
-    """The time of a piece."""
+    """The time at which a piece is written, after so many gaps."""
     return pytest.approx(START_S + gaps * PIECE_GAP_S)
 
 
@@ -95,27 +95,33 @@
         command(b"KV.MGET", b"2", b"key", b"other", b"q", INFO % b"250"),
     ],
 )
-def test_a_node_reports_what_a_command_advertises(data: bytes) -> None:
+def test_node_reports_advertised_timeout_of_command(data: bytes) -> None:
     assert reported(start_node, data) == [AdvertisedTimeout("q", "s0", 250, at(0), at(0))]
 
 
-def test_a_node_reports_each_of_many_reads_that_come_together() -> None:
-    found = reported(start_node, read(b"q.0", b"250") + read(b"q.1", b"250") + read(b"q.2", b"249"))
-    assert [(each.request, each.timeout_ms) for each in found] == [("q.0", 250), ("q.1", 250), ("q.2", 249)]
+def test_node_reports_each_pipelined_read() -> None:
+    reports = reported(start_node, read(b"q.0", b"250") + read(b"q.1", b"250") + read(b"q.2", b"249"))
+    assert [(report.request, report.timeout_ms) for report in reports] == [
+        ("q.0", 250),
+        ("q.1", 250),
+        ("q.2", 249),
+    ]
 
 
 @pytest.mark.parametrize("method", ["GET", "PUT"])
-def test_the_store_reports_what_a_request_advertises(method: str) -> None:
+def test_store_reports_advertised_timeout_of_request(method: str) -> None:
     body = b"value" if method == "PUT" else None
-    found = reported(start_store, to_store(method, b"q", INFO % b"250", body))
-    assert found == [AdvertisedTimeout("q", "store", 250, at(0), at(0))]
+    reports = reported(start_store, to_store(method, b"q", INFO % b"250", body))
+    assert reports == [AdvertisedTimeout("q", "store", 250, at(0), at(0))]
 
 
-def test_the_store_reports_each_request_of_a_connection() -> None:
-    first, second = (to_store("GET", name, INFO % told) for name, told in ((b"a", b"250"), (b"b", b"100")))
-    found = reported(start_store, first, second)
-    assert [(each.request, each.timeout_ms) for each in found] == [("a", 250), ("b", 100)]
-    assert [each.first_byte_at for each in found] == [at(0), at(1)]
+def test_store_reports_each_request_on_a_connection() -> None:
+    first, second = (
+        to_store("GET", name, INFO % timeout) for name, timeout in ((b"a", b"250"), (b"b", b"100"))
+    )
+    reports = reported(start_store, first, second)
+    assert [(report.request, report.timeout_ms) for report in reports] == [("a", 250), ("b", 100)]
+    assert [report.first_byte_at for report in reports] == [at(0), at(1)]
 
 
 @pytest.mark.parametrize(
@@ -127,15 +133,13 @@
         (start_store, to_store("PUT", b"q", INFO % b"250", b"value")),
     ],
 )
-def test_the_times_of_the_first_and_the_last_byte_are_told_wherever_an_attempt_is_cut(
-    start: Start, data: bytes
-) -> None:
+def test_first_and_last_byte_times_are_reported_at_any_split(start: StartEmulator, data: bytes) -> None:
     for cut in range(1, len(data)):
-        (found,) = reported(start, data[:cut], data[cut:])
-        assert (found.timeout_ms, found.first_byte_at, found.last_byte_at) == (250, at(0), at(1)), cut
+        (report,) = reported(start, data[:cut], data[cut:])
+        assert (report.timeout_ms, report.first_byte_at, report.last_byte_at) == (250, at(0), at(1)), cut
 
 
-def test_a_command_that_begins_in_the_piece_of_another_has_its_own_first_byte() -> None:
+def test_command_starting_in_anothers_segment_has_own_first_byte_time() -> None:
     one, other = read(b"a", b"250"), read(b"b", b"240")
     both = one + other
     for cut in range(len(one) + 1, len(both)):
@@ -148,18 +152,18 @@
 
 
 @pytest.mark.parametrize("info", MALFORMED)
-def test_a_missing_or_malformed_timeout_is_reported_as_such(info: bytes) -> None:
+def test_missing_or_malformed_timeout_is_reported_as_none(info: bytes) -> None:
     node, store = command(b"KV.GET", b"key", b"q", info), to_store("GET", b"q", info)
-    assert [each.timeout_ms for each in reported(start_node, node)] == [None]
-    assert [each.timeout_ms for each in reported(start_store, store)] == [None]
+    assert [report.timeout_ms for report in reported(start_node, node)] == [None]
+    assert [report.timeout_ms for report in reported(start_store, store)] == [None]
 
 
-def test_a_store_request_without_any_list_is_reported() -> None:
+def test_store_request_without_info_header_is_reported() -> None:
     bare = http.request("GET", "/key", "store:1", b"Request-Id: q\r\n")
-    assert [each.timeout_ms for each in reported(start_store, bare)] == [None]
+    assert [report.timeout_ms for report in reported(start_store, bare)] == [None]
 
 
-def test_probes_advertise_nothing() -> None:
+def test_probes_report_no_timeout() -> None:
     assert reported(start_node, command(b"PING") + command(b"INFO", b"load")) == []
     assert reported(start_store, http.request("GET", "/health/live", "store:1")) == []
 
@@ -167,10 +171,10 @@
 @pytest.mark.parametrize(
     ("info", "timeout"), [(b"d=0", 0), (b"c=x,d=17", 17), (b"d=999999999,k=3", 999999999)]
 )
-def test_a_timeout_is_read_wherever_it_stands(info: bytes, timeout: int) -> None:
+def test_timeout_is_parsed_at_any_position(info: bytes, timeout: int) -> None:
     assert read_advertised_timeout(info) == timeout
 
 
-def test_a_name_that_only_ends_alike_is_no_timeout() -> None:
+def test_names_ending_in_d_and_too_many_digits_are_rejected() -> None:
     assert read_advertised_timeout(b"c=read,id=5,bd=7") is None
     assert read_advertised_timeout(b"d=1234567890") is None
--- a/tests/simulation/test_rehearsal.py
+++ b/tests/simulation/test_rehearsal.py
@@ -24,7 +24,7 @@
 from pebblepass.daemon.router import RouterHost
 from pebblepass.decisions.interface import Send, ServerState
 from pebblepass.discovery.endpoint_list import EndpointList
-from pebblepass.emulators.ports import BLOCK, FIRST, PortBlock
+from pebblepass.emulators.ports import BLOCK_SIZE, FIRST_PORT, PortBlock
 from pebblepass.simulation import runner
 from pebblepass.simulation.plan import make_plan
 from pebblepass.simulation.report import as_json, compare, verdict
@@ -349,9 +349,9 @@
     both = [
         subprocess.Popen(command, cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE) for _ in range(2)
     ]
-    blocks = {(int(p.stdout.readline()) - FIRST) // BLOCK for p in both if p.stdout is not None}
+    blocks = {(int(p.stdout.readline()) - FIRST_PORT) // BLOCK_SIZE for p in both if p.stdout is not None}
     mine = PortBlock()
-    assert len({*blocks, (mine.take() - FIRST) // BLOCK}) == 3
+    assert len({*blocks, (mine.take() - FIRST_PORT) // BLOCK_SIZE}) == 3
     for process in both:
         process.communicate(b"\n", timeout=LIMIT_S)
 
