--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -56,7 +56,7 @@
         try:
             for router in site.names:
                 site.start(router)
-            site.wait(1)
+            site.wait_for_version(1)
             took: dict[str, list[float]] = {"in force at all heard": [], "first after a kill": []}
             version, down = 1, site.voters[chosen.voters - chosen.down :]
             for number in range(chosen.changes):
@@ -73,7 +73,7 @@
                 for router in down if killed else ():
                     site.start(router)
                 if killed:
-                    site.wait(version)
+                    site.wait_for_version(version)
             syncs = sync_ms(folder, 300)
         finally:
             site.close()
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -78,8 +78,8 @@
     try:
         for name, checkout in zip(made.names, checkouts, strict=True):
             start(made, name, checkout)
-        made.wait(1)
-        made.load()
+        made.wait_for_version(1)
+        made.start_clients()
         yield made
         check_logs(made)
     finally:
@@ -106,13 +106,13 @@
     verdict = running.propose(name, f"change-{number}", CHANGES[number])
     expect(verdict is not None and verdict["state"] == "in force", f"proposed at {name}: {verdict}")
     version = int(verdict["version"])
-    running.wait(version)
+    running.wait_for_version(version)
     return version
 
 
 def histories(running: Site) -> list[Any]:
     """What each router holds as decided."""
-    return [running.ask(name, "GET", "history") for name in running.names]
+    return [running.control_request(name, "GET", "history") for name in running.names]
 
 
 def check_same_history(running: Site, version: int) -> None:
@@ -126,7 +126,7 @@
     """Wait until every router holds a part of the quota from every voter."""
 
     def granted(name: str) -> bool:
-        told = running.ask(name, "GET", "status")["shares"]
+        told = running.control_request(name, "GET", "status")["shares"]
         return bool(told["on"]) and set(told["of"]) == set(running.voters) and not told["why"]
 
     for name in running.names:
@@ -143,7 +143,7 @@
             running.signal(name, signal.SIGKILL)
         for name in running.names:
             start(running, name, reader)
-        running.wait(version)
+        running.wait_for_version(version)
         expect(histories(running) == before, "the history is another one")
         check_same_history(running, version)
     return f"version {version} in force again, {len(before[0])} versions in the history of each voter"
--- a/pebblepass/fault_injection/__init__.py
+++ b/pebblepass/fault_injection/__init__.py
@@ -1,1 +1,1 @@
-"""Trials: routers that fail together. Schedules on a virtual clock, every order, processes, and checkers."""
+"""Fault injection: simulated and real fleets with faults, and checks of their histories."""
--- a/pebblepass/fault_injection/checkers.py
+++ b/pebblepass/fault_injection/checkers.py
@@ -1,4 +1,4 @@
-"""What must hold of a history. Nothing here knows how the routers come to it."""
+"""Checks of a trial's history; they don't depend on the routers' implementation."""
 
 from __future__ import annotations
 
@@ -9,135 +9,139 @@
 from pebblepass.fault_injection.history import Event
 
 
-class Broken(Struct, frozen=True):
-    """A check that did not hold, and the shortest part of the history that shows it."""
+class Violation(Struct, frozen=True):
+    """A failed check, with the events that prove it."""
 
     check: str
-    line: str
-    shown: tuple[Event, ...]
+    message: str
+    evidence: tuple[Event, ...]
 
 
-Check = Callable[[Sequence[Event]], Iterator[Broken]]
+Check = Callable[[Sequence[Event]], Iterator[Violation]]
 
 
-def one_outcome(events: Sequence[Event]) -> Iterator[Broken]:
-    """A version is decided once, alike everywhere; what was told refused is never decided."""
+def one_outcome(events: Sequence[Event]) -> Iterator[Violation]:
+    """A version is decided once, with one value on all routers; a refused change is never decided."""
     decided: dict[int, Event] = {}
     by_change: dict[str, Event] = {}
     for event in events:
-        if event.what == "decided":
+        if event.kind == "decided":
             first = decided.setdefault(event.version, event)
-            if (first.change, first.told) != (event.change, event.told):
+            if (first.change, first.detail) != (event.change, event.detail):
                 here, there = f"{first.change} at {first.router}", f"{event.change} at {event.router}"
-                line = f"version {event.version} is {here}, {there}"
-                yield Broken("one outcome", line, (first, event))
+                message = f"version {event.version} is {here}, {there}"
+                yield Violation("one outcome", message, (first, event))
             by_change.setdefault(event.change, event)
     for event in events:
-        if event.what == "verdict" and event.told == "refused" and event.change in by_change:
-            line = f"{event.change} was told refused, and is version {by_change[event.change].version}"
-            yield Broken("one outcome", line, (event, by_change[event.change]))
+        if event.kind == "verdict" and event.detail == "refused" and event.change in by_change:
+            message = f"{event.change} was refused, but is version {by_change[event.change].version}"
+            yield Violation("one outcome", message, (event, by_change[event.change]))
 
 
-def everywhere_or_nowhere(events: Sequence[Event]) -> Iterator[Broken]:
-    """After the first request admitted under a version none is under an older one, or an open one."""
+def single_version_in_force(events: Sequence[Event]) -> Iterator[Violation]:
+    """After the first admission under a version, none is under an older or an undecided version."""
     newest: Event | None = None
     decided: set[int] = set()
     for event in events:
-        if event.what == "decided":
+        if event.kind == "decided":
             decided.add(event.version)
-        elif event.what == "admit":
+        elif event.kind == "admit":
             if newest is not None and event.version < newest.version:
                 late = (event.at - newest.at) / 1e6
-                line = f"{event.router} admits under {event.version}, {late:.1f} ms after {newest.version}"
-                yield Broken("everywhere or nowhere", line, (newest, event))
+                message = f"{event.router} admits under {event.version}, {late:.1f} ms after {newest.version}"
+                yield Violation("everywhere or nowhere", message, (newest, event))
             elif newest is None or event.version > newest.version:
                 newest = event
             if event.version not in decided:
-                line = f"{event.router} admits under {event.version}, which is not decided"
-                yield Broken("everywhere or nowhere", line, (event,))
+                message = f"{event.router} admits under {event.version}, which is not decided"
+                yield Violation("everywhere or nowhere", message, (event,))
 
 
-def promises_kept(events: Sequence[Event]) -> Iterator[Broken]:
-    """A disk that has promised a round takes part in no lower one, and forgets nothing that it accepted."""
+def promises_kept(events: Sequence[Event]) -> Iterator[Violation]:
+    """A disk votes in no round below the one that it promised, and keeps what it accepted."""
     promised: dict[tuple[str, int], Event] = {}
     accepted: dict[tuple[str, int], Event] = {}
     for event in events:
-        if event.what not in ("promised", "accepted") or event.ballot is None:
+        if event.kind not in ("promised", "accepted") or event.ballot is None:
             continue
         key = (event.disk, event.version)
-        before, took = promised.get(key), accepted.get(key)
-        if before is not None and before.ballot is not None and event.ballot < before.ballot:
-            line = f"{event.router} {event.what} round {event.ballot[0]}, and promised {before.ballot[0]}"
-            yield Broken("promises kept", line, (before, event))
-        if event.what == "promised" and took is not None and not event.told:
-            line = f"{event.router} forgot that it had accepted {took.change}"
-            yield Broken("promises kept", line, (took, event))
+        promised_before, accepted_before = promised.get(key), accepted.get(key)
+        if (
+            promised_before is not None
+            and promised_before.ballot is not None
+            and event.ballot < promised_before.ballot
+        ):
+            message = f"{event.router} {event.kind} round {event.ballot[0]} below {promised_before.ballot[0]}"
+            yield Violation("promises kept", message, (promised_before, event))
+        if event.kind == "promised" and accepted_before is not None and not event.detail:
+            message = f"{event.router} forgot that it had accepted {accepted_before.change}"
+            yield Violation("promises kept", message, (accepted_before, event))
         promised[key] = event
-        if event.what == "accepted":
+        if event.kind == "accepted":
             accepted[key] = event
 
 
-def in_order(events: Sequence[Event]) -> Iterator[Broken]:
-    """A change that is proposed after another's verdict gets a later version."""
-    begun: dict[str, Event] = {}
-    ended: list[Event] = []
+def versions_in_order(events: Sequence[Event]) -> Iterator[Violation]:
+    """A change that is proposed after the verdict on another one gets a later version."""
+    proposals: dict[str, Event] = {}
+    concluded: list[Event] = []
     for event in events:
-        if event.what == "proposed":
-            begun.setdefault(event.change, event)
-        elif event.what == "verdict" and event.told == "in force" and event.version:
-            mine = begun.get(event.change)
-            for other in ended:
-                if mine is not None and other.at < mine.at and other.version >= event.version:
-                    line = f"{event.change} came after {other.change} had ended, and is not the later version"
-                    yield Broken("in order", line, (other, mine, event))
-            ended.append(event)
-
-
-def within_the_quota(events: Sequence[Event]) -> Iterator[Broken]:
-    """At no time may all routers together admit more beyond their floors than the version in force has."""
-    whole: dict[int, float] = {}
-    held: dict[str, Event] = {}
-    for at, event in enumerate(events):
-        if event.what == "decided" and event.amount:
-            whole.setdefault(event.version, event.amount)
-        if event.what != "share":
+        if event.kind == "proposed":
+            proposals.setdefault(event.change, event)
+        elif event.kind == "verdict" and event.detail == "in force" and event.version:
+            proposal = proposals.get(event.change)
+            for other in concluded:
+                if proposal is not None and other.at < proposal.at and other.version >= event.version:
+                    message = f"{event.change} follows {other.change}, but its version is not later"
+                    yield Violation("in order", message, (other, proposal, event))
+            concluded.append(event)
+
+
+def within_quota(events: Sequence[Event]) -> Iterator[Violation]:
+    """At any time the routers' rates above their floors add up to no more than the version allows."""
+    quota_by_version: dict[int, float] = {}
+    share_by_router: dict[str, Event] = {}
+    for index, event in enumerate(events):
+        if event.kind == "decided" and event.amount:
+            quota_by_version.setdefault(event.version, event.amount)
+        if event.kind != "share":
             continue
-        held[event.router] = event
-        if at + 1 < len(events) and events[at + 1].at == event.at and events[at + 1].what == "share":
-            continue  # what is seen at one time counts together
-        now = [each for each in held.values() if each.until >= event.at and each.amount > 0]
-        total = sum(each.amount for each in now)
-        least = min((whole.get(each.version, 0.0) for each in now), default=0.0)
-        if total > least * (1 + ROUNDING) + ROUNDING:
-            by = ", ".join(f"{each.router} {each.amount:.3g}" for each in now)
-            line = f"{total:.4g} a second beyond the floors, of {least:.4g}: {by}"
-            yield Broken("within the quota", line, tuple(now))
-
-
-def within_the_clients_time(events: Sequence[Event]) -> Iterator[Broken]:
-    """No attempt advertises more time than its client has left when it is written."""
+        share_by_router[event.router] = event
+        if index + 1 < len(events) and events[index + 1].at == event.at and events[index + 1].kind == "share":
+            continue  # samples of one time are counted together
+        valid = [share for share in share_by_router.values() if share.until >= event.at and share.amount > 0]
+        total = sum(share.amount for share in valid)
+        limit = min((quota_by_version.get(share.version, 0.0) for share in valid), default=0.0)
+        if total > limit * (1 + ROUNDING) + ROUNDING:
+            rates = ", ".join(f"{share.router} {share.amount:.3g}" for share in valid)
+            message = f"{total:.4g} fetches per second above the floors, limit {limit:.4g}: {rates}"
+            yield Violation("within the quota", message, tuple(valid))
+
+
+def within_client_deadline(events: Sequence[Event]) -> Iterator[Violation]:
+    """No attempt advertises more time than its client has left when the attempt is written."""
     for event in events:
-        if event.what != "advertised":
+        if event.kind != "advertised":
             continue
         left_ms = (event.until - event.at) / 1e6
         if event.amount < 0 or event.amount > left_ms:
             advertised = f"{event.amount:.0f} ms" if event.amount >= 0 else "no timeout"
-            line = f"{event.router}: {event.told} advertised {advertised} with {left_ms:.3f} ms left"
-            yield Broken("within the client's time", line, (event,))
+            message = f"{event.router}: {event.detail} advertised {advertised} with {left_ms:.3f} ms left"
+            yield Violation("within the client's time", message, (event,))
 
 
-ROUNDING = 1e-6
+ROUNDING = 1e-6  # relative and absolute tolerance of sums of floats
 CHECKS: tuple[Check, ...] = (
     one_outcome,
-    everywhere_or_nowhere,
+    single_version_in_force,
     promises_kept,
-    in_order,
-    within_the_quota,
-    within_the_clients_time,
+    versions_in_order,
+    within_quota,
+    within_client_deadline,
 )
 
 
-def check_all(events: Sequence[Event]) -> list[Broken]:
-    """All that does not hold of a history, each check's first."""
+def check_all(events: Sequence[Event]) -> list[Violation]:
+    """Return the first violation of each check."""
     found = [next(check(events), None) for check in CHECKS]
-    return [broken for broken in found if broken is not None]
+    return [violation for violation in found if violation is not None]
--- a/pebblepass/fault_injection/relay.py
+++ b/pebblepass/fault_injection/relay.py
@@ -1,4 +1,4 @@
-"""A relay between every two routers: what one sends another passes it, and can be cut, one way or both."""
+"""TCP relays between every pair of routers, which can cut or delay each direction."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 LOOPBACK = "127.0.0.1"
 
 
-class Relays:
-    """A listener for each ordered pair, in a thread of its own; bytes pass unless the pair is cut.
+class LinkRelays:
+    """One listener per ordered pair, served by one thread; bytes are relayed unless the pair is cut.
 
-    A cut is silent, as a network's is: bytes are swallowed and nobody is told; what was under way stays lost,
-    since a link whose bytes have a gap is closed once the cut is mended.
+    A cut drops bytes without an error, as a network partition does. A connection that lost bytes is closed
+    by the next data after the link is restored, since its stream has a gap.
     """
 
     def __init__(self, targets: dict[str, int], sources: Iterable[str] | None = None) -> None:
-        """`targets`: the routers and the ports that they listen at; `sources`: who dials, if not the same.
+        """`targets`: each router's listening port; `sources`: who connects (default: the same routers).
 
-        A source may be a place, such as a zone, whose routers all dial the same listeners.
+        A source may be a group, such as a zone, whose routers all connect to the same listeners.
         """
         self._targets = targets
         self._selector = selectors.DefaultSelector()
         self._listeners: dict[tuple[str, str], socket.socket] = {}
         self._cut: set[tuple[str, str]] = set()
-        self._holes: set[socket.socket] = set()
+        self._gapped: set[socket.socket] = set()
         self._delays: dict[tuple[str, str], float] = {}
-        self._late: list[tuple[float, int, socket.socket, bytes]] = []
-        self._count = 0  # of what is late: bytes that are due at one time leave in their order
+        self._delayed: list[tuple[float, int, socket.socket, bytes]] = []
+        self._count = 0  # orders delayed bytes that are due at the same time
         self._lock = threading.Lock()
         self._closed = False
         for source in targets if sources is None else sources:
@@ -44,29 +44,29 @@
         self._thread.start()
 
     def port(self, source: str, to: str) -> int:
-        """Where one router reaches another."""
+        """The port at which `source` reaches `to`."""
         return int(self._listeners[source, to].getsockname()[1])
 
     def cut(self, *links: tuple[str, str]) -> None:
-        """From now on nothing passes from the first of each pair to the second."""
+        """Drop all bytes from the first of each pair to the second."""
         with self._lock:
             self._cut |= set(links)
 
-    def mend(self) -> None:
-        """Everything passes again."""
+    def restore(self) -> None:
+        """Relay all links again."""
         with self._lock:
             self._cut.clear()
 
     def delay(self, seconds: float, *links: tuple[str, str]) -> None:
-        """From now on what the first of each pair sends the second arrives so much later; in order still.
+        """Delay bytes from the first of each pair to the second; their order is kept.
 
-        Before the pair is used: a shorter delay would let later bytes overtake earlier ones.
+        Call this before the pair is used: with a shorter delay later bytes would overtake earlier ones.
         """
         with self._lock:
             self._delays.update(dict.fromkeys(links, seconds))
 
     def close(self) -> None:
-        """End."""
+        """Stop the thread and close all sockets."""
         self._closed = True
         self._thread.join()
         for key in list(self._selector.get_map().values()):
@@ -76,36 +76,36 @@
 
     def _run(self) -> None:
         while not self._closed:
-            wait = min(self._late[0][0] - time.monotonic(), 0.05) if self._late else 0.05
+            wait = min(self._delayed[0][0] - time.monotonic(), 0.05) if self._delayed else 0.05
             for key, _ in self._selector.select(max(wait, 0.0)):
                 sock = key.fileobj
                 assert isinstance(sock, socket.socket)
                 if key.data[0] == "listen":
                     self._accept(sock, key.data[1], key.data[2])
                 else:
-                    self._pass(sock, *key.data[1:])
-            while self._late and self._late[0][0] <= time.monotonic():
-                _, _, other, data = heapq.heappop(self._late)
-                # A side that has gone meanwhile is closed where its end is read.
+                    self._relay(sock, *key.data[1:])
+            while self._delayed and self._delayed[0][0] <= time.monotonic():
+                _, _, peer, data = heapq.heappop(self._delayed)
+                # A peer that has closed meanwhile is handled when its end of stream is read.
                 with contextlib.suppress(OSError):
-                    other.settimeout(1.0)
-                    other.sendall(data)
+                    peer.settimeout(1.0)
+                    peer.sendall(data)
 
     def _accept(self, listener: socket.socket, source: str, to: str) -> None:
         with contextlib.suppress(OSError):
-            here, _ = listener.accept()
+            accepted, _ = listener.accept()
             try:
-                there = socket.create_connection((LOOPBACK, self._targets[to]), 1.0)
+                connected = socket.create_connection((LOOPBACK, self._targets[to]), 1.0)
             except OSError:
-                here.close()
+                accepted.close()
                 return
-            for each in (here, there):
-                # Else each small message waits 40 ms for the acknowledgement of the one before.
-                each.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self._selector.register(here, selectors.EVENT_READ, ("pass", there, source, to))
-            self._selector.register(there, selectors.EVENT_READ, ("pass", here, to, source))
+            for side in (accepted, connected):
+                # Without this each small message waits 40 ms for the acknowledgement of the previous one.
+                side.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            self._selector.register(accepted, selectors.EVENT_READ, ("pass", connected, source, to))
+            self._selector.register(connected, selectors.EVENT_READ, ("pass", accepted, to, source))
 
-    def _pass(self, sock: socket.socket, other: socket.socket, source: str, to: str) -> None:
+    def _relay(self, sock: socket.socket, peer: socket.socket, source: str, to: str) -> None:
         try:
             data = sock.recv(1 << 16)
         except OSError:
@@ -114,21 +114,21 @@
             cut = (source, to) in self._cut
             delay = self._delays.get((source, to), 0.0)
         if data and cut:
-            self._holes.add(sock)
+            self._gapped.add(sock)
             return
-        if data and delay and sock not in self._holes:
+        if data and delay and sock not in self._gapped:
             self._count += 1
-            heapq.heappush(self._late, (time.monotonic() + delay, self._count, other, data))
+            heapq.heappush(self._delayed, (time.monotonic() + delay, self._count, peer, data))
             return
-        if data and sock not in self._holes:
+        if data and sock not in self._gapped:
             try:
-                other.settimeout(1.0)
-                other.sendall(data)
+                peer.settimeout(1.0)
+                peer.sendall(data)
                 return
             except OSError:
                 pass
-        for each in (sock, other):
-            self._holes.discard(each)
+        for side in (sock, peer):
+            self._gapped.discard(side)
             with contextlib.suppress(KeyError, ValueError):
-                self._selector.unregister(each)
-            each.close()
+                self._selector.unregister(side)
+            side.close()
--- a/pebblepass/fault_injection/scenarios.py
+++ b/pebblepass/fault_injection/scenarios.py
@@ -1,4 +1,4 @@
-"""The schedules that ship, by name."""
+"""The built-in schedules, by name, with a description each."""
 
 from __future__ import annotations
 
@@ -6,50 +6,62 @@
 
 SCENARIOS: dict[str, tuple[str, Plan]] = {
     "policy": ("seven routers; kills, pauses and cuts while the policy changes", Plan()),
-    "lost-disks": ("two of seven come back with an empty disk", Plan(empty_disks=2, kills=2)),
-    "old-disks": ("two of seven come back with an older copy of their disk", Plan(old_disks=2, kills=2)),
-    "voters": ("other voters, an empty disk", Plan(member_changes=True, kills=2, empty_disks=1)),
-    "three": ("three voters and a router that does not vote", Plan(4, 3, kills=3, cuts=3, changes=6)),
-    "fierce": ("everything at once", Plan(kills=8, cuts=5, pauses=5, losses=0.15, changes=8)),
+    "lost-disks": ("two of seven routers restart with an empty disk", Plan(empty_disks=2, kills=2)),
+    "old-disks": (
+        "two of seven routers restart with an older copy of their disk",
+        Plan(old_disks=2, kills=2),
+    ),
+    "voters": ("changes of the voters, and an empty disk", Plan(member_changes=True, kills=2, empty_disks=1)),
+    "three": ("three voters and one router that is not a voter", Plan(4, 3, kills=3, cuts=3, changes=6)),
+    "fierce": ("many faults of every kind at once", Plan(kills=8, cuts=5, pauses=5, losses=0.15, changes=8)),
     "steps": (
-        "routers killed right after a promise, an acceptance or a decision",
-        Plan(4, 3, trips=0.05, kills=0, changes=6, quick=True),
+        "routers killed right after they send a promise, an acceptance or a decision",
+        Plan(4, 3, step_kills=0.05, kills=0, changes=6, quick_restarts=True),
     ),
     "blackouts": (
-        "more than half killed in one moment, four times",
-        Plan(kills=0, blackouts=4, quick=True, cuts=4),
+        "more than half of the routers killed at once, four times",
+        Plan(kills=0, blackouts=4, quick_restarts=True, cuts=4),
     ),
     "rivals": (
-        "voters and policy changed at the same time, down to one voter",
+        "concurrent changes of voters and policy, down to one voter",
         Plan(
             5,
             5,
             10.0,
             member_changes=True,
             least_voters=1,
-            trips=0.02,
+            step_kills=0.02,
             changes=8,
             kills=0,
-            quick=True,
+            quick_restarts=True,
             cuts=5,
         ),
     ),
     "frail": (
-        "three routers, an empty disk, and kills at every step",
-        Plan(3, 3, trips=0.03, empty_disks=1, changes=8, quick=True, cuts=4),
+        "three routers, an empty disk, and kills at any step of a change",
+        Plan(3, 3, step_kills=0.03, empty_disks=1, changes=8, quick_restarts=True, cuts=4),
     ),
     "shares": (
-        "five routers, three of them voters, split the quota by what they fetch; kills, pauses and cuts",
+        "five routers, three of them voters, split the quota by demand; kills, pauses and cuts",
         Plan(5, 3, 14.0, shares=0.9, changes=3, kills=4, pauses=3, cuts=4, losses=0.1, admissions_per_s=10.0),
     ),
     "shares-quick": (
-        "as shares; those that are killed are back at once",
+        "as shares; killed routers restart at once",
         Plan(
-            5, 3, 12.0, shares=0.9, changes=2, kills=6, cuts=5, losses=0.1, quick=True, admissions_per_s=10.0
+            5,
+            3,
+            12.0,
+            shares=0.9,
+            changes=2,
+            kills=6,
+            cuts=5,
+            losses=0.1,
+            quick_restarts=True,
+            admissions_per_s=10.0,
         ),
     ),
     "shares-deaf": (
-        "as shares; routers hear nothing for a while, and are heard",
+        "as shares; routers receive nothing for a while, but can send",
         Plan(
             5,
             3,
@@ -71,7 +83,7 @@
         ),
     ),
     "shares-fierce": (
-        "as shares, with other voters, lost disks and kills at every step",
+        "as shares, with changes of the voters, lost disks and kills at any step of a change",
         Plan(
             5,
             4,
@@ -83,7 +95,7 @@
             pauses=4,
             empty_disks=1,
             member_changes=True,
-            trips=0.01,
+            step_kills=0.01,
             admissions_per_s=10.0,
         ),
     ),
--- a/pebblepass/fault_injection/schedule.py
+++ b/pebblepass/fault_injection/schedule.py
@@ -1,7 +1,8 @@
-"""A fleet's agreement without sockets, on a virtual clock: delays, losses, pauses and power losses by a seed.
+"""Simulates a fleet's consensus on a virtual clock without sockets, with faults drawn from a seed.
 
-The rules are the routers' own (`consensus.replica`), the files theirs too (`storage.log`) on a disk that
-loses power. The same seed gives the same history to the byte.
+Replicas (`consensus.replica`) and log files (`storage.log`) are the production code, on disks that lose
+power. The faults are message delays and losses, network cuts, pauses, kills and power losses. The same seed
+gives the same history, byte for byte.
 """
 
 from __future__ import annotations
@@ -32,23 +33,23 @@
 from pebblepass.consensus.records import read_record
 from pebblepass.consensus.replica import Replica
 from pebblepass.consensus.setup import ReplicaSetup, genesis
-from pebblepass.fault_injection.broken import Variant
-from pebblepass.fault_injection.disk import PowerDisk
+from pebblepass.fault_injection.disk import PowerLossDisk
 from pebblepass.fault_injection.history import Event
+from pebblepass.fault_injection.variants import Variant
 from pebblepass.storage.frames import FileHeader, StorageError
 from pebblepass.storage.log import Log
 
 MS = 1_000_000
-QUOTA, FLOOR_SHARE = 100.0, 0.25  # of the one namespace, a second
+QUOTA, FLOOR_SHARE = 100.0, 0.25  # the only namespace's quota per second, and the part of it for the floors
 NAMESPACE = "acme"
-TURN_S, WANTED = 3.0, 3.0  # after which others want the most; fetches a second for a weight of 1
-LOOK = 20 * MS  # from one look at what all routers may admit to the next
-START = 10_000_000_000  # a time that no clock starts from by chance
-HEAD = FileHeader("trial", 1, "fleet")
+TURN_S, DEMAND_PER_S = 3.0, 3.0  # how often the high demand moves to other routers; demand for a weight of 1
+SAMPLE_INTERVAL = 20 * MS  # between samples of what all routers may admit
+START = 10_000_000_000  # arbitrary; no clock starts at this time by default
+LOG_HEADER = FileHeader("trial", 1, "fleet")
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """What a schedule is made of; shares and seconds."""
+    """The parameters of a schedule: counts of faults, probabilities, and times in seconds."""
 
     routers: int = 7
     voters: int = 7
@@ -57,77 +58,77 @@
     drift: float = 0.1
     changes: int = 4
     losses: float = 0.05
-    """Of the messages."""
+    """The fraction of messages lost."""
     kills: int = 3
     pauses: int = 2
     cuts: int = 2
     empty_disks: int = 0
     old_disks: int = 0
     blackouts: int = 0
-    """More than half of the routers killed in one moment."""
-    trips: float = 0.0
-    """The chance that a router is killed right after it has sent a vote or a decision."""
-    quick: bool = False
-    """Whether those that were killed are back within a tenth of a lease."""
+    """Times that more than half of the routers are killed at once."""
+    step_kills: float = 0.0
+    """The probability that a router is killed right after it has sent a vote or a decision."""
+    quick_restarts: bool = False
+    """Whether killed routers restart within a tenth of a lease."""
     member_changes: bool = False
     least_voters: int = 3
     skew: float = 0.05
-    """By which part a clock runs fast, or slow."""
+    """The largest fraction by which a clock runs fast or slow."""
     slow_sync: float = 0.02
-    """The part of syncs that take up to 50 ms."""
+    """The fraction of syncs that take up to 50 ms."""
     admissions_per_s: float = 40.0
     quiet_s: float = 4.0
-    """At the end: everything is mended, and has to come back."""
+    """The time at the end without faults, in which the fleet has to recover."""
     shares: float = 0.0
-    """The part of changes whose policy splits the quota by shares; 0: none does, nor the first version."""
+    """The fraction of changes whose policy uses quota leases; unless 0, the first version uses them too."""
     deaf: int = 0
-    """Times that a router hears nothing for a while, and is heard."""
+    """Times that a router receives nothing for a while, but can send."""
 
 
 class Admitter:
-    """What a router admits under: the version and the time that it was told last."""
+    """A router's admission state: the version last activated and the end of its lease."""
 
     def __init__(self) -> None:
         self.version = self.until = self.share_until = 0
-        self.share = self.even = 0.0
+        self.share = self.even_share = 0.0
 
-    def told(self, action: PolicyActivated) -> None:
-        """A version, and until when."""
+    def activate(self, action: PolicyActivated) -> None:
+        """Take over a version, the end of its lease and the granted share."""
         self.version, self.until = action.value.version, action.until
         self.share, self.share_until = (
             dict(action.quota_leases).get(NAMESPACE, 0.0),
             action.quota_leases_until,
         )
         shares = action.value.policy.store.uses_leases
-        self.even = 0.0 if shares else shared(action.value) / len(action.value.fleet.members)
+        self.even_share = 0.0 if shares else rate_above_floors(action.value) / len(action.value.fleet.members)
 
-    def beyond(self, now: int) -> tuple[int, float]:
-        """Under which version it admits how much beyond its floor."""
+    def rate_above_floor(self, now: int) -> tuple[int, float]:
+        """The version it admits under and the rate that it admits above its floor."""
         version = self.admits(now)
-        return version, 0.0 if not version else self.even or self.share_now(now)
+        return version, 0.0 if not version else self.even_share or self.granted_share(now)
 
-    def share_now(self, now: int) -> float:
-        """What it holds by grants."""
+    def granted_share(self, now: int) -> float:
+        """The share granted by the voters; 0 once it has expired."""
         return self.share if now < self.share_until else 0.0
 
     def admits(self, now: int) -> int:
-        """Under which version a request is admitted now; 0: under none, at the floor."""
+        """The version under which a request is admitted now; 0: none, only the floor applies."""
         return self.version if now < self.until else 0
 
 
-def shared(value: m.Value) -> float:
-    """What a version has for all routers beyond their floors."""
+def rate_above_floors(value: m.Value) -> float:
+    """The rate that a version allows all routers together above their floors."""
     rate = value.policy.store.rate_per_s
     return (QUOTA if rate is None else min(QUOTA, rate)) - QUOTA * FLOOR_SHARE
 
 
 class Router:
-    """One router of a schedule: a process that runs, is paused or is down, and its disk."""
+    """A simulated router: a process that runs, is paused or is down, and its disk."""
 
-    def __init__(self, world: World, name: str, rate: float) -> None:
-        self.world, self.name, self.rate = world, name, rate
-        self.disk = PowerDisk()
-        self.images: list[PowerDisk] = []
+    def __init__(self, simulation: Simulation, name: str, rate: float) -> None:
+        self.simulation, self.name, self.rate = simulation, name, rate
+        self.disk = PowerLossDisk()
+        self.images: list[PowerLossDisk] = []
         self.replica: Replica | None = None
         self.admitter: Any = None
         self.paused_until = 0
@@ -136,44 +137,44 @@
         self._log: Log | None = None
         self._waiting: list[Write] = []
         self._writing = False
-        self._under_way: list[bytes] = []
+        self._unsynced: list[bytes] = []
         self._tick_at = 0
         self._backlog: list[Callable[[], None]] = []
 
     def now(self) -> int:
-        """Its own clock."""
-        return int(self.world.now * self.rate)
+        """The time of the router's own clock."""
+        return int(self.simulation.now * self.rate)
 
     def start(self) -> None:
-        """Start the process from what the disk holds."""
-        world = self.world
+        """Start the process with the content of its disk."""
+        simulation = self.simulation
         self.boots += 1
         boot = f"b{self.boots}"
-        self.admitter = world.variant.admitter(Admitter)()
+        self.admitter = simulation.variant.admitter(Admitter)()
         self._waiting, self._writing, self._backlog, self.paused_until = [], False, [], 0
-        self._under_way = []
-        self._log = world.variant.log(Log)(self.disk, "agreement", HEAD)
+        self._unsynced = []
+        self._log = simulation.variant.log(Log)(self.disk, "agreement", LOG_HEADER)
         try:
             raw = self._log.open()
         except StorageError as error:
-            world.record(self, "note", told=f"refused its log: {error}")
+            simulation.record(self, "note", detail=f"can't open its log: {error}")
             return
-        records = None if raw is None else [read_record(each) for each in raw]
+        records = None if raw is None else [read_record(record) for record in raw]
         setup = ReplicaSetup(
             self.name,
             boot,
-            world.terms,
-            world.genesis,
-            world.check(self.name),
-            f"{self.name}.{world.rng.randrange(1 << 30):x}"
-            if self.name in world.genesis.fleet.voters
+            simulation.terms,
+            simulation.genesis,
+            simulation.check(self.name),
+            f"{self.name}.{simulation.rng.randrange(1 << 30):x}"
+            if self.name in simulation.genesis.fleet.voters
             else "",
-            world.seed,
-            partial(world.pools, self.name),
+            simulation.seed,
+            partial(simulation.pools, self.name),
             self.demand,
         )
-        self.replica = world.variant.replica(Replica)(setup, records, self.now())
-        world.record(self, "started", disk=self.replica.disk.disk_id)
+        self.replica = simulation.variant.replica(Replica)(setup, records, self.now())
+        simulation.record(self, "started", disk=self.replica.disk.disk_id)
         if self.replica.decided.version:
             self._record_decided(self.replica.decided)
         if raw is None:
@@ -181,79 +182,83 @@
         self._carry_out(self.replica.start(self.now()))
 
     def demand(self) -> dict[str, int]:
-        """The fetches that it has wanted so far, by the world's clock."""
-        return {NAMESPACE: int(self.world.wanted(self.name))}
+        """The total demand for fetches so far, by the simulation's clock."""
+        return {NAMESPACE: int(self.simulation.total_demand(self.name))}
 
     def stop(self, power: bool) -> None:
-        """SIGKILL; with the power, what was not synced goes too."""
+        """Kill the process; `power`: with a power loss, which takes unsynced data."""
         if power:
-            if self._log is not None and self._under_way:
-                # On its way to the disk: some of it may be there, and some not.
-                self.disk.lies = True
+            if self._log is not None and self._unsynced:
+                # An unfinished write: any part of it may have reached the disk.
+                self.disk.ignores_sync = True
                 with suppress(OSError):
-                    self._log.append(self._under_way)
-                self.disk.lies = False
-            self.disk.lose_power(self.world.rng)
+                    self._log.append(self._unsynced)
+                self.disk.ignores_sync = False
+            self.disk.lose_power(self.simulation.rng)
         self.replica = None
 
     def pause(self, until: int) -> None:
-        """SIGSTOP, until a time of the world's clock."""
+        """Pause the process, as SIGSTOP does, until a time of the simulation's clock."""
         self.paused_until = until
 
     @property
     def runs(self) -> bool:
-        """Whether the process does anything now."""
-        return self.replica is not None and self.world.now >= self.paused_until
+        """Whether the process is up and not paused."""
+        return self.replica is not None and self.simulation.now >= self.paused_until
 
-    def do(self, work: Callable[[Replica], list[Action]]) -> None:
-        """Give the replica an event, now or once the process goes on."""
+    def dispatch(self, work: Callable[[Replica], list[Action]]) -> None:
+        """Pass an event to the replica, now or when the process resumes."""
         replica = self.replica
         if replica is None:
             return
         if not self.runs:
-            self._backlog.append(lambda: self.do(work))
+            self._backlog.append(lambda: self.dispatch(work))
             if len(self._backlog) == 1:
-                self.world.at(self.paused_until, self._go_on)
+                self.simulation.at(self.paused_until, self._resume)
             return
         self._carry_out(work(replica))
 
-    def _go_on(self) -> None:
+    def _resume(self) -> None:
         backlog, self._backlog = self._backlog, []
         for work in backlog:
             work()
 
     def admit(self) -> None:
-        """A request comes that the policy governs."""
+        """Record the admission of a request that the policy covers."""
         if self.runs and self.replica is not None:
             version = self.admitter.admits(self.now())
-            self.world.record(self, "admit" if version else "floor", version=version)
+            self.simulation.record(self, "admit" if version else "floor", version=version)
 
     def propose(self, proposal: m.Proposal) -> None:
-        """A person proposes here."""
+        """Propose a change at this router."""
         if self.runs:
-            self.world.record(self, "proposed", change=proposal.change_id)
-            self.do(lambda replica: replica.propose(proposal, self.now()))
+            self.simulation.record(self, "proposed", change=proposal.change_id)
+            self.dispatch(lambda replica: replica.propose(proposal, self.now()))
 
     def _carry_out(self, actions: list[Action]) -> None:
-        world = self.world
+        simulation = self.simulation
         for action in actions:
             match action:
                 case Send():
                     self._record_vote(action.message)
-                    world.send(self, action.to, action.message)
+                    simulation.send(self, action.to, action.message)
                     if isinstance(action.message.body, m.Promise | m.Accepted | m.Accept | m.VersionDecided):
-                        world.trip(self)
+                        simulation.maybe_kill_at_step(self)
                         if self.replica is None:
                             return
                 case Write():
                     self._waiting.append(action)
                     self._write()
                 case PolicyActivated():
-                    self.admitter.told(action)
+                    self.admitter.activate(action)
                 case ProposalConcluded():
                     verdict = action.verdict
-                    world.record(
-                        self, "verdict", version=verdict.version, change=verdict.change_id, told=verdict.state
+                    simulation.record(
+                        self,
+                        "verdict",
+                        version=verdict.version,
+                        change=verdict.change_id,
+                        detail=verdict.state,
                     )
                 case ChangeStep():
                     if action.event == "learned" and self.replica is not None:
@@ -262,50 +267,55 @@
 
     def _record_decided(self, value: m.Value) -> None:
         digest = f"{crc32c(m.encode(value)):08x}"
-        facts = {"amount": shared(value)} if self.world.plan.shares else {}
-        self.world.record(
-            self, "decided", version=value.version, change=value.change_id, told=digest, **facts
+        fields = {"amount": rate_above_floors(value)} if self.simulation.plan.shares else {}
+        self.simulation.record(
+            self, "decided", version=value.version, change=value.change_id, detail=digest, **fields
         )
 
     def _record_vote(self, message: m.Message) -> None:
         body, disk = message.body, message.sender.disk_id
         if isinstance(body, m.Promise):
-            told = body.value.change_id if body.value is not None else ""
-            self.world.record(
-                self, "promised", version=body.version, ballot=astuple(body.ballot), disk=disk, told=told
+            detail = body.value.change_id if body.value is not None else ""
+            self.simulation.record(
+                self, "promised", version=body.version, ballot=astuple(body.ballot), disk=disk, detail=detail
             )
         elif isinstance(body, m.Accepted):
             change = self.replica.acceptor.value if self.replica is not None else None
-            told = change.change_id if change is not None else ""
-            self.world.record(
-                self, "accepted", version=body.version, ballot=astuple(body.ballot), disk=disk, change=told
+            change_id = change.change_id if change is not None else ""
+            self.simulation.record(
+                self,
+                "accepted",
+                version=body.version,
+                ballot=astuple(body.ballot),
+                disk=disk,
+                change=change_id,
             )
 
     def _set_tick(self) -> None:
         if self.replica is None:
             return
         due = int(self.replica.due(self.now()) / self.rate) + 1
-        if self._tick_at <= self.world.now or due < self._tick_at:
-            self._tick_at = max(due, self.world.now + 1)
+        if self._tick_at <= self.simulation.now or due < self._tick_at:
+            self._tick_at = max(due, self.simulation.now + 1)
             at, replica = self._tick_at, self.replica
-            self.world.at(at, lambda: self._tick(at, replica))
+            self.simulation.at(at, lambda: self._tick(at, replica))
 
     def _tick(self, at: int, replica: Replica) -> None:
         if self.replica is replica and self._tick_at == at:
             self._tick_at = 0
-            self.do(lambda replica: replica.tick(self.now()))
+            self.dispatch(lambda replica: replica.tick(self.now()))
 
     def _write(self) -> None:
-        """As the routers' shell: all that waits goes in one sync, and one is under way at a time."""
+        """Write all waiting records with one sync; one write is pending at a time, as in the service."""
         if self._writing or not self._waiting or self._log is None or self.replica is None:
             return
         self._writing = True
         batch, self._waiting = self._waiting, []
         log, replica = self._log, self.replica
         snapshot = m.encode(replica.snapshot()) if log.needs_snapshot else None
-        took = self.world.sync_time()
-        self._under_way = [m.encode(record) for write in batch for record in write.records]
-        records = self._under_way
+        sync_time = self.simulation.sync_time()
+        self._unsynced = [m.encode(record) for write in batch for record in write.records]
+        records = self._unsynced
 
         def done() -> None:
             if self.replica is not replica:
@@ -317,10 +327,10 @@
                     log.append(records)
             except OSError:
                 self._waiting = batch + self._waiting
-                self.world.at(self.world.now + 100 * MS, retry)
+                self.simulation.at(self.simulation.now + 100 * MS, retry)
                 return
-            self._writing, self._under_way = False, []
-            self.do(lambda replica: replica.written(batch[-1].token, self.now()))
+            self._writing, self._unsynced = False, []
+            self.dispatch(lambda replica: replica.written(batch[-1].token, self.now()))
             self._write()
 
         def retry() -> None:
@@ -328,12 +338,12 @@
                 self._writing = False
                 self._write()
 
-        # What is written and not synced is on its way to the disk: a power loss may keep it, or tear it.
-        self.world.at(self.world.now + took, done)
+        # Until `done` the records are unsynced: a power loss may keep them, lose them or tear them.
+        self.simulation.at(self.simulation.now + sync_time, done)
 
 
-class World:
-    """The clock, the network and the routers."""
+class Simulation:
+    """The simulated clock, network and routers."""
 
     def __init__(self, plan: Plan, seed: int, variant: Variant) -> None:
         self.plan, self.seed, self.variant = plan, seed, variant
@@ -349,16 +359,16 @@
         if plan.shares:
             policy = Policy(StorePolicy(uses_leases=True))
             self.genesis = msgspec.structs.replace(self.genesis, policy=policy)
-        self.refuses: set[str] = set()
+        self.refusing: set[str] = set()
         self.cut: set[tuple[str, str]] = set()
         self.losses = plan.losses
-        self.busy_until = START + int((plan.length_s - plan.quiet_s) * 1e9)
+        self.faults_end = START + int((plan.length_s - plan.quiet_s) * 1e9)
         self.routers = {
             name: Router(self, name, 1 + self.rng.uniform(-plan.skew, plan.skew)) for name in names
         }
 
     def pools(self, name: str, policy: Policy, members: int) -> dict[str, QuotaPool]:
-        """What there is to share; the floors are set aside for every replica."""
+        """The quota pools of a policy; the floors are set aside for every member."""
         if not policy.store.uses_leases:
             return {}
         rate = policy.store.rate_per_s
@@ -366,36 +376,36 @@
         floor = QUOTA * FLOOR_SHARE / self.plan.routers
         return {NAMESPACE: QuotaPool(quota - floor * members, floor)}
 
-    def wanted(self, name: str) -> float:
-        """A router's fetches so far: some want far more than others, and who does changes now and then."""
+    def total_demand(self, name: str) -> float:
+        """A router's total demand so far; it is uneven, and high demand moves to others every `TURN_S`."""
         number, (turns, rest) = int(name[1:]), divmod((self.now - START) / 1e9, TURN_S)
         weights = (1 + number * number, 1 + (self.plan.routers - number) ** 2)
-        whole = (weights[0] + weights[1]) * (turns // 2) + weights[0] * (turns % 2)
-        return float(WANTED * (whole * TURN_S + weights[int(turns % 2)] * rest))
+        total_weight = (weights[0] + weights[1]) * (turns // 2) + weights[0] * (turns % 2)
+        return float(DEMAND_PER_S * (total_weight * TURN_S + weights[int(turns % 2)] * rest))
 
-    def look(self) -> None:
-        """See what all that run may admit at this moment, all together."""
+    def sample_shares(self) -> None:
+        """Record what each running router may admit at this time, and schedule the next sample."""
         for router in self.routers.values():
             if router.runs:
-                version, amount = router.admitter.beyond(router.now())
+                version, amount = router.admitter.rate_above_floor(router.now())
                 self.record(router, "share", version=version, amount=amount, until=self.now)
-        self.at(self.now + LOOK, self.look)
+        self.at(self.now + SAMPLE_INTERVAL, self.sample_shares)
 
     def check(self, name: str) -> Callable[[Policy, Policy], str]:
-        """What a router says of a policy: no, where the schedule has it refuse."""
-        return lambda before, after: "unknown namespace" if name in self.refuses and before != after else ""
+        """Return a router's policy check, which fails if the schedule makes the router refuse."""
+        return lambda before, after: "unknown namespace" if name in self.refusing and before != after else ""
 
-    def record(self, router: Router, what: str, **facts: Any) -> None:
-        """Add to the history."""
-        self.events.append(Event(self.now, router.name, what, **facts))
+    def record(self, router: Router, kind: str, **fields: Any) -> None:
+        """Append an event to the history."""
+        self.events.append(Event(self.now, router.name, kind, **fields))
 
     def at(self, time: int, work: Callable[[], None]) -> None:
-        """Do something at a time."""
+        """Schedule a callback for a time."""
         self._number += 1
         heappush(self._queue, (max(time, self.now), self._number, work))
 
     def send(self, source: Router, to: str, message: m.Message) -> None:
-        """Carry a message, or lose it."""
+        """Deliver a message after a random delay, or lose it."""
         self.messages += 1
         router = self.routers.get(to)
         if router is None or (source.name, to) in self.cut or self.rng.random() < self.losses:
@@ -405,29 +415,29 @@
 
         def arrive() -> None:
             if (source.name, to) not in self.cut:
-                router.do(lambda replica: replica.received(message, router.now()))
+                router.dispatch(lambda replica: replica.received(message, router.now()))
 
         self.at(self.now + delay, arrive)
 
-    def trip(self, router: Router) -> None:
-        """A step of a change has been made: its router may be killed at it."""
-        if self.now < self.busy_until and self.rng.random() < self.plan.trips:
+    def maybe_kill_at_step(self, router: Router) -> None:
+        """Kill a router after a step of a change, with the plan's probability."""
+        if self.now < self.faults_end and self.rng.random() < self.plan.step_kills:
             _kill(self, router, "")
 
     def sync_time(self) -> int:
-        """How long the next sync takes."""
+        """Draw the duration of the next sync."""
         slow = self.rng.random() < self.plan.slow_sync
         return int(self.rng.uniform(0.2, 50 if slow else 3) * MS)
 
     def run_until(self, time: int) -> None:
-        """Play on."""
+        """Run all events up to a time."""
         while self._queue and self._queue[0][0] <= time:
             self.now, _, work = heappop(self._queue)
             work()
         self.now = max(self.now, time)
 
-    def stop_admissions(self, until: int) -> None:
-        """Draw the requests that come until then, at all routers."""
+    def schedule_admissions(self, until: int) -> None:
+        """Draw the requests of all routers up to a time."""
         gap = 1e9 / self.plan.admissions_per_s
         for router in self.routers.values():
             at = self.now + self.rng.uniform(0, gap)
@@ -437,160 +447,162 @@
 
 
 def proposal(number: int, rng: random.Random) -> m.Proposal:
-    """A change of the store's rate; its reason is long, so that a record spans sectors."""
-    why = f"trial {number} " + "".join(rng.choice("abcdefgh") for _ in range(rng.choice((0, 900))))
-    return m.Proposal(f"c{number}", "trial", why, Policy(StorePolicy(rate_per_s=100.0 + number)))
+    """A change of the store's rate; some have a long reason, so that a record spans sectors."""
+    reason = f"trial {number} " + "".join(rng.choice("abcdefgh") for _ in range(rng.choice((0, 900))))
+    return m.Proposal(f"c{number}", "trial", reason, Policy(StorePolicy(rate_per_s=100.0 + number)))
 
 
-def shared_proposal(number: int, rng: random.Random, share: float) -> m.Proposal:
-    """A change of the store's rate, most of them with shares."""
+def quota_lease_proposal(number: int, rng: random.Random, share: float) -> m.Proposal:
+    """A change of the store's rate, a fraction `share` of them with quota leases."""
     store = StorePolicy(rate_per_s=rng.choice((60.0, 80.0, 100.0)), uses_leases=rng.random() < share)
     return m.Proposal(f"c{number}", "trial", f"trial {number}", Policy(store))
 
 
-def draw_faults(world: World, until: int) -> None:
+def draw_faults(simulation: Simulation, until: int) -> None:
     """Draw changes and faults up to a time."""
-    plan, rng, routers = world.plan, world.rng, list(world.routers.values())
-    begin = world.now + int(1.5e9)
+    plan, rng, routers = simulation.plan, simulation.rng, list(simulation.routers.values())
+    begin = simulation.now + int(1.5e9)
 
-    def when() -> int:
+    def random_time() -> int:
         return rng.randrange(begin, until)
 
     for number in range(plan.changes):
         chosen, wanted = rng.choice(routers), proposal(number, rng)
         if plan.shares:
-            wanted = shared_proposal(number, rng, plan.shares)
-        world.at(when() if number or not plan.shares else begin, partial(chosen.propose, wanted))
+            wanted = quota_lease_proposal(number, rng, plan.shares)
+        simulation.at(random_time() if number or not plan.shares else begin, partial(chosen.propose, wanted))
     if plan.member_changes:
         for number in range(2):
-            names = list(world.genesis.fleet.voters)
+            names = list(simulation.genesis.fleet.voters)
             voters = tuple(sorted(rng.sample(names, rng.randint(plan.least_voters, len(names)))))
             wanted = m.Proposal(f"v{number}", "trial", "other voters", voters=voters)
-            at, (one, other) = when(), rng.sample(routers, 2)
-            world.at(at, partial(one.propose, wanted))
-            rival = proposal(100 + number, rng)  # at the same time, elsewhere
-            world.at(at + rng.randrange(10 * MS), partial(other.propose, rival))
+            at, (first_router, second_router) = random_time(), rng.sample(routers, 2)
+            simulation.at(at, partial(first_router.propose, wanted))
+            rival = proposal(100 + number, rng)  # concurrent, at another router
+            simulation.at(at + rng.randrange(10 * MS), partial(second_router.propose, rival))
     for _ in range(plan.kills):
-        world.at(when(), partial(_kill, world, rng.choice(routers), ""))
+        simulation.at(random_time(), partial(_kill, simulation, rng.choice(routers), ""))
     for kind in ("empty",) * plan.empty_disks + ("old",) * plan.old_disks:
-        world.at(when(), partial(_kill, world, rng.choice(routers), kind))
+        simulation.at(random_time(), partial(_kill, simulation, rng.choice(routers), kind))
     for _ in range(plan.blackouts):
-        world.at(when(), partial(_black_out, world))
+        simulation.at(random_time(), partial(_kill_majority, simulation))
     for _ in range(plan.pauses):
-        world.at(when(), partial(_pause, world, rng.choice(routers)))
+        simulation.at(random_time(), partial(_pause, simulation, rng.choice(routers)))
     for _ in range(plan.cuts):
-        world.at(when(), partial(_cut, world))
+        simulation.at(random_time(), partial(_cut, simulation))
     for _ in range(plan.deaf):
-        world.at(when(), partial(_deafen, world, rng.choice(routers)))
+        simulation.at(random_time(), partial(_block_incoming, simulation, rng.choice(routers)))
 
 
-def _kill(world: World, router: Router, disk: str) -> None:
+def _kill(simulation: Simulation, router: Router, disk: str) -> None:
     if router.replica is None:
         return
-    world.record(router, "fault", told=f"killed, disk {disk or 'kept'}")
+    simulation.record(router, "fault", detail=f"killed, disk {disk or 'kept'}")
     router.images.append(router.disk.copy())
-    router.stop(power=world.rng.random() < 0.7)
+    router.stop(power=simulation.rng.random() < 0.7)
     if disk == "empty":
-        router.disk = PowerDisk()
+        router.disk = PowerLossDisk()
     elif disk == "old":
         router.disk = router.images[0].copy()
-    longest = 0.1 * world.plan.lease_s if world.plan.quick else 2.5
-    world.at(world.now + int(world.rng.uniform(0.01, longest) * 1e9), router.start)
+    longest = 0.1 * simulation.plan.lease_s if simulation.plan.quick_restarts else 2.5
+    simulation.at(simulation.now + int(simulation.rng.uniform(0.01, longest) * 1e9), router.start)
 
 
-def _black_out(world: World) -> None:
-    routers = list(world.routers.values())
-    for router in world.rng.sample(routers, world.rng.randint(len(routers) // 2 + 1, len(routers))):
-        _kill(world, router, "")
+def _kill_majority(simulation: Simulation) -> None:
+    routers = list(simulation.routers.values())
+    for router in simulation.rng.sample(routers, simulation.rng.randint(len(routers) // 2 + 1, len(routers))):
+        _kill(simulation, router, "")
 
 
-def _pause(world: World, router: Router) -> None:
-    length = int(world.rng.uniform(0.2, 3.0) * world.terms.duration)
-    world.record(router, "fault", told=f"paused for {length / 1e6:.0f} ms")
-    router.pause(world.now + length)
+def _pause(simulation: Simulation, router: Router) -> None:
+    length = int(simulation.rng.uniform(0.2, 3.0) * simulation.terms.duration)
+    simulation.record(router, "fault", detail=f"paused for {length / 1e6:.0f} ms")
+    router.pause(simulation.now + length)
 
 
-def _deafen(world: World, router: Router) -> None:
-    links = {(name, router.name) for name in world.routers if name != router.name}
-    world.cut |= links
-    world.record(router, "fault", told=f"{router.name} hears nothing")
+def _block_incoming(simulation: Simulation, router: Router) -> None:
+    links = {(name, router.name) for name in simulation.routers if name != router.name}
+    simulation.cut |= links
+    simulation.record(router, "fault", detail=f"{router.name} receives nothing")
 
-    def mend() -> None:
-        world.cut -= links
+    def restore() -> None:
+        simulation.cut -= links
 
-    world.at(world.now + int(world.rng.uniform(0.5, 2.0) * world.terms.duration), mend)
+    simulation.at(simulation.now + int(simulation.rng.uniform(0.5, 2.0) * simulation.terms.duration), restore)
 
 
-def _cut(world: World) -> None:
-    rng, names = world.rng, list(world.routers)
+def _cut(simulation: Simulation) -> None:
+    rng, names = simulation.rng, list(simulation.routers)
     side = set(rng.sample(names, rng.randint(1, len(names) - 1)))
     one_way = rng.random() < 0.3
     links = {(a, b) for a in side for b in names if b not in side}
     if not one_way:
         links |= {(b, a) for a, b in links}
-    world.cut |= links
-    told = f"{','.join(sorted(side))} cut off{' one way' if one_way else ''}"
-    world.record(world.routers[min(side)], "fault", told=told)
+    simulation.cut |= links
+    description = f"{','.join(sorted(side))} cut off{' one way' if one_way else ''}"
+    simulation.record(simulation.routers[min(side)], "fault", detail=description)
 
-    def mend() -> None:
-        world.cut -= links
+    def restore() -> None:
+        simulation.cut -= links
 
-    world.at(world.now + int(rng.uniform(0.3, 3.0) * world.terms.duration), mend)
+    simulation.at(simulation.now + int(rng.uniform(0.3, 3.0) * simulation.terms.duration), restore)
 
 
 class Result(msgspec.Struct):
-    """A schedule's end."""
+    """The outcome of a schedule."""
 
     seed: int
     events: list[Event]
     stuck: str
-    """Why the fleet did not come back once all was mended; empty: it did."""
+    """Why the fleet did not recover after the faults ended; empty: it did."""
     messages: int
 
 
-def play(plan: Plan, seed: int, variant: Variant) -> Result:
-    """Play one schedule."""
-    world = World(plan, seed, variant)
-    for router in world.routers.values():
-        world.at(world.now + world.rng.randrange(200 * MS), router.start)
-    busy = world.busy_until
-    end = busy + int(plan.quiet_s * 1e9)
-    draw_faults(world, busy)
-    world.stop_admissions(end)
+def run_schedule(plan: Plan, seed: int, variant: Variant) -> Result:
+    """Run one schedule."""
+    simulation = Simulation(plan, seed, variant)
+    for router in simulation.routers.values():
+        simulation.at(simulation.now + simulation.rng.randrange(200 * MS), router.start)
+    faults_end = simulation.faults_end
+    end = faults_end + int(plan.quiet_s * 1e9)
+    draw_faults(simulation, faults_end)
+    simulation.schedule_admissions(end)
     if plan.shares:
-        world.look()
-    variant.disturb([router.disk for router in world.routers.values()])
-    world.run_until(busy)
-    world.losses = 0.0
-    world.cut.clear()
-    world.run_until(end)
-    return Result(seed, world.events, _stuck(world), world.messages)
-
-
-def _stuck(world: World) -> str:
-    """Whether all routers that are up hold a lease on one version at the end."""
-    held: dict[str, int] = {}
-    newest = max((r.replica.decided.version for r in world.routers.values() if r.replica), default=0)
-    for name, router in world.routers.items():
+        simulation.sample_shares()
+    variant.inject_disk_faults([router.disk for router in simulation.routers.values()])
+    simulation.run_until(faults_end)
+    simulation.losses = 0.0
+    simulation.cut.clear()
+    simulation.run_until(end)
+    return Result(seed, simulation.events, _recovery_failure(simulation), simulation.messages)
+
+
+def _recovery_failure(simulation: Simulation) -> str:
+    """Return which router holds no lease on the newest version, or no share that it needs; empty: none."""
+    version_by_router: dict[str, int] = {}
+    newest = max((r.replica.decided.version for r in simulation.routers.values() if r.replica), default=0)
+    for name, router in simulation.routers.items():
         if router.replica is not None and router.runs:
-            held[name] = router.replica.decided.version if router.replica.may_admit(router.now()) else 0
+            version_by_router[name] = (
+                router.replica.decided.version if router.replica.may_admit(router.now()) else 0
+            )
             if router.replica.acceptor.value is not None:
-                return f"{name} still holds {router.replica.acceptor.value.change_id} open"
-    lacking = sorted(name for name, version in held.items() if version != newest)
+                return f"{name} still has {router.replica.acceptor.value.change_id} open"
+    lacking = sorted(name for name, version in version_by_router.items() if version != newest)
     if lacking:
         return f"{', '.join(lacking)} not under version {newest} at the end"
-    lacking = sorted(name for name in held if not _has_its_share(world.routers[name]))
-    return f"{', '.join(lacking)} at the floor at the end, and wants more" if lacking else ""
+    lacking = sorted(name for name in version_by_router if not _has_share(simulation.routers[name]))
+    return f"{', '.join(lacking)} at the floor at the end with demand above it" if lacking else ""
 
 
-def _has_its_share(router: Router) -> bool:
-    """Whether every voter grants it a share, where the policy has such, and it has one if it wants any."""
+def _has_share(router: Router) -> bool:
+    """Whether every voter grants a share, if the policy uses shares, and it is above zero under demand."""
     replica = router.replica
     if replica is None or not replica.decided.policy.store.uses_leases:
         return True
     holding = replica.lease_client.quota_holder.granting_voters(router.now())
     if not holding >= replica.learner.voters.keys():
         return False
-    floor = QUOTA * FLOOR_SHARE / router.world.plan.routers
-    wants = dict(replica.lease_client.demand.rates()).get(NAMESPACE, 0.0) > floor
-    return not wants or router.admitter.beyond(router.now())[1] > 0
+    floor = QUOTA * FLOOR_SHARE / router.simulation.plan.routers
+    has_demand = dict(replica.lease_client.demand.rates()).get(NAMESPACE, 0.0) > floor
+    return not has_demand or router.admitter.rate_above_floor(router.now())[1] > 0
--- a/pebblepass/scale/run.py
+++ b/pebblepass/scale/run.py
@@ -21,7 +21,7 @@
 from pebblepass.emulators.observer import NullObserver
 from pebblepass.emulators.ports import take_port
 from pebblepass.emulators.registry import RegistryAgent
-from pebblepass.fault_injection.relay import LOOPBACK, Relays
+from pebblepass.fault_injection.relay import LOOPBACK, LinkRelays
 from pebblepass.scale.figures import Look, by_role, of_changes
 from pebblepass.scale.hollow import Order, Place, Report, Specification
 from pebblepass.scale.plan import OUTAGE_S, SETTINGS, Plan, PlanError
@@ -115,7 +115,7 @@
         self._proposed: list[Report] = []
         self._failure: Exception | None = None
         self._main: asyncio.Task[Any] | None = None
-        self._relays: Relays | None = None
+        self._relays: LinkRelays | None = None
         self._agent: RegistryAgent | None = None
         self._lists: CountingAgent | None = None
         self._peak = 0.0
@@ -135,7 +135,7 @@
         for number, name in enumerate(routers):
             self._members[name] = f"127.1.{number >> 8}.{number & 255}:{port}"
         if plan.relayed:
-            relays = self._relays = Relays(self._ports, plan.zones())
+            relays = self._relays = LinkRelays(self._ports, plan.zones())
             for zone in plan.zones():
                 far = [name for name in self._ports if not zone.startswith(str(plan.region(name)))]
                 for name in far:
@@ -532,7 +532,7 @@
         relays.cut(*links, *((voter, zone) for zone, voter in links))
         await asyncio.sleep(2 * plan.lease_ms / 1000)
         holding = await self._holding()
-        relays.mend()
+        relays.restore()
         begun = time.monotonic_ns()
         last = await self._all_hold(inside, self._version, begun)
         return {
--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -9,7 +9,7 @@
 from pebblepass.consensus.records import PromiseRecord, Record, SnapshotRecord, read_record
 from pebblepass.consensus.replica import Replica
 from pebblepass.consensus.setup import ReplicaSetup, genesis
-from pebblepass.fault_injection.disk import PowerDisk
+from pebblepass.fault_injection.disk import PowerLossDisk
 from pebblepass.storage.frames import FileHeader
 from pebblepass.storage.log import COMPACTION_BYTES, Log
 
@@ -94,7 +94,7 @@
 
 
 def test_ten_thousand_changes_leave_a_bounded_log_that_is_read_in_no_time() -> None:
-    disk = PowerDisk()
+    disk = PowerLossDisk()
     log = Log(disk, "log", HEAD)
     replica, actions = voter()
     log.write_snapshot([m.encode(replica.snapshot())])
--- a/tests/fault_injection/site.py
+++ b/tests/fault_injection/site.py
@@ -1,4 +1,4 @@
-"""Several processes of the daemon in one fleet, a relay between every two, and faults between them."""
+"""A fleet of daemon processes, connected by relays that can cut and delay their links."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from pebblepass.emulators.ports import take_port
 from pebblepass.fault_injection.checkers import check_all
 from pebblepass.fault_injection.history import Event, read_history
-from pebblepass.fault_injection.relay import Relays
+from pebblepass.fault_injection.relay import LinkRelays
 from tests.processes import spawn
 from tests.sockets import (
     MISS,
@@ -37,12 +37,12 @@
 )
 
 LEASE_MS = 400
-PATIENT_LEASE_MS = 4000  # lapses at no pause of a busy machine, for tests that are not about lapses
+LONG_LEASE_MS = 4000  # outlasts pauses of a busy machine, for tests that need no lease to expire
 QUOTA = 200.0
 
 
 class Site:
-    """The fleet, its stand-ins, and clients that read what no cache has."""
+    """The fleet, its emulated services, and clients that read keys that no cache server stores."""
 
     def __init__(
         self, folder: Path, routers: int, voters: int, variant: str, lease_ms: int = LEASE_MS
@@ -55,20 +55,20 @@
         listed = [entry(self.cache, "s1"), entry(self.store, "store", "origin")]
         self.discovery = DiscoveryPeer(listed)
         self.ports = {name: (take_port(), take_port(), take_port()) for name in self.names}
-        self.relays = Relays({name: ports[2] for name, ports in self.ports.items()})
+        self.relays = LinkRelays({name: ports[2] for name, ports in self.ports.items()})
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.logs: dict[str, Path] = {}
         self.proposed: list[Event] = []
         self.environ: dict[str, str] = {}
-        """Variables of the processes that are started from now on."""
-        self.held: tuple[int, ...] = ()
-        """Descriptors that they inherit."""
+        """Extra environment variables of processes started from now on."""
+        self.inherited_descriptors: tuple[int, ...] = ()
+        """File descriptors that processes started from now on inherit."""
         self.pause_s = 0.01
-        """From a client's answer to its next read."""
-        self.elders: list[subprocess.Popen[bytes]] = []
-        """Processes that another one of their name has been started beside."""
+        """The time from a client's answer to its next read."""
+        self.replaced_processes: list[subprocess.Popen[bytes]] = []
+        """Processes that were still running when another one with the same name was started."""
         self.checkouts: dict[str, Path] = {}
-        """Routers that run the daemon of a checkout as deployed; they write no history."""
+        """Routers that run the unmodified daemon of another checkout; they write no history."""
         self._stop = threading.Event()
         self._clients: list[threading.Thread] = []
 
@@ -78,14 +78,14 @@
         home = self.folder / name
         (home / "disk").mkdir(parents=True, exist_ok=True)
         tenants = fleet.pop("tenants", [{"name": "acme", "portion": 1.0, "quotaPerS": QUOTA}])
-        told = {
+        config = {
             "name": name,
             "listen": f"127.0.0.1:{listen}",
             "discovery": f"127.0.0.1:{self.discovery.peer.port}",
             "ops": f"127.0.0.1:{ops}",
             "settings": {**SETTINGS, "balancers": len(self.names), "tenants": tenants},
         }
-        (home / "config.json").write_bytes(msgspec.json.encode(told))
+        (home / "config.json").write_bytes(msgspec.json.encode(config))
         section: dict[str, Any] = {
             "id": "trial",
             "listen": f"127.0.0.1:{link}",
@@ -104,7 +104,7 @@
         )
         self.logs[name] = home / "log"
         if name in self.processes and self.processes[name].poll() is None:
-            self.elders.append(self.processes[name])
+            self.replaced_processes.append(self.processes[name])
         with self.logs[name].open("ab") as log:
             self.processes[name] = spawn(
                 [sys.executable, "-m", self._module(name)],
@@ -118,56 +118,60 @@
                     **self.environ,
                 },
                 stderr=log,
-                pass_fds=self.held,
+                pass_fds=self.inherited_descriptors,
             )
 
     def _module(self, name: str) -> str:
         return "pebblepass.daemon" if name in self.checkouts else "pebblepass.fault_injection.router"
 
-    def signal(self, name: str, how: signal.Signals) -> None:
-        """Send a signal; SIGKILL is waited out."""
-        self.processes[name].send_signal(how)
-        if how in (signal.SIGKILL, signal.SIGTERM):
+    def signal(self, name: str, signal_number: signal.Signals) -> None:
+        """Send a signal; for SIGKILL and SIGTERM wait for the process to end."""
+        self.processes[name].send_signal(signal_number)
+        if signal_number in (signal.SIGKILL, signal.SIGTERM):
             self.processes[name].wait(WAIT_TIMEOUT_S)
 
-    def ask(self, name: str, method: str, call: str, body: bytes = b"") -> Any:
-        """One call of a router's control address; None: it did not answer."""
+    def control_request(self, name: str, method: str, call: str, body: bytes = b"") -> Any:
+        """Send a request to a router's control address; None if it doesn't answer."""
         try:
             return request(f"127.0.0.1:{self.ports[name][1]}", method, call, body).content
         except NoAnswerError:
             return None
 
     def propose(self, name: str, change: str, text: str) -> Any:
-        """Propose, and wait for the verdict."""
+        """Propose a change and wait for the verdict."""
         self.proposed.append(Event(time.monotonic_ns(), name, "proposed", change=change))
-        verdict = self.ask(name, "POST", f"propose/{change}", text.encode())
+        verdict = self.control_request(name, "POST", f"propose/{change}", text.encode())
         if verdict is not None:
-            told, version = verdict["state"], verdict.get("version", 0)
-            self.proposed.append(Event(time.monotonic_ns(), name, "verdict", version, change, told))
+            state, version = verdict["state"], verdict.get("version", 0)
+            self.proposed.append(Event(time.monotonic_ns(), name, "verdict", version, change, state))
         return verdict
 
-    def holds(self, name: str, version: int) -> bool:
-        """Whether it is ready, and has a lease on this version."""
-        told = self.ask(name, "GET", "status")
-        return told is not None and told["in_force"] and told["version"] == version
+    def has_lease_on(self, name: str, version: int) -> bool:
+        """Whether a router is ready and holds a lease on this version."""
+        status = self.control_request(name, "GET", "status")
+        return status is not None and status["in_force"] and status["version"] == version
 
-    def wait(self, version: int, *names: str) -> None:
-        """Wait until these routers, or all, hold a version."""
+    def wait_for_version(self, version: int, *names: str) -> None:
+        """Wait until these routers (default: all) hold a lease on a version."""
         for name in names or self.names:
             end = time.monotonic() + WAIT_TIMEOUT_S
-            while not self.holds(name, version):
-                assert time.monotonic() < end, f"{name} never held {version}: {self.logs[name].read_text()}"
+            while not self.has_lease_on(name, version):
+                assert time.monotonic() < end, (
+                    f"{name} got no lease on version {version}: {self.logs[name].read_text()}"
+                )
                 time.sleep(0.005)
 
-    def sees(self, name: str, other: str, state: str) -> None:
-        """Wait until a router takes another one to be in this state."""
+    def wait_for_state(self, name: str, other: str, state: str) -> None:
+        """Wait until a router sees another one in this state."""
         end = time.monotonic() + WAIT_TIMEOUT_S
-        while (told := self.ask(name, "GET", "status")) is None or told["routers"][other]["state"] != state:
-            assert time.monotonic() < end, f"{name} never saw {other} {state}: {told}"
+        while (status := self.control_request(name, "GET", "status")) is None or status["routers"][other][
+            "state"
+        ] != state:
+            assert time.monotonic() < end, f"{name} never saw {other} in state {state}: {status}"
             time.sleep(0.005)
 
-    def load(self, *names: str) -> None:
-        """A client more at these routers, or all, that reads what no cache has, until the end."""
+    def start_clients(self, *names: str) -> None:
+        """Start one more client at each of these routers (default: all); it reads uncached keys."""
         for name in names or self.names:
             thread = threading.Thread(target=self._read, args=(name,), daemon=True)
             thread.start()
@@ -188,14 +192,14 @@
             self._stop.wait(0.02)
 
     def history(self) -> list[Event]:
-        """What the routers wrote down, and what was proposed."""
+        """Return the routers' recorded events and the proposals, ordered by time."""
         found = read_history(sorted(self.folder.glob("*/history.*")))
         return sorted([*found, *self.proposed], key=lambda event: event.at)
 
     def close(self) -> None:
-        """End all."""
+        """Stop the clients, the processes, the relays and the emulated services."""
         self._stop.set()
-        for process in (*self.processes.values(), *self.elders):
+        for process in (*self.processes.values(), *self.replaced_processes):
             with contextlib.suppress(ProcessLookupError):
                 process.send_signal(signal.SIGCONT)
                 process.kill()
@@ -216,18 +220,18 @@
     pause_s: float = 0.01,
     lease_ms: int = LEASE_MS,
 ) -> Iterator[Site]:
-    """A fleet that has formed, under load; at the end every check must hold, unless a variant is played."""
-    made = Site(folder, routers, voters, variant, lease_ms)
-    made.pause_s = pause_s
+    """Run a formed fleet under load; at the end all checks must pass, unless a variant is run."""
+    site = Site(folder, routers, voters, variant, lease_ms)
+    site.pause_s = pause_s
     try:
-        for name in made.names:
-            made.start(name)
-        made.wait(1)
-        made.load()
-        yield made
+        for name in site.names:
+            site.start(name)
+        site.wait_for_version(1)
+        site.start_clients()
+        yield site
     finally:
-        made.close()
+        site.close()
     if not variant:
-        assert check_all(made.history()) == []
-        for name, log in made.logs.items():
+        assert check_all(site.history()) == []
+        for name, log in site.logs.items():
             assert "Traceback" not in log.read_text(), f"{name}: {log.read_text()}"
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from pebblepass.fault_injection.disk import PowerDisk
+from pebblepass.fault_injection.disk import PowerLossDisk
 from pebblepass.storage.disk import Directory, replace_file
 from pebblepass.storage.frames import SECTOR_BYTES, FileHeader, StorageError
 from pebblepass.storage.log import Log
@@ -20,13 +20,13 @@
     """The power goes at this step."""
 
 
-def begun(disk: PowerDisk | Directory, *records: bytes) -> Log:
+def begun(disk: PowerLossDisk | Directory, *records: bytes) -> Log:
     log = Log(disk, "log", HEAD)
     log.write_snapshot(list(records))
     return log
 
 
-def reopened(disk: PowerDisk | Directory) -> list[bytes] | None:
+def reopened(disk: PowerLossDisk | Directory) -> list[bytes] | None:
     return Log(disk, "log", HEAD).open()
 
 
@@ -41,11 +41,11 @@
     """All that `write` returned for is there, in order, and at most the one record that was under way."""
     for cut_at in range(1, 40):
         for seed in range(12):
-            disk = PowerDisk()
+            disk = PowerLossDisk()
             promised: list[bytes] = []
             under_way = b""
 
-            def cut(_: str, disk: PowerDisk = disk, cut_at: int = cut_at) -> None:
+            def cut(_: str, disk: PowerLossDisk = disk, cut_at: int = cut_at) -> None:
                 if disk.steps == cut_at:
                     raise PowerCut
 
@@ -123,7 +123,7 @@
     ],
 )
 def test_a_foreign_log_is_refused_in_one_plain_line(head: FileHeader, said: str) -> None:
-    disk = PowerDisk()
+    disk = PowerLossDisk()
     begun(disk, b"first")
     with pytest.raises(StorageError) as error:
         Log(disk, "log", head).open()
@@ -138,7 +138,7 @@
         if full[0] and step in ("append", "sync"):
             raise OSError(errno.ENOSPC, "No space left on device")
 
-    disk = PowerDisk(before)
+    disk = PowerLossDisk(before)
     log = begun(disk, b"first")
     full[0] = True
     with pytest.raises(OSError, match="No space"):
@@ -155,11 +155,11 @@
 def test_a_whole_file_is_the_old_or_the_new_one_at_every_step() -> None:
     for cut_at in range(1, 6):
         for seed in range(20):
-            disk = PowerDisk()
+            disk = PowerLossDisk()
             replace_file(disk, "file", b"old" * 400)
             disk.steps = 0
 
-            def cut(_: str, disk: PowerDisk = disk, cut_at: int = cut_at) -> None:
+            def cut(_: str, disk: PowerLossDisk = disk, cut_at: int = cut_at) -> None:
                 if disk.steps == cut_at:
                     raise PowerCut
 
@@ -179,9 +179,9 @@
     """The known broken variant: the check above can fail."""
     lost = 0
     for seed in range(20):
-        disk = PowerDisk()
+        disk = PowerLossDisk()
         log = begun(disk, b"first")
-        disk.lies = True
+        disk.ignores_sync = True
         log.append([b"second"])
         disk.lose_power(random.Random(seed))
         lost += reopened(disk) != [b"first", b"second"]
