--- a/pebblepass/emulators/node.py
+++ b/pebblepass/emulators/node.py
@@ -46,7 +46,7 @@
     memory: int
     """The most copies that it stores; the least recently used is evicted first."""
     report_period: float
-    works: dict[str, WorkRange]
+    work_by_class: dict[str, WorkRange]
     miss_work: float
     """The work of a miss, as a fraction of the work of a hit."""
     error_rate: float
@@ -106,7 +106,7 @@
         self._cold_budget: ColdBudget | None = None
         self._report, self._report_until = b"", 0.0
         self._mean_latency_ms = (
-            sum((w.least + w.most) / 2 for w in setup.works.values()) / len(setup.works)
+            sum((w.least + w.most) / 2 for w in setup.work_by_class.values()) / len(setup.work_by_class)
         ) * 1000
 
     async def start(self, cold: bool = False) -> None:
@@ -189,11 +189,11 @@
         if incarnation != self.core_runner.incarnation or self.listeners.silent:
             return
         now = self.loop.time()
-        works = self.setup.works.get(pending.request_class)
-        if works is None:
+        work_range = self.setup.work_by_class.get(pending.request_class)
+        if work_range is None:
             pending.reply.answer(b"-SYNTAX unknown class\r\n")
             return
-        work = works.least + (works.most - works.least) * self.rng.random()
+        work = work_range.least + (work_range.most - work_range.least) * self.rng.random()
         pending.hit = pending.write or pending.key in self.copies
         if not pending.hit:
             work *= self.setup.miss_work
@@ -211,8 +211,8 @@
             pending.reply.answer(b"-BUSY %b\r\n" % self.report())
 
     def _on_done(self, pending: _PendingRequest, now: float) -> None:
-        works = self.setup.works[pending.request_class]
-        self._mean_latency_ms += ((works.least + works.most) * 500 - self._mean_latency_ms) / 16
+        work_range = self.setup.work_by_class[pending.request_class]
+        self._mean_latency_ms += ((work_range.least + work_range.most) * 500 - self._mean_latency_ms) / 16
         if pending.write:
             self._effects.apply(pending.request_id, pending.request_class, pending.idempotency_key, now)
         if self.rng.random() < self.setup.error_rate:
--- a/pebblepass/emulators/registry.py
+++ b/pebblepass/emulators/registry.py
@@ -14,7 +14,7 @@
 from pebblepass.emulators.observer import EmulatorObserver
 from pebblepass.wire.address import Address
 
-UPDATE_DEADLINE_S = 6.0  # after this time a change counts as sent to the router, whether or not it asked
+UPDATE_DEADLINE_S = 6.0  # after this time the agent reports a change as sent, whether or not the router asked
 MAX_WAIT_MS = 60_000
 ZONE = "here"
 
--- a/pebblepass/fault_injection/schedule.py
+++ b/pebblepass/fault_injection/schedule.py
@@ -179,7 +179,7 @@
             self._record_decided(self.replica.decided)
         if raw is None:
             self._log.write_snapshot([m.encode(self.replica.snapshot())])
-        self._carry_out(self.replica.start(self.now()))
+        self._execute(self.replica.start(self.now()))
 
     def demand(self) -> dict[str, int]:
         """The total demand for fetches so far, by the simulation's clock."""
@@ -216,7 +216,7 @@
             if len(self._backlog) == 1:
                 self.simulation.at(self.paused_until, self._resume)
             return
-        self._carry_out(work(replica))
+        self._execute(work(replica))
 
     def _resume(self) -> None:
         backlog, self._backlog = self._backlog, []
@@ -235,7 +235,7 @@
             self.simulation.record(self, "proposed", change=proposal.change_id)
             self.dispatch(lambda replica: replica.propose(proposal, self.now()))
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         simulation = self.simulation
         for action in actions:
             match action:
@@ -438,12 +438,12 @@
 
     def schedule_admissions(self, until: int) -> None:
         """Draw the requests of all routers up to a time."""
-        gap = 1e9 / self.plan.admissions_per_s
+        mean_interval = 1e9 / self.plan.admissions_per_s
         for router in self.routers.values():
-            at = self.now + self.rng.uniform(0, gap)
+            at = self.now + self.rng.uniform(0, mean_interval)
             while at < until:
                 self.at(int(at), router.admit)
-                at += self.rng.uniform(0.5, 1.5) * gap
+                at += self.rng.uniform(0.5, 1.5) * mean_interval
 
 
 def proposal(number: int, rng: random.Random) -> m.Proposal:
@@ -467,19 +467,19 @@
         return rng.randrange(begin, until)
 
     for number in range(plan.changes):
-        chosen, wanted = rng.choice(routers), proposal(number, rng)
+        router, change = rng.choice(routers), proposal(number, rng)
         if plan.shares:
-            wanted = quota_lease_proposal(number, rng, plan.shares)
-        simulation.at(random_time() if number or not plan.shares else begin, partial(chosen.propose, wanted))
+            change = quota_lease_proposal(number, rng, plan.shares)
+        simulation.at(random_time() if number or not plan.shares else begin, partial(router.propose, change))
     if plan.member_changes:
         for number in range(2):
-            names = list(simulation.genesis.fleet.voters)
-            voters = tuple(sorted(rng.sample(names, rng.randint(plan.least_voters, len(names)))))
-            wanted = m.Proposal(f"v{number}", "trial", "other voters", voters=voters)
+            voter_names = list(simulation.genesis.fleet.voters)
+            voters = tuple(sorted(rng.sample(voter_names, rng.randint(plan.least_voters, len(voter_names)))))
+            change = m.Proposal(f"v{number}", "trial", "other voters", voters=voters)
             at, (first_router, second_router) = random_time(), rng.sample(routers, 2)
-            simulation.at(at, partial(first_router.propose, wanted))
-            rival = proposal(100 + number, rng)  # concurrent, at another router
-            simulation.at(at + rng.randrange(10 * MS), partial(second_router.propose, rival))
+            simulation.at(at, partial(first_router.propose, change))
+            rival_change = proposal(100 + number, rng)  # concurrent, at another router
+            simulation.at(at + rng.randrange(10 * MS), partial(second_router.propose, rival_change))
     for _ in range(plan.kills):
         simulation.at(random_time(), partial(_kill, simulation, rng.choice(routers), ""))
     for kind in ("empty",) * plan.empty_disks + ("old",) * plan.old_disks:
@@ -504,8 +504,8 @@
         router.disk = PowerLossDisk()
     elif disk == "old":
         router.disk = router.images[0].copy()
-    longest = 0.1 * simulation.plan.lease_s if simulation.plan.quick_restarts else 2.5
-    simulation.at(simulation.now + int(simulation.rng.uniform(0.01, longest) * 1e9), router.start)
+    longest_downtime_s = 0.1 * simulation.plan.lease_s if simulation.plan.quick_restarts else 2.5
+    simulation.at(simulation.now + int(simulation.rng.uniform(0.01, longest_downtime_s) * 1e9), router.start)
 
 
 def _kill_majority(simulation: Simulation) -> None:
@@ -600,8 +600,8 @@
     replica = router.replica
     if replica is None or not replica.decided.policy.store.uses_leases:
         return True
-    holding = replica.lease_client.quota_holder.granting_voters(router.now())
-    if not holding >= replica.learner.voters.keys():
+    granting_voters = replica.lease_client.quota_holder.granting_voters(router.now())
+    if not granting_voters >= replica.learner.voters.keys():
         return False
     floor = QUOTA * FLOOR_SHARE / router.simulation.plan.routers
     has_demand = dict(replica.lease_client.demand.rates()).get(NAMESPACE, 0.0) > floor
--- a/pebblepass/simulation/emulated_services.py
+++ b/pebblepass/simulation/emulated_services.py
@@ -147,7 +147,7 @@
                 ),
                 memory=facts.memory,
                 report_period=facts.report_period,
-                works={
+                work_by_class={
                     cls.name: WorkRange(cls.work_ms.least / 1000, cls.work_ms.most / 1000)
                     for cls in scenario.classes
                 },
--- a/tests/fault_injection/test_processes.py
+++ b/tests/fault_injection/test_processes.py
@@ -220,16 +220,20 @@
 
 def test_changes_on_both_sides_of_a_partition_that_swaps_its_majority(tmp_path: Path) -> None:
     with fleet(tmp_path, routers=7, voters=7) as site:
-        few, many = site.names[:3], site.names[3:]
-        site.relays.cut(*((a, b) for a in few for b in many), *((b, a) for a in few for b in many))
+        minority, majority = site.names[:3], site.names[3:]
+        site.relays.cut(
+            *((a, b) for a in minority for b in majority), *((b, a) for a in minority for b in majority)
+        )
         minority_proposal = threading.Thread(target=site.propose, args=("r0", "few", rate(1)))
         minority_proposal.start()
         assert site.propose("r6", "many", rate(2))["state"] == "in force"
         minority_proposal.join()
         site.relays.restore()
-        few, many = site.names[4:], site.names[:4]
+        minority, majority = site.names[4:], site.names[:4]
         site.wait_for_version(2)
-        site.relays.cut(*((a, b) for a in few for b in many), *((b, a) for a in few for b in many))
+        site.relays.cut(
+            *((a, b) for a in minority for b in majority), *((b, a) for a in minority for b in majority)
+        )
         assert site.propose("r0", "other", rate(3))["state"] == "in force"
         site.relays.restore()
         site.wait_for_version(3)
