--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -9,7 +9,7 @@
 from pebblepass.consensus.records import PromiseRecord, Record, SnapshotRecord, read_record
 from pebblepass.consensus.replica import Replica
 from pebblepass.consensus.setup import ReplicaSetup, genesis
-from pebblepass.fault_injection.disk import PowerDisk
+from pebblepass.fault_injection.disk import PowerLossDisk
 from pebblepass.storage.frames import FileHeader
 from pebblepass.storage.log import COMPACTION_BYTES, Log
 
@@ -99,7 +99,7 @@
 
 
 def test_log_stays_bounded_over_ten_thousand_changes() -> None:
-    disk = PowerDisk()
+    disk = PowerLossDisk()
     log = Log(disk, "log", HEAD)
     replica, actions = voter()
     log.write_snapshot([m.encode(replica.snapshot())])
