--- a/tests/daemon/test_clients.py
+++ b/tests/daemon/test_clients.py
@@ -1,4 +1,4 @@
-"""The client side alone, in this process, over loopback sockets: one test for each failure found."""
+"""Tests of the client server alone, in this process, over loopback sockets: one for each fault found."""
 
 from __future__ import annotations
 
@@ -16,11 +16,13 @@
 
 
 class NeverPolled:
+    """The poll times of an event loop that has not polled its sockets yet."""
+
     sockets_polled_at = float("-inf")
 
 
 class EchoHost:
-    """Answers each request with its id, or holds it."""
+    """Replies to each request with its id, or leaves it open."""
 
     ready = True
     lag = NeverPolled()
@@ -62,7 +64,7 @@
 
 
 async def until(check: Callable[[], Any], what: str) -> None:
-    """Wait until `check` gives something true."""
+    """Wait until `check` returns something true."""
     end = asyncio.get_running_loop().time() + PATIENCE_S
     while not check():
         assert asyncio.get_running_loop().time() < end, f"never came: {what}"
@@ -84,7 +86,7 @@
     asyncio.run(run())
 
 
-def test_connection_that_a_client_closed_is_forgotten() -> None:
+def test_connection_closed_by_its_client_is_unregistered() -> None:
     async def test(stand: Stand) -> None:
         for _ in range(20):
             assert await stand.ask(bulk(b"PING")) == b"+PONG\r\n"
@@ -93,7 +95,7 @@
     with_clients(test)
 
 
-def test_clients_that_say_nothing_or_no_more_are_closed_and_waiting_ones_are_not() -> None:
+def test_idle_connections_are_closed_and_waiting_ones_are_not() -> None:
     async def test(stand: Stand) -> None:
         stand.host.holding = True
         waiting_reader, waiting_writer = await stand.connect()
@@ -109,11 +111,11 @@
         stand.host.held[0].send(b"+served\r\n")
         assert await asyncio.wait_for(waiting_reader.readline(), PATIENCE_S) == b"+served\r\n"
 
-    assert IDLE_TIMEOUT_S + SWEEP_INTERVAL_S < 3.0  # DAYS
+    assert IDLE_TIMEOUT_S + SWEEP_INTERVAL_S < 3.0  # the platform's limit in seconds
     with_clients(test)
 
 
-def test_a_command_in_shutdown_is_rejected_with_the_protocols_overload_reply() -> None:
+def test_command_during_shutdown_is_rejected_with_busy() -> None:
     async def test(stand: Stand) -> None:
         reader, writer = await stand.connect()
         writer.write(bulk(b"PING"))
@@ -126,11 +128,11 @@
     with_clients(test)
 
 
-def test_command_that_comes_in_drops_is_ended_with_an_error_line_in_time() -> None:
+def test_slowly_sent_command_gets_an_error_within_the_timeout() -> None:
     async def test(stand: Stand) -> None:
         loop = asyncio.get_running_loop()
         reader, writer = await stand.connect()
-        # Only the line: the connection's end may be a reset, as bytes come to it after it was closed.
+        # Reads only one line: bytes that arrive after the close may reset the connection.
         end, answer = loop.time() + PATIENCE_S, asyncio.ensure_future(reader.readline())
         for byte in bulk(b"KV.GET", b"k" * 10_000):
             if answer.done() or loop.time() > end:
@@ -140,11 +142,11 @@
         assert answer.done()
         assert (await answer).startswith(b"-ERR")
 
-    assert COMMAND_TIMEOUT_S + SWEEP_INTERVAL_S < 3.0  # DAYS
+    assert COMMAND_TIMEOUT_S + SWEEP_INTERVAL_S < 3.0  # the platform's limit in seconds
     with_clients(test)
 
 
-def test_client_whose_command_finds_no_bytes_set_aside_is_answered_in_time() -> None:
+def test_command_without_free_memory_gets_an_error_within_the_timeout() -> None:
     async def test(stand: Stand) -> None:
         assert stand.server.budget.take(None, MEMORY)  # type: ignore[arg-type]
         reader, writer = await stand.connect()
--- a/tests/daemon/test_crossings.py
+++ b/tests/daemon/test_crossings.py
@@ -1,4 +1,4 @@
-"""Two events that cross at a connection to a server, each order forced: a test for each suspect."""
+"""Races of two events on a connection to a server, with each order of the events forced."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from tests.crossings import LONG_DIALS, Bed, PeerLine, crossing
 from tests.sockets import http_answer
 
-LEFT_S = 0.1  # after which nothing is sent for a client that has left
+LEFT_S = 0.1  # after a disconnect, from when on nothing may be sent for the client
 
 
 def one_way(effect: str, window_ns: int = 0, group: str = "all") -> dict[str, Any]:
-    """Settings with one class of this effect, under a name that tells nothing."""
+    """Settings with a single class `x` of this effect: the effect can't be told from the class's name."""
     cls = {"name": "x", "aimNs": 10**9, "giveUpNs": 2 * 10**9, "semantics": effect, "group": group}
     return {"classes": [{**cls, "dedupWindowNs": window_ns}], **LONG_DIALS}
 
 
 @pytest.mark.parametrize("cls", ["get", "put", "once"])
-def test_what_waits_for_a_dial_is_not_sent_once_its_client_has_left(cls: str) -> None:
+def test_request_waiting_for_a_dial_is_dropped_after_a_disconnect(cls: str) -> None:
     async def test(bed: Bed) -> None:
         gate = bed.loop.gates[bed.caches["a"].address] = asyncio.Event()
         client = await bed.client()
@@ -40,7 +40,7 @@
     crossing(test, facts=LONG_DIALS)
 
 
-def test_a_write_that_waits_for_a_dial_to_the_store_is_not_sent_once_its_client_has_left() -> None:
+def test_write_waiting_for_a_store_dial_is_dropped_after_a_disconnect() -> None:
     async def test(bed: Bed) -> None:
         gate = bed.loop.gates[bed.origin.address] = asyncio.Event()
         client = await bed.client()
@@ -56,7 +56,7 @@
     crossing(test, facts=LONG_DIALS)
 
 
-def test_a_request_whose_time_is_up_while_it_waits_for_a_dial_is_not_sent() -> None:
+def test_request_past_its_deadline_after_a_dial_is_not_sent() -> None:
     async def test(bed: Bed) -> None:
         gate = bed.loop.gates[bed.caches["a"].address] = asyncio.Event()
         client = await bed.client()
@@ -72,9 +72,9 @@
     crossing(test, facts=LONG_DIALS)
 
 
-def test_a_write_of_which_the_kernel_has_taken_a_part_is_taken_back_with_its_client() -> None:
+def test_partly_sent_write_is_aborted_after_a_disconnect() -> None:
     async def test(bed: Bed) -> None:
-        # The peer reads nothing: the kernel's window is full before the last byte.
+        # The peer reads nothing, so that the kernel's buffers are full before the last byte.
         bed.origin.accepted = lambda line: line.transport.pause_reading()
         client = await bed.client()
         client.ask("w1", "put", value=b"v" * (64 << 10))
@@ -91,7 +91,7 @@
     crossing(test)
 
 
-def test_what_the_kernel_has_whole_is_not_taken_back_and_tells_of_its_server() -> None:
+def test_completely_sent_request_keeps_its_connection_after_a_disconnect() -> None:
     async def test(bed: Bed) -> None:
         client = await bed.client()
         client.ask("r1")
@@ -101,14 +101,14 @@
         line = bed.caches["a"].line("r1")
         bed.caches["a"].serve(line, "r1")
         await bed.settle()
-        assert bed.caches["a"].lines == [line], "its connection goes on"
+        assert bed.caches["a"].lines == [line], "the connection stays open"
         bed.nothing_held()
 
     crossing(test)
 
 
 @pytest.mark.parametrize("late_s", [0.0003, 0.002, 0.004])
-def test_a_late_second_answer_is_not_taken_for_the_next_requests(late_s: float) -> None:
+def test_late_second_answer_is_not_used_for_the_next_request(late_s: float) -> None:
     async def test(bed: Bed) -> None:
         cache, client = bed.caches["a"], await bed.client()
         client.ask("r1")
@@ -132,7 +132,7 @@
 
 @pytest.mark.parametrize("behind", ["second answer", "noise", "end", "reset"])
 @pytest.mark.parametrize("effect", ["retryable", "dedup", "fragile"])
-def test_what_stands_unread_behind_an_answer_costs_the_next_request_nothing(behind: str, effect: str) -> None:
+def test_unread_input_after_an_answer_does_not_fail_the_next_request(behind: str, effect: str) -> None:
     async def test(bed: Bed) -> None:
         cache, client = bed.caches["a"], await bed.client()
         client.ask("r1", "x")
@@ -141,7 +141,7 @@
         cache.serve(line, "r1")
         await bed.wait(REUSE_DELAY_S * 2)
         cache.came = cache.serve
-        # In one turn: the router reads its client first, which it has known for longer.
+        # In one loop iteration; the router reads its client first, whose socket is the older one.
         client.ask("r2", "x")
         match behind:
             case "second answer":
@@ -154,18 +154,18 @@
                 line.reset()
         await bed.wait(REUSE_DELAY_S * 3)
         assert client.answers() == [b"value of r1", b"value of r2"]
-        assert cache.names == ["r1", "r2"], "written once, on a connection of its own"
+        assert cache.names == ["r1", "r2"], "each is sent once, the second on a new connection"
         bed.nothing_held()
 
     crossing(test, facts=one_way(effect, 10**9))
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
-def test_an_end_behind_the_last_byte_of_an_answer_takes_nothing_with_it(how: str) -> None:
+def test_connection_end_right_after_an_answer_loses_no_request(how: str) -> None:
     async def test(bed: Bed) -> None:
         cache, client = bed.caches["a"], await bed.client()
         client.ask("r1", "once")
-        client.ask("r2", "once")  # waits for a connection, or has one of its own
+        client.ask("r2", "once")  # waits for a connection, or gets its own
         await bed.settle()
 
         def answer_and_end(line: PeerLine, name: str) -> None:
@@ -184,8 +184,8 @@
     crossing(test)
 
 
-def test_a_request_that_the_kernel_does_not_take_has_never_run() -> None:
-    """A reset comes between the look and the write: what may not be repeated is asked again all the same."""
+def test_unsafe_request_that_the_kernel_rejects_is_retried() -> None:
+    """A reset between the check for unread input and the write: no byte is sent, so a retry is safe."""
 
     async def test(bed: Bed) -> None:
         cache, client = bed.caches["a"], await bed.client()
@@ -197,7 +197,7 @@
         cache.came, bed.origin.came = cache.serve, bed.origin.serve
         client.ask("r2", "once")
         line.reset()
-        with patch.object(Connection, "has_nothing_unread", True):  # it looked too early
+        with patch.object(Connection, "has_nothing_unread", True):  # checked before the reset
             await bed.wait(REUSE_DELAY_S * 3)
         assert client.answers() == [b"value of r1", b"value of r2"]
         bed.nothing_held()
@@ -205,7 +205,7 @@
     crossing(test)
 
 
-def test_a_repeat_that_waits_for_a_dial_is_not_sent_after_the_time_in_which_it_is_dropped() -> None:
+def test_retry_waiting_for_a_dial_is_not_sent_after_the_dedup_window() -> None:
     async def test(bed: Bed) -> None:
         client = await bed.client()
         client.ask("r1", "x")
@@ -216,7 +216,7 @@
         origin = bed.loop.gates[bed.origin.address] = asyncio.Event()
         again = bed.loop.gates[bed.caches[first].address] = asyncio.Event()
         await bed.wait(0.3)
-        bed.caches[first].line("r1").reset()  # it may have run
+        bed.caches[first].line("r1").reset()  # the request may have run
         await bed.wait(0.3)
         for each in (gate, again, origin):
             each.set()
@@ -228,7 +228,7 @@
     crossing(test, caches=("a", "b"), facts=one_way("dedup", 500_000_000))
 
 
-def test_a_repeat_within_that_time_is_sent() -> None:
+def test_retry_within_the_dedup_window_is_sent() -> None:
     async def test(bed: Bed) -> None:
         client = await bed.client()
         client.ask("r1", "x")
@@ -245,7 +245,7 @@
 
 
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.REMOVED])
-def test_what_waits_for_a_dial_to_a_server_that_drains_goes_elsewhere(state: ServerState) -> None:
+def test_request_waiting_for_a_dial_moves_when_its_server_drains(state: ServerState) -> None:
     async def test(bed: Bed) -> None:
         bed.origin.came = bed.origin.serve
         gate = bed.loop.gates[bed.caches["a"].address] = asyncio.Event()
@@ -257,19 +257,19 @@
         await bed.wait(0.2)
         assert [where for _, where, _ in bed.seen] == ["origin"]
         assert client.answers() == [b"value of r1"]
-        assert bed.caches["a"].lines == [], "what came up after all is closed"
+        assert bed.caches["a"].lines == [], "a connection that is established later is closed"
         bed.nothing_held()
 
     crossing(test, facts=LONG_DIALS)
 
 
-def test_a_server_that_drains_and_is_back_elsewhere_in_one_turn_is_not_sent_to_at_the_old_address() -> None:
+def test_server_listed_at_a_new_address_gets_nothing_at_the_old_one() -> None:
     async def test(bed: Bed) -> None:
         moved = bed.caches["b"]
         moved.came, bed.origin.came = moved.serve, bed.origin.serve
         old = bed.caches["a"].address
         gate = bed.loop.gates[old] = asyncio.Event()
-        bed.tell("a", "origin", whole=True)  # "b" is gone; its address is where "a" will be
+        bed.tell("a", "origin", whole=True)  # "b" is removed; its address becomes that of "a"
         client = await bed.client()
         client.ask("r1")
         await bed.settle()
@@ -286,7 +286,7 @@
     crossing(test, caches=("a", "b"), facts=LONG_DIALS)
 
 
-def test_a_dial_that_is_called_off_in_the_turn_in_which_it_begins_leaves_no_count_behind() -> None:
+def test_dial_cancelled_as_it_begins_is_no_longer_counted() -> None:
     async def test(bed: Bed) -> None:
         bed.origin.came = bed.origin.serve
         bed.loop.gates[bed.caches["a"].address] = asyncio.Event()
@@ -297,14 +297,14 @@
         bed.tell("a", state=ServerState.REMOVED)
         await bed.wait(0.1)
         assert client.answers() == [b"value of r1"]
-        assert bed.pool._connection_count == 1, "the store's"
+        assert bed.pool._connection_count == 1, "only the store's connection is counted"
         bed.nothing_held()
 
     crossing(test, facts=LONG_DIALS)
 
 
 @pytest.mark.parametrize("stay", [False, True])
-def test_a_fetch_whose_client_has_left_is_begun_again_only_for_who_still_waits(stay: bool) -> None:
+def test_fetch_restarts_after_a_disconnect_only_if_a_client_waits(stay: bool) -> None:
     async def test(bed: Bed) -> None:
         cache = bed.caches["a"]
         cache.came = cache.miss
@@ -332,7 +332,7 @@
     crossing(test)
 
 
-def test_a_fetch_in_line_that_nobody_waits_for_any_longer_is_not_sent() -> None:
+def test_queued_fetch_without_a_waiting_client_is_not_sent() -> None:
     async def test(bed: Bed) -> None:
         bed.caches["a"].came = bed.caches["a"].miss
         bed.host._router.origin_limits.fetch_window = 1.0
@@ -356,7 +356,9 @@
 
 
 @pytest.mark.parametrize("name", ["subscribe", "r1"])
-def test_a_request_that_waits_on_a_timer_is_answered_whatever_its_name(name: str) -> None:
+def test_delayed_retry_is_answered_whatever_its_request_id(name: str) -> None:
+    """A request id may equal the token of another timer of the decision module."""
+
     async def test(bed: Bed) -> None:
         def not_now(line: PeerLine, name: str) -> None:
             line.transport.write(http_answer(503, b"", "Not-Started: 1"))
@@ -365,7 +367,7 @@
         client = await bed.client()
         client.ask(name, "put", d=1900, value=b"v")
         await bed.wait(2.0)
-        assert len(bed.seen) > 1, "it was tried again after a pause"
+        assert len(bed.seen) > 1, "it was retried after a pause"
         assert len(client.answers()) == 1
         bed.nothing_held()
 
@@ -384,10 +386,10 @@
 
 @pytest.mark.parametrize("other", CELLS)
 @pytest.mark.parametrize(("effect", "group", "again"), GROUPS)
-def test_repeats_of_reads_go_by_the_effect_and_its_group(
+def test_retries_of_reads_follow_the_effect_and_its_group(
     effect: str, group: str, again: list[str], other: str
 ) -> None:
-    """What may have run at one server, of a class whose name tells nothing, and whether it may come again."""
+    """Whether a read that may have run at one server may be sent to another one."""
 
     async def test(bed: Bed) -> None:
         bed.cells = {**CELLS, "first": ("z1", 1)}
@@ -405,15 +407,15 @@
         if other in again:
             assert client.answers() == [b"value of r1"]
         else:
-            assert client.answers() == [b"-ERR failed"], "a refusal says that it may be tried again"
+            assert client.answers() == [b"-ERR failed"], "-BUSY would say that a retry is safe"
         bed.nothing_held()
 
     crossing(test, ("first", *CELLS), one_way(effect, 2 * 10**9, group))
 
 
 @pytest.mark.parametrize(("effect", "group", "again"), GROUPS)
-def test_repeats_of_writes_go_by_the_effect_too(effect: str, group: str, again: list[str]) -> None:
-    """At the store, which is of its own group."""
+def test_retries_of_writes_follow_the_effect(effect: str, group: str, again: list[str]) -> None:
+    """Retries go to the store again, which is a group of its own."""
 
     async def test(bed: Bed) -> None:
         client = await bed.client()
@@ -429,7 +431,7 @@
     crossing(test, (), one_way(effect, 2 * 10**9, group))
 
 
-def test_a_spoilt_answer_that_never_ends_goes_with_its_attempt() -> None:
+def test_endless_invalid_answer_ends_with_its_attempt() -> None:
     async def test(bed: Bed) -> None:
         cache, client = bed.caches["a"], await bed.client()
 
@@ -453,8 +455,8 @@
     crossing(test)
 
 
-def test_a_server_that_has_started_anew_under_its_id_is_not_taken_for_the_one_before() -> None:
-    """Its old connections are reset in the turn in which the list tells so; what was asked may have run."""
+def test_restarted_server_with_the_same_id_counts_as_a_new_one() -> None:
+    """Its old connections are reset in the loop iteration of the list's change; requests may have run."""
 
     async def test(bed: Bed) -> None:
         cache, client = bed.caches["a"], await bed.client()
--- a/tests/daemon/test_deadline_propagation.py
+++ b/tests/daemon/test_deadline_propagation.py
@@ -1,4 +1,4 @@
-"""No attempt advertises more time than its client has left, on whatever path it reaches its server."""
+"""No attempt advertises more time than its client has left, on whatever path it is made."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
 
 
 def advertised_too_much(seen: list[Advertised], sent_at: float, timeout_ms: int) -> list[Advertised]:
-    """The attempts that advertised more than was left of a request sent at this time."""
+    """The attempts that advertised more time than was left for a request sent at `sent_at`."""
     return [each for each in seen if each.timeout_ms > left_ms(each, sent_at, timeout_ms)]
 
 
 def left_ms(attempt: Advertised, sent_at: float, timeout_ms: int) -> float:
-    """What was left when an attempt's bytes were written; the virtual clock is a sum of many floats."""
+    """The time left when an attempt's bytes were written; rounded, as the virtual clock adds up floats."""
     return round(timeout_ms - (attempt.at - sent_at) * 1000, 3)
 
 
 def advertised_to(bed: Bed, request: str) -> list[Advertised]:
-    """What every attempt at a request advertised, in the order of time."""
+    """The timeouts that all attempts at a request advertised, in order of time."""
     peers = [*bed.caches.values(), bed.origin]
     return sorted(each for peer in peers for each in peer.advertised if each.request == request)
 
 
 def answer_after(bed: Bed, seconds: float, answer: bytes) -> Callable[[PeerLine, str], None]:
-    """Make a peer that answers everything after a while."""
+    """Return a handler that answers every request after a delay."""
 
     def came(line: PeerLine, name: str) -> None:
         bed.loop.call_later(seconds, line.transport.write, answer)
@@ -49,7 +49,7 @@
 
 
 async def learn_usual_latencies(bed: Bed) -> None:
-    """Serve reads at once for a while, so that a server that is silent afterwards is given up early."""
+    """Serve reads at once for a while, so that attempts at a server that is silent later time out early."""
     for peer in bed.caches.values():
         peer.came = peer.serve
     other = await bed.client()
@@ -173,11 +173,11 @@
     keyed_write_after_error,
     write_that_waits_for_a_dial,
 ]
-"""Each returns the least number of attempts that it makes."""
+"""Each returns the minimum number of attempts that it makes."""
 
 
 @pytest.mark.parametrize("path", PATHS, ids=lambda path: path.__name__)
-def test_every_attempt_advertises_at_most_what_its_client_has_left(
+def test_every_attempt_advertises_at_most_the_time_left(
     path: Callable[[Bed, ClientLine], Awaitable[int]],
 ) -> None:
     async def test(bed: Bed) -> None:
@@ -196,13 +196,13 @@
         assert len(seen) >= least
         assert advertised_too_much(seen, sent_at, CLIENT_TIMEOUT_MS) == []
         assert all(each.timeout_ms >= SHORTEST_TIMEOUT_MS for each in seen)
-        # No less either, but for the millisecond that is cut off: the server may use all that is left.
+        # Nor less, but for the rounding down to milliseconds: the server may use all the time left.
         assert all(each.timeout_ms > left_ms(each, sent_at, CLIENT_TIMEOUT_MS) - 1 for each in seen)
 
     crossing(test, TWO_CACHES, SLOW_DIALS)
 
 
-def test_a_client_s_own_retry_advertises_its_own_time() -> None:
+def test_retry_by_the_client_advertises_its_own_timeout() -> None:
     async def test(bed: Bed) -> None:
         for cache in bed.caches.values():
             cache.came = cache.miss
@@ -220,7 +220,7 @@
     crossing(test, TWO_CACHES)
 
 
-def test_the_origin_gets_every_other_name_unchanged_and_in_its_order() -> None:
+def test_origin_gets_all_other_fields_unchanged_and_in_order() -> None:
     async def test(bed: Bed) -> None:
         heads: list[bytes] = []
         whole = bed.origin.cut
@@ -246,10 +246,10 @@
 
 @pytest.mark.parametrize(("left_us", "is_sent"), [(1500, True), (500, False)])
 @pytest.mark.parametrize("request_class", ["get", "put", "once"])
-def test_with_less_left_than_can_be_advertised_nothing_is_sent(
+def test_nothing_is_sent_with_less_than_a_millisecond_left(
     request_class: str, left_us: int, is_sent: bool
 ) -> None:
-    """The dial comes up in the last moment; the deadline's own timer has not come yet."""
+    """The dial succeeds shortly before the deadline, whose own timer is not due yet."""
 
     async def test(bed: Bed) -> None:
         client = await bed.client()
@@ -271,7 +271,7 @@
 
 
 @pytest.mark.parametrize("request_class", ["get", "put", "once"])
-def test_a_dial_that_comes_up_in_a_hold_up_past_the_deadline_sends_nothing(request_class: str) -> None:
+def test_dial_that_succeeds_in_a_stall_past_the_deadline_sends_nothing(request_class: str) -> None:
     async def test(bed: Bed) -> None:
         client = await bed.client()
         gate = asyncio.Event()
@@ -296,11 +296,11 @@
     crossing(test, facts=SLOW_DIALS)
 
 
-# Reads of many keys
+# Multi-gets
 
 
 def fate_of_batches(place: str, key: str, time: int) -> str:
-    """Some keys are missing, some turned away, one is silent at its first node."""
+    """Some keys miss, some are rejected, and one gets no answer from its first node."""
     if place == "store":
         return "ok"
     if key == "silent" and time == 1:
@@ -308,7 +308,7 @@
     return {"0": "miss", "1": "busy", "2": "slow0.2"}.get(key[-1:], "ok")
 
 
-def test_batches_and_fetches_of_many_keys_advertise_at_most_what_is_left() -> None:
+def test_batches_and_fetches_of_a_multi_get_advertise_the_time_left() -> None:
     async def test(site: Site) -> None:
         client = await site.client()
         sent_at = site.loop.time()
@@ -321,7 +321,7 @@
     on_site(test, fate=fate_of_batches)
 
 
-def test_a_batch_that_waits_for_its_connections_advertises_what_is_left_then() -> None:
+def test_batch_that_waited_for_connections_advertises_the_time_left() -> None:
     async def test(site: Site) -> None:
         client = await site.client()
         for node in site.nodes:
@@ -334,13 +334,13 @@
         await client.answer()
         site.answered["q"] = site.loop.time()
         seen = [each for each in site.advertised if each.request.startswith("q")]
-        assert any(each.at - sent_at > 0.4 for each in seen), "no attempt has waited"
+        assert any(each.at - sent_at > 0.4 for each in seen), "no attempt waited"
         assert advertised_too_much(seen, sent_at, 3000) == []
 
     on_site(test)
 
 
-def test_a_second_copy_advertises_what_is_left() -> None:
+def test_second_copy_advertises_at_most_the_time_left() -> None:
     def fate(place: str, key: str, time: int) -> str:
         return "silent" if key == "slow" and time == 1 else "ok"
 
@@ -358,11 +358,11 @@
     on_site(test, fate=fate)
 
 
-def test_no_batch_is_sent_past_the_deadline_of_its_command() -> None:
+def test_no_batch_is_sent_after_the_deadline_of_its_command() -> None:
     async def test(site: Site) -> None:
         client = await site.client()
         await client.many([f"k{number}" for number in range(40)], "warm")
-        await asyncio.sleep(0.1)  # a connection to every node is at rest: none has to be dialled
+        await asyncio.sleep(0.1)  # every node has an idle connection: no dial is needed
         pool: Any = site.daemon._pool
         submit = pool.submit
         held: list[Any] = []
@@ -383,7 +383,7 @@
     on_site(test)
 
 
-# The arithmetic and the rewriting
+# Computing the remaining time, and rewriting it in the request
 
 
 @given(
@@ -391,7 +391,7 @@
     st.integers(-10 * NS_PER_MS, 10_000 * NS_PER_MS),
     st.integers(1, 10_000),
 )
-def test_what_is_advertised_lies_between_the_least_and_what_is_left(
+def test_advertised_time_is_between_the_minimum_and_the_time_left(
     now: int, left: int, client_timeout_ms: int
 ) -> None:
     advertised = remaining_ms(now + left, now, client_timeout_ms)
@@ -407,7 +407,7 @@
 @given(
     st.lists(st.tuples(names, words), max_size=6), st.integers(0, 6), st.integers(0, 10**9), st.integers(1)
 )
-def test_rewriting_the_time_leaves_all_other_names_and_their_order(
+def test_rewriting_the_timeout_keeps_the_other_fields_and_their_order(
     others: list[tuple[str, str]], place: int, before: int, after: int
 ) -> None:
     def listed(timeout: int) -> bytes:
--- a/tests/daemon/test_deadlines.py
+++ b/tests/daemon/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines that share a timer: none early, none lost, and what is cancelled is let go."""
+"""Tests of the deadlines that share one timer: none is early, none is lost, cancelled ones are freed."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return Deadlines(loop, loop.time_ns)
 
 
-def test_none_comes_early_or_more_than_a_step_late_in_whatever_order_they_are_set() -> None:
+def test_deadlines_added_in_any_order_fire_at_most_a_step_late() -> None:
     async def work(loop: VirtualLoop) -> None:
         deadlines, rng, off = made(loop), random.Random(7), []
         start = loop.time_ns()
@@ -36,7 +36,7 @@
     played(work)
 
 
-def test_one_that_is_set_before_all_others_does_not_wait_for_them() -> None:
+def test_deadline_before_all_others_does_not_wait_for_them() -> None:
     async def work(loop: VirtualLoop) -> None:
         deadlines, seen = made(loop), []
         start = loop.time_ns()
@@ -50,7 +50,7 @@
     played(work)
 
 
-def test_one_set_by_another_s_callback_comes_also_when_it_is_past() -> None:
+def test_past_deadline_added_by_a_callback_fires() -> None:
     async def work(loop: VirtualLoop) -> None:
         deadlines, seen = made(loop), []
         now = loop.time_ns()
@@ -66,7 +66,7 @@
     played(work)
 
 
-def test_a_callback_that_fails_takes_none_with_it(caplog: pytest.LogCaptureFixture) -> None:
+def test_failing_callback_does_not_stop_other_deadlines(caplog: pytest.LogCaptureFixture) -> None:
     async def work(loop: VirtualLoop) -> None:
         deadlines, seen = made(loop), []
         due = loop.time_ns() + MS
@@ -84,7 +84,7 @@
     assert "on purpose" in caplog.text
 
 
-def test_what_is_cancelled_never_comes_and_holds_nothing() -> None:
+def test_cancelled_deadline_never_fires_and_frees_its_callback() -> None:
     class Held:
         def due(self) -> None:
             raise AssertionError("it was cancelled")
@@ -101,7 +101,7 @@
     played(work)
 
 
-def test_on_the_daemon_s_loop_none_comes_early() -> None:
+def test_no_deadline_fires_early_on_the_daemons_loop() -> None:
     async def work() -> None:
         loop = asyncio.get_running_loop()
         assert isinstance(loop, DaemonLoop)
--- a/tests/daemon/test_descriptors.py
+++ b/tests/daemon/test_descriptors.py
@@ -1,4 +1,4 @@
-"""A real process with few descriptors, among clients and callers that connect and stay."""
+"""Tests of the descriptor limit: a router process whose clients and callers stay connected."""
 
 from __future__ import annotations
 
@@ -43,16 +43,16 @@
 )
 
 LIMIT = 160
-# So long that nothing that is held ends by its time on a busy machine.
+# So long that no open request times out on a busy machine.
 LONG = [{**cls, "aimNs": 30 * 10**9, "giveUpNs": 60 * 10**9} for cls in FACTS["classes"]]
 LATER_MS = 60_000
 
 
 class Crowd:
-    """So many connections that stay: whichever the router closes is made anew."""
+    """Connections that stay open; one that the router closes is opened again."""
 
     def __init__(self, port: int, first_words: list[bytes], pause: float = 0.02) -> None:
-        """`first_words`: of each connection, what it sends, or b""; `pause`: before one is made anew."""
+        """`first_words`: what each connection sends, or b""; `pause`: seconds before one is reopened."""
         self._port, self._pause, self._held = port, pause, dict[socket.socket, bytes]()
         self._missing = list(first_words)
         self._ended = threading.Event()
@@ -72,12 +72,12 @@
             for sock in readable:
                 with suppress(OSError):
                     if sock.recv(4096):
-                        continue  # refused, say; it stays
+                        continue  # an error reply, for example: the connection stays
                 sock.close()
                 self._missing.append(self._held.pop(sock))
 
     def close(self) -> None:
-        """End it."""
+        """Close all connections."""
         self._ended.set()
         self._thread.join()
         for sock in self._held:
@@ -85,16 +85,16 @@
 
 
 class Registry(DiscoveryPeer):
-    """Discovery that can go down: its connections break, and nobody listens."""
+    """Discovery that can go down: its connections break, and new ones are refused."""
 
     is_down = False
 
     def go_down(self) -> None:
-        """Break what is open, and refuse."""
+        """Break open connections, and refuse new ones."""
         self.is_down = True
         self.peer.close()
         with self.changed:
-            self.generation += 1  # wakes the watches, which then break
+            self.generation += 1  # wakes the pending watches, whose connections then break
             self.changed.notify_all()
 
     def come_back(self, *entries: dict[str, Any]) -> None:
@@ -110,7 +110,7 @@
 
 
 class Full:
-    """A router with its peers; `let` lets the cache servers answer."""
+    """A router process with its peers; the cache servers answer once `let` is set."""
 
     def __init__(self, folder: Path, told_sockets: int | None) -> None:
         self.let = threading.Event()
@@ -152,17 +152,17 @@
                 self.most = max(self.most, len(os.listdir(f"/proc/{self.process.pid}/fd")))
 
     def open_requests(self) -> int:
-        """Requests that cache servers hold."""
+        """Number of requests that the cache servers have received."""
         return sum(len(peer.seen) for peer in self.caches.values())
 
     def servers_listed(self) -> int:
-        """As the control address tells; 0: its call was cut off by the crowd there."""
+        """Number of listed servers by the control address; 0 if the call was cut off."""
         with suppress(OSError, IndexError):
             return figures(self.ops)["cluster_size"]
         return 0
 
     def end(self) -> None:
-        """End it by SIGTERM."""
+        """Shut it down by SIGTERM."""
         self.let.set()
         self.log = end_by_sigterm(self.process, PATIENCE_S)
         self._counted.set()
@@ -184,12 +184,14 @@
 
 
 def words_of_crowd(count: int) -> list[bytes]:
-    """By turns: says nothing, stops in the midst of a command, asks and stays."""
+    """What each connection sends, by turns: nothing, part of a command, a complete request."""
     return [(b"", get(f"h{n}", f"h{n}")[:25], get(f"c{n}", f"c{n}", d=LATER_MS))[n % 3] for n in range(count)]
 
 
-@pytest.mark.parametrize("told_sockets", [LIMIT, None, 1024], ids=["told", "untold", "told too many"])
-def test_discovery_and_dials_have_descriptors_however_many_stay(
+@pytest.mark.parametrize(
+    "told_sockets", [LIMIT, None, 1024], ids=["configured", "default", "configured above the limit"]
+)
+def test_discovery_and_dials_get_descriptors_despite_many_connections(
     tmp_path: Path, told_sockets: int | None
 ) -> None:
     with full(tmp_path, told_sockets) as made:
@@ -201,8 +203,8 @@
         made.discovery.go_down()
         crowds = [Crowd(made.port, words_of_crowd(2 * LIMIT)), Crowd(made.ops, [b""] * 20, pause=0.3)]
         try:
-            eventually(lambda: made.most >= 140, "a full process")
-            # It keeps on being full while the calls to discovery go on being refused.
+            eventually(lambda: made.most >= 140, "the process is near its descriptor limit")
+            # The process stays near its limit while its calls to discovery are refused.
             seen = made.open_requests()
             newcomer = Peer(lambda _, words: hit(words[1]))
             made.caches["new"] = newcomer
@@ -215,7 +217,7 @@
             numbers = itertools.count()
 
             def reached() -> bool:
-                with suppress(OSError):  # one that is between two requests may have to make room
+                with suppress(OSError):  # an idle connection may be closed to make room
                     client, key = Client(made.port), f"n{next(numbers)}"
                     client.send(get(key, key, d=LATER_MS))
                     answer = client.answer()
@@ -231,11 +233,11 @@
     assert made.most < LIMIT, made.most
 
 
-# The client side alone, in this process
+# The client server alone, in this process
 
 
 class Values:
-    """Answers each request with 8 KiB."""
+    """Replies to each request with 8 KiB."""
 
     ready = True
     lag = NeverPolled()
@@ -254,7 +256,7 @@
 
 
 def on_loop(work: Callable[[ClientServer, Values, int], Awaitable[None]]) -> None:
-    """Play a test on the daemon's own loop, beside a client server with ten places."""
+    """Run a test on the daemon's own loop, with a client server limited to ten connections."""
 
     async def main() -> None:
         loop, host = asyncio.get_running_loop(), Values()
@@ -272,7 +274,7 @@
 
 
 def sockets() -> list[str]:
-    """The sockets of this process, as the system names them."""
+    """The names of this process's open sockets, as /proc lists them."""
     held = []
     for name in os.listdir("/proc/self/fd"):
         with suppress(OSError):
@@ -281,16 +283,16 @@
 
 
 def sockets_held() -> int:
-    """How many there are."""
+    """Number of open sockets of this process."""
     return len(sockets())
 
 
-def test_those_that_wait_at_the_end_are_taken_in_one_after_another() -> None:
-    """The listener is about to close; at no time do newcomers take many descriptors beyond the places."""
+def test_pending_connections_at_shutdown_are_accepted_one_by_one() -> None:
+    """Before the listener closes, pending connections take few descriptors beyond the connection limit."""
 
     async def work(server: ClientServer, host: Values, port: int) -> None:
         crowd = []
-        for _ in range(100):  # all in one turn of the loop: none is accepted meanwhile
+        for _ in range(100):  # in one loop iteration: none is accepted meanwhile
             client = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_S)
             client.sendall(get("r"))
             crowd.append(client)
@@ -307,7 +309,7 @@
     on_loop(work)
 
 
-def test_no_descriptor_for_those_that_wait_at_the_end_is_no_fault() -> None:
+def test_lack_of_descriptors_for_pending_connections_is_no_error() -> None:
     async def work(server: ClientServer, host: Values, port: int) -> None:
         with socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_S) as client:
             client.sendall(get("r"))
@@ -319,12 +321,12 @@
                 assert not server.accept_pending()
             finally:
                 resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-            await until(lambda: host.answered, "who waited is served once there is one")
+            await until(lambda: host.answered, "the pending client is served once a descriptor is free")
 
     on_loop(work)
 
 
-def test_one_that_ends_its_sending_and_reads_nothing_keeps_no_descriptor() -> None:
+def test_half_closed_client_that_reads_nothing_frees_its_descriptor() -> None:
     async def work(server: ClientServer, host: Values, port: int) -> None:
         loop = asyncio.get_running_loop()
         with socket.socket() as client:
@@ -339,11 +341,11 @@
                 host.asked += 1
                 await loop.sock_sendall(client, get(f"r{host.asked}"))
                 await until(lambda: host.answered == host.asked, "an answer")
-                for _ in range(3):  # what the kernel takes has left by then
+                for _ in range(3):  # by then the kernel has accepted what it can
                     await asyncio.sleep(0)
-            assert not connection.blocked, "one that is paused is looked at by a timer"
+            assert not connection.blocked, "a blocked connection would be polled by a timer instead"
             client.shutdown(socket.SHUT_WR)
-            await until(lambda: not server.connected, "its end is heard")
+            await until(lambda: not server.connected, "the disconnect is detected")
             await until(lambda: held not in sockets(), "the descriptor is free")
 
     on_loop(work)
--- a/tests/daemon/test_ends.py
+++ b/tests/daemon/test_ends.py
@@ -1,4 +1,4 @@
-"""A router's end, and clients' ends, that cross requests: each order forced, in virtual time."""
+"""Races of requests with disconnects and with the router's shutdown, each order forced, in virtual time."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from tests.crossings import ADDRESS, LONG_DIALS, Bed, ClientLine, PeerLine, asked, crossing
 from tests.sockets import http_answer
 
-LEFT_S = 0.1  # after which nothing is sent for a client that has left
-KILLED_S = 0.7  # beyond the longest deadline: SIGKILL comes no sooner
+LEFT_S = 0.1  # after a disconnect, from when on nothing may be sent for the client
+KILLED_S = 0.7  # after the longest deadline; SIGKILL comes no sooner
 LONGEST_S = 2.0  # the longest deadline of these tests' settings
 ROOM: Any = {"sockets": 1024.0, "memory_mb": 192.0}
 
@@ -30,7 +30,7 @@
 
 
 class Sender:
-    """A client that sends a request at a stated time, if the router's machine takes it still."""
+    """Sends a request at a given time, if the router's kernel still accepts it."""
 
     def __init__(self, bed: Bed, line: ClientLine, name: str, at: float) -> None:
         self.bed, self.line, self.name = bed, line, name
@@ -42,7 +42,8 @@
             return
         out = counted(self.line).outgoing
         assert out is not None
-        # One that the router has closed in this very turn is a crossing that PROTOCOL leaves to the client.
+        # If the router closes the connection in this loop iteration, the protocol leaves the retry to the
+        # client.
         self.taken = any(
             held.transport.get_extra_info("socket")._sock is out.reader
             for held in self.bed.daemon.clients._connections
@@ -52,11 +53,11 @@
             self.line.transport.write(asked(self.name, key=self.name))
 
 
-# Clients that leave
+# Clients that disconnect
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_nothing_is_sent_for_who_left_while_its_connection_was_not_read(reset: bool) -> None:
+def test_nothing_is_sent_after_the_disconnect_of_a_paused_connection(reset: bool) -> None:
     async def test(bed: Bed) -> None:
         client = await bed.client()
         first = [f"r{i}" for i in range(MAX_PIPELINE)]
@@ -83,7 +84,7 @@
     crossing(test, **ROOM)
 
 
-def test_nothing_is_sent_for_who_left_while_it_took_nothing_of_its_answers() -> None:
+def test_nothing_is_sent_after_the_disconnect_of_a_blocked_connection() -> None:
     async def test(bed: Bed) -> None:
         cache, client = bed.caches["a"], await bed.client()
 
@@ -111,7 +112,7 @@
     crossing(test)
 
 
-def test_what_is_sent_at_once_by_who_goes_is_not_sent_on() -> None:
+def test_commands_sent_right_before_a_disconnect_are_not_forwarded() -> None:
     async def test(bed: Bed) -> None:
         client = await bed.client()
         client.transport.write(b"".join(asked(f"r{i}", key=f"r{i}") for i in range(100)))
@@ -123,8 +124,8 @@
     crossing(test)
 
 
-def test_requests_that_wait_for_places_are_not_sent_once_their_client_has_left() -> None:
-    """More requests than one server may have connections: the rest wait for one of them to come free."""
+def test_requests_queued_for_connections_are_not_sent_after_a_disconnect() -> None:
+    """There are more requests than connections allowed to one server; the rest wait for a free one."""
 
     async def test(bed: Bed) -> None:
         bed.tell("origin", whole=True)
@@ -147,8 +148,8 @@
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_a_connection_that_another_process_could_not_have_is_left_if_its_client_has(reset: bool) -> None:
-    """Its end came while it was on its way, and nobody read it."""
+def test_cancelled_handover_drops_a_connection_whose_client_left(reset: bool) -> None:
+    """The client disconnects during the handover, while nothing reads the connection."""
 
     async def test(bed: Bed) -> None:
         cache, client, clients = bed.caches["a"], await bed.client(), bed.daemon.clients
@@ -174,10 +175,10 @@
     crossing(test)
 
 
-# Places
+# Connection limit and idle timeout
 
 
-def test_a_connection_whose_request_nobody_has_read_makes_no_room() -> None:
+def test_connection_with_an_unread_request_is_not_evicted() -> None:
     async def test(bed: Bed) -> None:
         cache = bed.caches["a"]
         cache.came = cache.serve
@@ -188,7 +189,8 @@
             line.ask(name, key=name)
             await bed.wait(0.1)
         await bed.wait(0.4)
-        # In one turn: a newcomer is accepted first, as the listener is older, and the oldest has just asked.
+        # In one loop iteration; the listener's socket is the oldest, so that the new connection is accepted
+        # before the request is read.
         newcomer = bed.loop.create_task(bed.loop.create_connection(ClientLine, ADDRESS, bed.port))
         old.ask("r3", key="r3")
         await bed.wait(0.1)
@@ -203,7 +205,7 @@
     crossing(test)
 
 
-def test_a_request_that_crosses_the_close_of_an_idle_connection_is_answered() -> None:
+def test_request_sent_as_the_idle_timeout_expires_is_answered() -> None:
     async def test(bed: Bed) -> None:
         cache = bed.caches["a"]
         cache.came = cache.serve
@@ -226,7 +228,7 @@
 
 
 def drain(bed: Bed) -> asyncio.Task[None]:
-    """What the process does at SIGTERM, up to its end."""
+    """Do what the process does from SIGTERM to its exit."""
 
     async def ends() -> None:
         await bed.daemon.drain()
@@ -236,8 +238,8 @@
 
 
 @pytest.mark.parametrize("held_up", [0.0, 0.06])
-def test_every_request_that_crosses_the_end_of_the_router_is_answered(held_up: float) -> None:
-    """Clients send on idle connections, one each millisecond round every step of the drain."""
+def test_every_request_sent_during_the_shutdown_is_answered(held_up: float) -> None:
+    """Clients send on idle connections, one each millisecond, around every step of the drain."""
 
     async def test(bed: Bed) -> None:
         cache = bed.caches["a"]
@@ -264,7 +266,7 @@
 
 
 @pytest.mark.parametrize("held_up", [0.0, 0.06])
-def test_whoever_is_let_in_before_the_listener_closes_is_answered(held_up: float) -> None:
+def test_clients_accepted_before_the_listener_closes_are_answered(held_up: float) -> None:
     async def test(bed: Bed) -> None:
         cache = bed.caches["a"]
         cache.came = cache.serve
@@ -294,7 +296,7 @@
     crossing(test, **ROOM)
 
 
-def test_a_client_that_keeps_its_connection_busy_gets_every_answer_and_then_its_end() -> None:
+def test_busy_client_gets_every_answer_before_its_connection_closes() -> None:
     async def test(bed: Bed) -> None:
         cache = bed.caches["a"]
 
@@ -328,10 +330,8 @@
 
 @pytest.mark.parametrize("d", [100, 1200, 2000, 8000])
 @pytest.mark.parametrize("where", ["cache", "store"])
-def test_servers_that_hang_for_all_of_the_drain_leave_no_request_without_its_answer(
-    d: int, where: str
-) -> None:
-    """Also one whose client waits for longer than its class does: SIGKILL does not wait for it."""
+def test_requests_at_hanging_servers_are_answered_during_the_drain(d: int, where: str) -> None:
+    """Also a request whose own timeout exceeds its class's deadline: SIGKILL does not wait for it."""
 
     async def test(bed: Bed) -> None:
         if where == "store":
@@ -354,7 +354,7 @@
     crossing(test)
 
 
-def test_half_a_command_at_the_end_holds_up_nothing_and_a_whole_one_is_answered() -> None:
+def test_drain_answers_completed_commands_and_drops_partial_ones() -> None:
     async def test(bed: Bed) -> None:
         cache = bed.caches["a"]
         cache.came = cache.serve
@@ -375,8 +375,8 @@
     crossing(test)
 
 
-def test_a_limit_of_time_that_ends_a_request_tells_the_module_too() -> None:
-    """Nothing is sent for it after its final answer, whatever its attempts come to."""
+def test_request_failed_at_the_end_of_the_drain_is_not_retried() -> None:
+    """Nothing is sent for it after its final answer, whatever the outcomes of its attempts."""
 
     async def test(bed: Bed) -> None:
         line = await bed.client()
@@ -392,14 +392,14 @@
     crossing(test)
 
 
-# The term, all of it at once
+# Random disconnects with all of this at once
 
 
 def storm(seed: int) -> tuple[list[str], int]:
-    """Clients leave at any moment while dials hang, reads wait in line, timers run, and reading is paused.
+    """Clients disconnect at random while dials hang, reads are queued, timers run, and reading is paused.
 
-    Returns the requests sent, first or again, more than 0.1 s after their client left, and how many were sent
-    at all.
+    Returns the requests with an attempt sent more than 0.1 s after the disconnect, and the number of requests
+    with any attempt.
     """
     late: list[str] = []
     sent: set[str] = set()
@@ -413,7 +413,7 @@
         cache.came = bed.caches["b"].came = cache.miss
 
         def busy(line: PeerLine, name: str) -> None:
-            # A write is tried again after a pause, a read waits for the next place.
+            # A write is retried after a pause; a read waits for the next free slot of the store.
             delay = draw.uniform(0.0, 0.4)
             bed.loop.call_later(delay, line.transport.write, http_answer(503, b"", "Not-Started: 1"))
 
@@ -453,16 +453,16 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_no_request_is_sent_later_than_the_term_after_its_client_left(seed: int) -> None:
+def test_nothing_is_sent_later_than_allowed_after_a_random_disconnect(seed: int) -> None:
     late, sent = storm(seed)
     assert late == []
     assert sent > 20
 
 
 @pytest.mark.parametrize("broken", ["waits", "paused"])
-def test_the_storm_catches_a_router_that_sends_for_who_has_left(broken: str) -> None:
+def test_random_disconnects_detect_a_router_that_sends_afterwards(broken: str) -> None:
     with ExitStack() as stack:
-        # Each of these is held up a second time: an attempt that begins looks for its client itself.
+        # Disabled in both cases: each attempt checks for its client once more, which hides the fault.
         stack.enter_context(patch.object(ClientConnection, "is_alive", lambda self: True))
         if broken == "waits":
             stack.enter_context(patch.object(attempts.Attempt, "is_wanted", True))
--- a/tests/daemon/test_gathered.py
+++ b/tests/daemon/test_gathered.py
@@ -1,4 +1,4 @@
-"""Bytes for values whose length nobody tells: bounded, and nobody waits for ever."""
+"""Tests of the memory budget for values of unknown length: it is bounded, and no reader waits forever."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Gatherer:
-    """Gathers so many bytes, in steps, while it may read."""
+    """Buffers `need` bytes in steps, while it may read."""
 
     def __init__(self, need: int) -> None:
         self.need, self.reading = need, True
@@ -26,9 +26,7 @@
 
 
 @given(strategies.integers(0, 40), strategies.lists(strategies.integers(1, LONGEST), max_size=12))
-def test_all_are_served_in_the_end_and_little_more_than_the_total_is_held(
-    total: int, needs: list[int]
-) -> None:
+def test_all_readers_finish_and_exceed_the_budget_by_a_step_at_most(total: int, needs: list[int]) -> None:
     budget, open_ones = GatherBudget(total, LONGEST), [Gatherer(need) for need in needs]
     while open_ones:
         moved = False
@@ -38,16 +36,16 @@
             moved = True
             budget.take(each, min(STEP, each.need))
             each.need -= min(STEP, each.need)
-            # What has come can't be sent back: a step for each reader at most is over the total.
+            # Received bytes can't be rejected: each reader may exceed the budget by one step.
             assert budget.held <= max(total, LONGEST) + STEP * len(needs)
             if not each.need:
                 open_ones.remove(each)
                 budget.release(each)
-        assert moved, "all of them wait for one another"
+        assert moved, "all readers wait for one another"
     assert budget.held == 0
 
 
-def test_one_that_waits_and_leaves_makes_no_trouble() -> None:
+def test_reader_that_leaves_while_waiting_blocks_no_other() -> None:
     budget, first, second, third = GatherBudget(LONGEST, LONGEST), Gatherer(8), Gatherer(8), Gatherer(8)
     for each in (first, second, third):
         budget.take(each, STEP)
--- a/tests/daemon/test_gone.py
+++ b/tests/daemon/test_gone.py
@@ -1,8 +1,8 @@
-"""No attempt begins for a client that went more than 0.1 s ago, whatever it waited for.
+"""No attempt begins for a client that disconnected more than 0.1 s ago, whatever the attempt waited for.
 
-Each way in which an attempt can begin is held up for 0.2 s right before it, as by a late loop or a process
-without CPU; the client's end comes as the hold-up begins. With a client that stays the same attempt has to
-begin, so that each test is seen to reach it.
+The event loop is stalled for 0.2 s right before each place where an attempt can begin, as in a process
+without CPU; the client disconnects as the stall begins. If the client stays instead, the same attempt has to
+begin, which proves that the test reaches that place.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 from tests.multi_get.site import Site, on_site
 from tests.sockets import bulk, http_answer
 
-GONE_S = 0.1  # after which nothing begins for a client that has gone
+GONE_S = 0.1  # after a disconnect, from when on no attempt may begin for the client
 HOLD_S = 0.2
 TWO = ("a", "b")
 
 
 class HoldUp:
-    """Holds the loop up, once; the client may end its sending as that begins."""
+    """Stalls the loop once; the client may shut down its sending side as the stall begins."""
 
     def __init__(self, loop: Any, raw: socket.socket, leaves: bool) -> None:
         self._loop, self._raw, self._leaves = loop, raw, leaves
@@ -49,7 +49,7 @@
 
 
 def before_send(host: Any, name: str, nth: int, hold: HoldUp) -> None:
-    """Hold up between the module's decision and the nth attempt at this request."""
+    """Stall between the decision module's action and the nth attempt at this request."""
     whole, seen = host._router.handle, [0]
 
     def handle(event: Any, now: int) -> Any:
@@ -65,7 +65,7 @@
 
 
 def before_call(owner: Any, method: str, hold: HoldUp, when: Callable[..., bool] = lambda *_: True) -> None:
-    """Hold up right before this method of an object."""
+    """Stall right before a call of this method of an object."""
     whole = getattr(owner, method)
 
     def call(*args: Any) -> Any:
@@ -77,7 +77,7 @@
 
 
 async def warm(bed: Bed) -> None:
-    """Leave a rested connection to every server: nothing has to be dialled."""
+    """Leave a reusable idle connection to every server, so that no dial is needed."""
     line = await bed.client()
     served = [bed.origin, *bed.caches.values()]
     for peer in served:
@@ -93,13 +93,13 @@
 
 
 async def paused(bed: Bed, line: ClientLine, request: bytes) -> None:
-    """Send a request, and so much behind it that the connection is read no longer."""
+    """Send a request, and so many commands after it that the connection is no longer read."""
     line.transport.write(request + bulk(b"PING") * (MAX_PIPELINE - 1))
     await bed.settle()
 
 
 class Kind:
-    """What a way to begin needs: the request under test is `r`, its client has just connected."""
+    """What each way to begin an attempt needs: the request under test is `r`, its client just connected."""
 
     def __init__(self, bed: Bed, line: ClientLine, hold: HoldUp, is_paused: bool) -> None:
         self.bed, self.line, self.hold, self.is_paused = bed, line, hold, is_paused
@@ -120,7 +120,7 @@
 
 
 async def first_in_one_read(kind: Kind) -> None:
-    """The command itself comes in the hold-up, and its client's end behind it."""
+    """The command itself arrives in the stall, followed by its client's disconnect."""
     kind.line.transport.write(asked("r"))
     kind.hold()
 
@@ -134,7 +134,7 @@
 
 
 async def retry(kind: Kind) -> None:
-    """Another server is asked after one has turned it away."""
+    """Another server is tried after one has rejected the request."""
     caches = kind.bed.caches.values()
 
     def busy(line: PeerLine, name: str) -> None:
@@ -160,7 +160,7 @@
 
 
 async def rest(kind: Kind) -> None:
-    """It waits for a connection that has brought an answer just now."""
+    """It waits for a connection that has just delivered an answer."""
     bed = kind.bed
     for cache in bed.caches.values():
         cache.came = cache.serve
@@ -173,7 +173,7 @@
 
 
 async def store(kind: Kind) -> None:
-    """It waits in line for the store, behind another fetch."""
+    """It is queued for the store, behind another fetch."""
     bed = kind.bed
     for cache in bed.caches.values():
         cache.came = cache.miss
@@ -189,7 +189,7 @@
 
 
 async def timer(kind: Kind) -> None:
-    """A write that the store turned away is tried again after a pause."""
+    """A write that the store rejected is retried after a pause."""
 
     def busy(line: PeerLine, name: str) -> None:
         line.transport.write(http_answer(503, b"", "Not-Started: 1"))
@@ -214,7 +214,7 @@
 @pytest.mark.parametrize("leaves", [True, False])
 @pytest.mark.parametrize(
     ("name", "is_paused"),
-    # A first attempt begins with the reading of its command: where that is paused the next test looks.
+    # A first attempt begins when its command is read; the next test covers paused reading.
     [
         (name, is_paused)
         for name in KINDS
@@ -222,7 +222,7 @@
         if not is_paused or "first" not in name
     ],
 )
-def test_no_attempt_begins_for_a_client_that_went_in_a_hold_up(
+def test_no_attempt_begins_for_a_client_that_left_in_a_stall(
     name: str, is_paused: bool, leaves: bool
 ) -> None:
     async def test(bed: Bed) -> None:
@@ -242,7 +242,7 @@
 
 
 @pytest.mark.parametrize("leaves", [True, False])
-def test_what_came_while_reading_was_paused_is_not_sent_for_who_went_in_a_hold_up(leaves: bool) -> None:
+def test_command_unread_in_a_pause_is_not_sent_after_the_disconnect(leaves: bool) -> None:
     async def test(bed: Bed) -> None:
         await warm(bed)
         line = await bed.client()
@@ -263,8 +263,8 @@
 
 
 @pytest.mark.parametrize("leaves", [True, False])
-def test_a_command_that_waited_to_be_accepted_is_not_sent_for_who_has_gone(leaves: bool) -> None:
-    """Connect, command and end all come while the loop is held up."""
+def test_command_on_a_pending_connection_is_not_sent_after_the_disconnect(leaves: bool) -> None:
+    """The connection, the command and the disconnect all arrive while the loop is stalled."""
 
     async def test(bed: Bed) -> None:
         await warm(bed)
@@ -282,20 +282,20 @@
     crossing(test, TWO)
 
 
-# Reads of many keys
+# Multi-gets
 
 
 @pytest.mark.parametrize("leaves", [True, False])
 @pytest.mark.parametrize("is_paused", [False, True], ids=["read", "paused"])
 @pytest.mark.parametrize("where", ["submit", "opened"])
-def test_no_part_of_many_keys_begins_for_a_client_that_went_in_a_hold_up(
+def test_no_batch_of_a_multi_get_begins_for_a_client_that_left(
     where: str, is_paused: bool, leaves: bool
 ) -> None:
-    """The first part, and the first one that waited for a dial; one look serves all keys."""
+    """The first batch, and the first that waited for a dial; one poll of the client serves all keys."""
 
     async def test(site: Site) -> None:
         client = await site.client()
-        if where == "submit":  # else connections come up one by one, and the end is heard meanwhile
+        if where == "submit":  # otherwise dials succeed one by one, and the disconnect is read meanwhile
             await client.many([f"k{number}" for number in range(40)], "warm")
         await asyncio.sleep(0.3)
         held = len(site.attempts)
@@ -319,7 +319,7 @@
 
 @pytest.mark.parametrize("leaves", [True, False])
 @pytest.mark.parametrize("is_paused", [False, True], ids=["read", "paused"])
-def test_no_second_copy_begins_for_a_client_that_went_in_a_hold_up(is_paused: bool, leaves: bool) -> None:
+def test_no_second_copy_begins_for_a_client_that_left(is_paused: bool, leaves: bool) -> None:
     def fate(place: str, key: str, time: int) -> str:
         return "silent" if key == "slow" and time == 1 else "ok"
 
@@ -343,8 +343,8 @@
 
 
 @pytest.mark.parametrize("leaves", [True, False])
-def test_no_fetch_for_a_key_of_many_begins_for_a_client_that_went_in_a_hold_up(leaves: bool) -> None:
-    """Nor a further one in its command's name, as each that is let go gives its place to the next."""
+def test_no_fetch_of_a_multi_get_begins_for_a_client_that_left(leaves: bool) -> None:
+    """Nor do further fetches of the command, although each dropped one frees its slot for the next."""
 
     async def test(site: Site) -> None:
         client = await site.client()
@@ -361,11 +361,11 @@
     on_site(test, fate=lambda place, key, time: "ok" if place == "store" else "miss")
 
 
-# Several that wait for one fetch
+# Several requests that wait for one fetch
 
 
 @pytest.mark.parametrize("stays", [True, False])
-def test_a_fetch_that_has_not_begun_goes_on_in_the_name_of_who_still_waits(stays: bool) -> None:
+def test_unsent_fetch_continues_for_a_client_that_still_waits(stays: bool) -> None:
     async def test(bed: Bed) -> None:
         await warm(bed)
         cache = bed.caches["a"]
@@ -397,8 +397,8 @@
     crossing(test, facts=LONG_DIALS)
 
 
-def test_who_takes_over_a_fetch_from_the_same_client_has_gone_with_it() -> None:
-    """The end of a connection lets its requests go one by one: nothing is sent for the next meanwhile."""
+def test_fetch_does_not_pass_to_another_request_of_a_client_that_left() -> None:
+    """A disconnect drops the connection's requests one by one: nothing is sent for the next meanwhile."""
 
     async def test(bed: Bed) -> None:
         await warm(bed)
@@ -424,8 +424,8 @@
     crossing(test)
 
 
-def test_an_id_that_is_used_again_in_the_turn_of_its_client_s_end_is_answered() -> None:
-    """The end of the connection, a turn later, does not let the new request go."""
+def test_id_reused_in_the_loop_iteration_of_a_disconnect_is_answered() -> None:
+    """The close of the old connection, a loop iteration later, does not drop the new request."""
 
     async def test(bed: Bed) -> None:
         await warm(bed)
@@ -445,11 +445,11 @@
     crossing(test)
 
 
-# What it costs
+# The number of polls
 
 
-def test_a_client_that_was_heard_just_now_is_not_looked_at() -> None:
-    """Looks are for old news: none on the way of a request where the loop is on time."""
+def test_recently_read_client_is_not_polled() -> None:
+    """Only clients that were not read lately are polled: none while the loop is on time."""
 
     async def test(bed: Bed) -> None:
         await warm(bed)
@@ -468,13 +468,13 @@
                 line.ask(f"r{number}", key=f"k{number}")
                 await bed.wait(0.015)
         assert len(line.answers()) == 200
-        assert len(looked) == 1, "the first command of a connection"
+        assert len(looked) == 1, "only for the first command of the connection"
 
     crossing(test)
 
 
-def test_a_busy_connection_is_looked_at_once_in_a_while() -> None:
-    """Behind bytes that come in every turn an end can't be told: the kernel is asked each 50 ms."""
+def test_busy_connection_is_polled_every_50_ms() -> None:
+    """Behind bytes that arrive in every loop iteration only a poll of the socket finds a disconnect."""
 
     async def test(bed: Bed) -> None:
         await warm(bed)
--- a/tests/daemon/test_greetings.py
+++ b/tests/daemon/test_greetings.py
@@ -1,4 +1,4 @@
-"""Clients as people have them: their handshake word by word, and redis-py with its default settings."""
+"""The session commands of common clients, one by one, and redis-py with its default settings."""
 
 from __future__ import annotations
 
@@ -50,17 +50,17 @@
         ("CLIENT KILL 3", b"-ERR unknown subcommand or wrong number of arguments for 'client' command\r\n"),
     ],
 )
-def test_what_clients_say_and_are_answered(text: str, answer: bytes) -> None:
+def test_session_commands_get_their_replies(text: str, answer: bytes) -> None:
     assert said(text) == answer
 
 
 @pytest.mark.parametrize("text", ["FLUSHALL", "GET k", "MGET a b", "KV.DEL k", "SUBSCRIBE x"])
-def test_what_a_router_does_not_know_is_left_to_its_one_error(text: str) -> None:
+def test_unknown_command_raises_an_error(text: str) -> None:
     with pytest.raises(UnknownCommandError):
         said(text)
 
 
-def test_hello_tells_its_facts_in_the_form_of_the_protocol_that_it_sets() -> None:
+def test_hello_replies_in_the_protocol_version_that_it_sets() -> None:
     client = ClientSession(7)
     two, three = said("HELLO 2", client), said("HELLO 3 SETNAME me", client)
     assert two.startswith(b"*14\r\n")
@@ -74,14 +74,14 @@
     assert (client.protocol, client.name) == (2, b"")
 
 
-def test_a_hello_that_fails_changes_nothing() -> None:
+def test_failed_hello_leaves_the_session_unchanged() -> None:
     client = ClientSession(7)
     for text in ("HELLO 9", "HELLO 3 AUTH a b", "HELLO 3 SETNAME", "HELLO 3 SETNAME é"):
         assert said(text, client).startswith(b"-")
         assert (client.protocol, client.name) == (2, b"")
 
 
-def test_before_its_first_list_a_router_says_that_it_is_loading() -> None:
+def test_router_without_an_endpoint_list_reports_loading() -> None:
     assert said("PING", ready=False) == b"-LOADING no list of servers yet\r\n"
     assert b"\r\nloading:1\r\n" in said("INFO", ready=False)
     assert b"\r\nloading:0\r\n" in said("INFO server")
@@ -89,7 +89,7 @@
 
 @pytest.fixture
 def running(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Routed]:
-    """A router with reads of many keys, over one node that holds all but `none`, which nobody has."""
+    """A router with multi-gets, over one node that has every key but `none`, which the store lacks too."""
     operator = tmp_path / "operator.toml"
     operator.write_text("[many_keys]\n")
     monkeypatch.setenv("PEBBLEPASS_OPERATOR", str(operator))
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("protocol", [None, 2, 3])
-def test_redis_py_as_it_comes(running: Routed, protocol: int | None) -> None:
+def test_redis_py_with_default_settings(running: Routed, protocol: int | None) -> None:
     more: dict[str, Any] = {} if protocol is None else {"protocol": protocol}
     with redis.Redis(port=running.port, client_name="me", **more) as client:
         assert client.ping()
@@ -147,7 +147,7 @@
     asyncio.run(run())
 
 
-def test_none_of_it_is_a_request_and_quit_ends_the_connection(running: Routed) -> None:
+def test_quit_after_hello_closes_the_connection(running: Routed) -> None:
     client = Client(running.port)
     client.send(bulk(b"HELLO", b"2") + bulk(b"QUIT"))
     assert client.answer() == b"*14"
@@ -156,7 +156,7 @@
     assert client.at_end()
 
 
-def test_without_the_section_the_command_is_unknown_and_long_lists_close(tmp_path: Path) -> None:
+def test_unconfigured_multi_get_is_unknown_and_a_long_one_is_rejected(tmp_path: Path) -> None:
     with routed(tmp_path, {"s0": Peer(lambda _, words: hit(b"v"))}) as running:
         client = running.client()
         assert client.ask(bulk(b"KV.MGET", b"1", b"a", b"q", INFO.encode())) == b"-ERR unknown command"
--- a/tests/daemon/test_lag.py
+++ b/tests/daemon/test_lag.py
@@ -1,4 +1,4 @@
-"""How late the loop runs, and what its own lateness is not held against."""
+"""Tests of the event loop's lag, and of `after_poll`, which keeps it from being blamed on servers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 HOST = "127.0.0.1"
 
 
-def test_a_hold_up_is_told_and_forgotten_after_a_while() -> None:
+def test_peak_lag_is_reported_and_expires_after_its_window() -> None:
     async def work(loop: VirtualLoop) -> None:
         told: list[int] = []
         lag = LoopLag(loop, loop.time_ns, told.append)
@@ -19,7 +19,7 @@
         assert (told, lag.total(loop.time_ns())) == ([], 0)
         loop.stall(0.05)
         assert told == []
-        assert 0.029e9 <= lag.total(loop.time_ns()) <= 0.05e9  # known before the beat tells it
+        assert 0.029e9 <= lag.total(loop.time_ns()) <= 0.05e9  # included before the heartbeat reports it
         await asyncio.sleep(HEARTBEAT_NS / 1e9)
         assert 0.029e9 <= told[-1] <= 0.05e9
         assert lag.total(loop.time_ns()) == told[-1]
@@ -33,8 +33,8 @@
     played(work)
 
 
-def test_what_comes_in_a_hold_up_is_read_before_a_timer_s_verdict() -> None:
-    """The answer's timer and the verdict's are both due when the hold-up ends."""
+def test_input_received_in_a_stall_is_read_before_the_callback() -> None:
+    """The timers of the answer and of the callback are both due when the stall ends."""
 
     async def work(loop: VirtualLoop) -> None:
         seen: list[str] = []
--- a/tests/daemon/test_large_fleet.py
+++ b/tests/daemon/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""One real router, with 1,100 peers and 1,100 cache servers: start, memory, a list, a change of all."""
+"""A router process with 1,100 peers and 1,100 cache servers: start, memory and changes of the list."""
 
 from __future__ import annotations
 
@@ -35,9 +35,9 @@
 SERVERS = PEERS = 1100
 KEYS = 300
 ACTIVE_CLIENT_INTERVAL_S = 0.2
-READY_S = 10.0  # in which nine in ten restarted routers have to be ready
-LIMIT_MB = 192  # over which the platform kills a router
-PRICED_KB = LIMIT_MB * 1024 // 2  # memory over half of the limit is priced
+READY_S = 10.0  # within which nine in ten restarted routers have to be ready
+LIMIT_MB = 192  # above it the platform kills a router
+PRICED_KB = LIMIT_MB * 1024 // 2  # the platform charges for memory above half of the limit
 
 
 def addresses(count: int) -> list[str]:
@@ -65,7 +65,7 @@
 
 @contextmanager
 def running(folder: Path, discovery: DiscoveryPeer, known: list[dict[str, Any]]) -> Iterator[Routed]:
-    """A router that is ready in time, and that ends well."""
+    """Run a router; checks that it is ready in time, and that it exits without an error."""
     port = take_port()
     began = time.monotonic()
     process = start_router(folder, configuration(discovery, port, known))
@@ -82,7 +82,7 @@
 
 
 def peak_kb(router: Routed, when: str) -> int:
-    """The most memory that it has held so far; printed, with its CPU so far."""
+    """The router's peak memory so far; prints it with its CPU time so far."""
     status = Path(f"/proc/{router.process.pid}/status").read_text()
     peak = int(status.split("VmHWM:")[1].split()[0])
     used = Path(f"/proc/{router.process.pid}/stat").read_text().rpartition(") ")[2].split()[11:13]
@@ -92,7 +92,7 @@
 
 
 def asks_for(discovery: DiscoveryPeer, generation: int) -> bool:
-    """Whether the router has taken this list: its next call names the version."""
+    """Whether the router has applied this list: its next call to discovery names the generation."""
     return any(f"index={generation}&".encode() in message[1] for message in list(discovery.peer.seen))
 
 
@@ -104,14 +104,14 @@
     client.close()
 
 
-def test_a_router_bears_1100_servers_and_1100_peers(tmp_path: Path) -> None:
+def test_router_with_1100_servers_and_1100_peers_stays_within_limits(tmp_path: Path) -> None:
     def answer(value: bytes) -> Peer:
         return Peer(lambda _, words: hit(value))
 
     first, second = answer(b"first"), answer(b"second")
     discovery = DiscoveryPeer(servers(first))
     with running(tmp_path, discovery, servers(first)) as router:
-        eventually(lambda: asks_for(discovery, 1), "the whole list is taken")
+        eventually(lambda: asks_for(discovery, 1), "the full list is applied")
         peaks = [peak_kb(router, "with the whole list")]
         answers(router, b"first", "a")
         peaks.append(peak_kb(router, f"after {KEYS} keys"))
@@ -119,8 +119,8 @@
 
         began = time.monotonic()
         discovery.change(*servers(second, started_ms=int(time.time() * 1000) - 60_000))
-        eventually(lambda: asks_for(discovery, 2), "the change of all is taken")
-        print(f"a change of all {SERVERS} taken after {time.monotonic() - began:.3f} s")
+        eventually(lambda: asks_for(discovery, 2), "the change of all servers is applied")
+        print(f"a change of all {SERVERS} servers applied after {time.monotonic() - began:.3f} s")
         seen = len(first.seen)
         answers(router, b"second", "b")
         peaks.append(peak_kb(router, f"after the change and {KEYS} keys"))
@@ -131,7 +131,7 @@
 
 
 def start_beside_active_clients(made: Site, clients: list[Client]) -> tuple[subprocess.Popen[str], int]:
-    """Start a process while the clients go on asking: one that is idle for 2 s is closed, as it should be."""
+    """Start a process while the clients keep sending: a connection that is idle for 2 s would be closed."""
     with ThreadPoolExecutor(max_workers=1) as executor:
         started = executor.submit(made.start)
         for turn in itertools.count():
@@ -142,8 +142,8 @@
         return started.result()
 
 
-def test_an_upgrade_before_1100_servers_goes_on_with_all_of_them(tmp_path: Path) -> None:
-    """The successor has the list from the older process: discovery says nothing of use meanwhile."""
+def test_upgrade_with_1100_servers_keeps_them_all(tmp_path: Path) -> None:
+    """The successor gets the list from the old process: discovery only returns errors meanwhile."""
     peer = Peer(lambda _, words: hit(b"v"))
     with site(tmp_path, {f"s-{number:08x}": peer for number in range(SERVERS)}) as made:
         old, _ = made.start()
--- a/tests/daemon/test_late_connections.py
+++ b/tests/daemon/test_late_connections.py
@@ -1,4 +1,4 @@
-"""Connections that come up late or never, one by one: what they tell of their server."""
+"""What refused connections and dials that time out say about the health of their server."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.sockets import FACTS
 
 S = 10**9
-DIALS_NS = (S // 2, S + S // 5)  # below the aim, and above it: an attempt that waited for it is late
+DIALS_NS = (S // 2, S + S // 5)  # below and above the latency target: an attempt that waited is late
 
 
 def dials(timeout_ns: int) -> dict[str, object]:
@@ -18,12 +18,12 @@
 
 
 def held_dead(bed: Bed) -> list[str]:
-    """The caches that get next to nothing."""
+    """The caches that the router avoids: they get hardly any requests."""
     return list(bed.host._router.avoided(bed.host.now()))
 
 
 async def one_runs_out(bed: Bed, client: ClientLine, name: str, timeout_ns: int) -> None:
-    """Ask for what is at the one cache, to which no connection comes up."""
+    """Send a request to the only cache, to which no dial succeeds, and wait until the dial times out."""
     client.ask(name, d=5000)
     await bed.wait(timeout_ns / S + 0.1)
     client_left = bed.host._requests.get(name)
@@ -31,12 +31,12 @@
 
 
 @pytest.mark.parametrize("timeout_ns", DIALS_NS)
-def test_one_connection_that_does_not_come_up_takes_no_server_out(timeout_ns: int) -> None:
+def test_single_dial_timeout_does_not_eject_the_server(timeout_ns: int) -> None:
     async def test(bed: Bed) -> None:
         cache = bed.caches["a"]
         cache.came, bed.origin.came = cache.serve, bed.origin.serve
         client = await bed.client()
-        for round_ in range(3):  # heard in between: each is the first one again
+        for round_ in range(3):  # the server answers in between, so that each timeout is the first again
             gate = bed.loop.gates[cache.address] = asyncio.Event()
             await one_runs_out(bed, client, f"late{round_}", timeout_ns)
             assert held_dead(bed) == []
@@ -45,14 +45,14 @@
             client.ask(f"well{round_}")
             await bed.settle()
             assert cache.names[-1] == f"well{round_}"
-            cache.lines[0].transport.close()  # so that the next one needs a connection again
+            cache.lines[0].transport.close()  # so that the next request needs a dial
             await bed.wait(0.1)
 
     crossing(test, facts=dials(timeout_ns))
 
 
 @pytest.mark.parametrize("timeout_ns", DIALS_NS)
-def test_connections_that_run_out_side_by_side_count_as_one(timeout_ns: int) -> None:
+def test_concurrent_dial_timeouts_count_as_one(timeout_ns: int) -> None:
     async def test(bed: Bed) -> None:
         bed.origin.came = bed.origin.serve
         client, other = await bed.client(), await bed.client()
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("timeout_ns", DIALS_NS)
-def test_a_server_to_which_two_in_a_row_do_not_come_up_is_held_dead(timeout_ns: int) -> None:
+def test_two_consecutive_dial_timeouts_eject_the_server(timeout_ns: int) -> None:
     async def test(bed: Bed) -> None:
         bed.origin.came = bed.origin.serve
         client = await bed.client()
@@ -78,7 +78,7 @@
     crossing(test, facts=dials(timeout_ns))
 
 
-def test_a_server_that_refuses_a_connection_is_held_dead_at_once() -> None:
+def test_refused_connection_ejects_the_server_at_once() -> None:
     async def test(bed: Bed) -> None:
         bed.origin.came = bed.origin.serve
         client = await bed.client()
@@ -95,14 +95,14 @@
     crossing(test)
 
 
-def test_a_fetch_whose_connection_does_not_come_up_is_made_again_and_cuts_nobody() -> None:
+def test_dial_timeout_of_a_fetch_does_not_reduce_the_fetch_window() -> None:
     async def test(bed: Bed) -> None:
         cache = bed.caches["a"]
         cache.came, bed.origin.came = cache.miss, bed.origin.serve
         client = await bed.client()
         gate = bed.loop.gates[bed.origin.address] = asyncio.Event()
         client.ask("r", d=5000)
-        await bed.wait(1.25)  # the dial ran out after 1.2 s, later than the aim
+        await bed.wait(1.25)  # the dial timed out after 1.2 s, above the latency target
         gate.set()
         await bed.wait(0.1)
         assert client.answers() == [b"value of r"]
--- a/tests/daemon/test_limits.py
+++ b/tests/daemon/test_limits.py
@@ -1,4 +1,4 @@
-"""Long values, floods, restarts and configuration of the real router, over loopback sockets."""
+"""Tests of a router process: long values, heavy load, shutdown, invalid configuration and reloads."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 LONG = bytes(range(256)) * 4096 * 2  # 2 MiB
 
 
-def test_long_value_passes_through_whole_and_the_connection_goes_on(tmp_path: Path) -> None:
+def test_long_value_is_complete_and_its_connection_is_reused(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(LONG if words[1] == b"long" else b"short"))
     with routed(tmp_path, {"s1": cache}) as router:
         client = router.client()
@@ -49,7 +49,7 @@
         assert cache.accepted == 1
 
 
-def test_long_value_of_the_origin_passes_through_whole(tmp_path: Path) -> None:
+def test_long_value_of_the_origin_is_complete(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n")
     origin = Peer(lambda _, words: http_answer(200, LONG), True)
     with routed(tmp_path, {"s1": cache}, origin) as router:
@@ -59,7 +59,7 @@
         assert origin.accepted == 1
 
 
-def test_long_value_that_breaks_off_ends_visibly_incomplete(tmp_path: Path) -> None:
+def test_truncated_long_value_ends_visibly_incomplete(tmp_path: Path) -> None:
     def answer(connection: socket.socket, words: list[bytes]) -> bytes:
         connection.sendall(hit(LONG)[: len(LONG) // 2])
         connection.shutdown(socket.SHUT_RDWR)
@@ -73,8 +73,8 @@
         assert router.client().ask(bulk(b"PING")) == b"+PONG"
 
 
-def test_long_value_of_another_length_than_told_ends_visibly_incomplete(tmp_path: Path) -> None:
-    # What follows the length that was told can be read as the rest of the answer.
+def test_long_value_of_a_wrong_length_ends_visibly_incomplete(tmp_path: Path) -> None:
+    # The bytes after the announced length can be parsed as the rest of the answer.
     told = b"*3\r\n$%d\r\n" % len(LONG) + LONG + b"xx+of\r\n$3\r\nhit\r\n$-1\r\n"
     cache = Peer(lambda _, words: told)
     with routed(tmp_path, {"s1": cache}) as router:
@@ -85,7 +85,7 @@
         assert router.client().ask(bulk(b"PING")) == b"+PONG"
 
 
-def test_long_value_waits_for_the_answers_before_it(tmp_path: Path) -> None:
+def test_long_value_waits_for_earlier_answers(tmp_path: Path) -> None:
     begun = threading.Event()
 
     def answer(_: socket.socket, words: list[bytes]) -> bytes:
@@ -103,16 +103,16 @@
         assert client.answer() == LONG
 
 
-def test_many_long_values_for_clients_that_never_read_stay_within_memory(tmp_path: Path) -> None:
+def test_long_values_for_clients_that_never_read_stay_within_memory(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(LONG * 2))
     with routed(tmp_path, {"s1": cache}) as router:
         before = router.memory_kb()
-        clients = [router.client() for _ in range(15)]  # as many as may have an attempt at one server
+        clients = [router.client() for _ in range(15)]  # the maximum number of attempts at one server
         for i, client in enumerate(clients):
             client.send(get(f"l{i}", f"k{i}"))
         eventually(lambda: len(cache.seen) == len(clients), "all attempts")
         assert router.client().ask(bulk(b"PING")) == b"+PONG"
-        assert router.memory_kb() - before < 15 * 1024  # of 60 MiB that are on their way
+        assert router.memory_kb() - before < 15 * 1024  # of 60 MiB in transit
         for client in clients:
             client.close()
 
@@ -122,7 +122,7 @@
     limits = {"cores": 1.0, "memory_mb": 32, "sockets": 512}
     value = bytes(64 << 10)
     with routed(tmp_path, {}, origin, limits=limits) as router:
-        stuck = [router.client() for _ in range(120)]  # more than what is set aside is enough for
+        stuck = [router.client() for _ in range(120)]  # more than the memory for long commands suffices for
         for i, client in enumerate(stuck):
             client.send(put(f"stuck{i}", value)[:1000])
         answers: list[bytes] = []
@@ -151,7 +151,7 @@
         assert [client.answer() for _ in range(600)] == [b"r%d" % i for i in range(600)]
 
 
-def test_connection_that_the_server_closed_meanwhile_costs_a_safe_read_nothing(tmp_path: Path) -> None:
+def test_connection_reset_by_its_server_does_not_fail_a_safe_read(tmp_path: Path) -> None:
     def answer(connection: socket.socket, words: list[bytes]) -> bytes | None:
         connection.sendall(hit(words[2]))
         reset(connection)
@@ -165,7 +165,7 @@
 
 
 def _asking(router_port: int, stop: threading.Event, lost: list[str], served: list[str], name: str) -> None:
-    """A client that follows the protocol: a close between requests is met with a new connection."""
+    """Send requests as the protocol requires: after a close between requests on a new connection."""
     client, i = Client(router_port), 0
     while not stop.is_set():
         i += 1
@@ -177,12 +177,12 @@
             try:
                 client = Client(router_port)
             except OSError:
-                return  # the router has gone, with nothing of ours
+                return  # the router has exited, with no request of this client open
             continue
         (served if answer == f"{name}.{i}".encode() else lost).append(answer.decode())
 
 
-def test_sigterm_under_load_answers_all_that_was_taken(tmp_path: Path) -> None:
+def test_sigterm_under_load_answers_all_accepted_requests(tmp_path: Path) -> None:
     def answer(_: socket.socket, words: list[bytes]) -> bytes:
         threading.Event().wait(0.02)
         return hit(words[2])
@@ -200,7 +200,7 @@
         slow = router.client()
         slow.send(get("taken"))
         router.terminate()
-        late = router.client()  # it still accepts for a while
+        late = router.client()  # it still accepts connections for a while
         assert late.ask(get("late")) == b"late"
         assert slow.answer() == b"taken"
         assert router.process.wait(PATIENCE_S) == 0
@@ -224,7 +224,7 @@
 
 
 @pytest.mark.parametrize(("text", "words"), list(_bad_configs()))
-def test_bad_configuration_is_one_plain_line(tmp_path: Path, text: str | None, words: str) -> None:
+def test_invalid_configuration_is_reported_in_one_line(tmp_path: Path, text: str | None, words: str) -> None:
     environ = {key: value for key, value in os.environ.items() if not key.startswith("LB_")}
     if text is not None:
         (tmp_path / "config.json").write_text(text)
@@ -243,7 +243,7 @@
     assert words in result.stderr
 
 
-def test_clients_and_servers_keep_to_the_descriptors_together(tmp_path: Path) -> None:
+def test_clients_and_servers_together_stay_within_the_descriptors(tmp_path: Path) -> None:
     release = threading.Event()
 
     def answer(_: socket.socket, words: list[bytes]) -> bytes:
@@ -258,7 +258,7 @@
             clients.append(router.client())
             with contextlib.suppress(OSError):  # one over the limit is closed
                 clients[-1].send(get(f"r{i}", f"k{i}", 15_000))
-        assert clients[-1].at_end()  # by then all that are taken in are taken in
+        assert clients[-1].at_end()  # by then every connection within the limit is accepted
         eventually(lambda: sum(len(cache.seen) for cache in caches.values()) > 40, "load on both sides")
         assert router.descriptors() <= limit
         release.set()
@@ -273,7 +273,7 @@
     router.process.send_signal(signal.SIGHUP)
 
 
-def test_reload_moves_to_another_discovery_and_keeps_the_list_until_that_speaks(tmp_path: Path) -> None:
+def test_reload_keeps_the_list_until_the_new_discovery_answers(tmp_path: Path) -> None:
     old, new = Peer(lambda _, words: hit(b"old")), Peer(lambda _, words: hit(b"new"))
     with routed(tmp_path, {"s1": old}) as router:
         client = router.client()
@@ -288,20 +288,20 @@
         eventually(lambda: second.peer.seen, "a call of the new discovery")
         assert router.client().ask(get("r1")) == b"old"
         third = entry(new, "s3")
-        router.discovery.change(third)  # the old one still counts
+        router.discovery.change(third)  # changes at the old discovery still apply
         names = (f"w{i}" for i in range(100_000))
-        eventually(lambda: router.client().ask(get(next(names))) == b"new", "what the old discovery told")
+        eventually(lambda: router.client().ask(get(next(names))) == b"new", "the list of the old discovery")
         router.discovery.peer.close()
         second.instances = [entry(old, "s1")]
         speaks.set()
-        eventually(lambda: router.client().ask(get(next(names))) == b"old", "what the new discovery told")
+        eventually(lambda: router.client().ask(get(next(names))) == b"old", "the list of the new discovery")
         second.change(entry(old, "s1", lifecycle="removed"), third)
         eventually(lambda: router.client().ask(get(next(names))) == b"new", "the new discovery's changes")
         second.peer.close()
 
 
 @pytest.mark.parametrize("text", ["", '{"listen": "127.0', "[]", '{"discovery": 5}'])
-def test_reload_of_a_bad_file_changes_nothing_and_a_good_one_counts_later(tmp_path: Path, text: str) -> None:
+def test_reload_of_an_invalid_file_changes_nothing_until_a_valid_one(tmp_path: Path, text: str) -> None:
     old, new = Peer(lambda _, words: hit(b"old")), Peer(lambda _, words: hit(b"new"))
     with routed(tmp_path, {"s1": old}) as router:
         good = router.config.read_text()
@@ -316,7 +316,7 @@
         second.peer.close()
 
 
-def test_reload_of_a_half_written_file_takes_it_once_it_is_whole(tmp_path: Path) -> None:
+def test_reload_of_a_partly_written_file_applies_it_once_complete(tmp_path: Path) -> None:
     old, new = Peer(lambda _, words: hit(b"old")), Peer(lambda _, words: hit(b"new"))
     second = DiscoveryPeer([entry(new, "s2")])
     with routed(tmp_path, {"s1": old}) as router:
@@ -332,7 +332,7 @@
     second.peer.close()
 
 
-def test_long_values_without_a_length_are_held_within_the_memory(tmp_path: Path) -> None:
+def test_long_values_of_unknown_length_stay_within_memory(tmp_path: Path) -> None:
     value, count, limit = bytes(range(256)) * 4096 * 3, 16, 40
     go_on = threading.Event()
     go_on.set()
--- a/tests/daemon/test_npm_clients.py
+++ b/tests/daemon/test_npm_clients.py
@@ -1,4 +1,4 @@
-"""Clients of another language, installed by npm for the run: outside CI, as it needs the registry."""
+"""JavaScript clients, installed by npm for the run: outside CI, as that needs the npm registry."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.long
-def test_ioredis_and_node_redis_as_they_come(running: Routed, tmp_path: Path) -> None:
+def test_ioredis_and_node_redis_with_default_settings(running: Routed, tmp_path: Path) -> None:
     folder = tmp_path / "npm"
     folder.mkdir()
     subprocess.run(["npm", "install", "--prefix", str(folder), *PACKAGES], check=True, capture_output=True)
--- a/tests/daemon/test_operations.py
+++ b/tests/daemon/test_operations.py
@@ -1,4 +1,4 @@
-"""What the real router tells operators, and the clients' socket that the platform holds."""
+"""A router process's control address, and the clients' socket that it inherits from the platform."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     return {name: int(value) for name, _, value in lines}
 
 
-def test_the_figures_are_those_of_the_requests_that_were_played(tmp_path: Path) -> None:
+def test_counters_match_the_requests_that_were_sent(tmp_path: Path) -> None:
     slow = bytes(200 << 10)
 
     def cache(_: socket.socket, words: list[bytes]) -> bytes | None:
@@ -86,7 +86,7 @@
             peer.close()
 
 
-def test_a_router_that_ends_is_not_ready(tmp_path: Path) -> None:
+def test_router_in_shutdown_is_not_ready(tmp_path: Path) -> None:
     held = Peer(lambda _, words: None)
     ops = take_port()
     with routed(tmp_path, {"s1": held}, ops=ops) as router:
@@ -94,11 +94,11 @@
         client.send(get("q1", d=1500))
         eventually(lambda: held.seen, "the request at its server")
         router.terminate()
-        eventually(lambda: control(ops, "ready")[0] == 503, "the word that it is not ready")
+        eventually(lambda: control(ops, "ready")[0] == 503, "the router is not ready")
         assert client.answer().startswith((b"-BUSY", b"-ERR"))
 
 
-def test_it_listens_on_the_socket_that_it_inherits(tmp_path: Path) -> None:
+def test_router_listens_on_an_inherited_socket(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(b"v"))
     discovery = DiscoveryPeer([entry(cache, "s1")])
     with socket.create_server(("127.0.0.1", 0)) as held:
@@ -108,7 +108,7 @@
             "discovery": f"127.0.0.1:{discovery.peer.port}",
             "settings": FACTS,
         }
-        # One that comes before the router does is served by it.
+        # A client that connects before the router starts is served too.
         early = Client(port)
         early.send(bulk(b"PING"))
         process = start_router(tmp_path, told, (held.fileno(),), LB_INHERITED_FD=str(held.fileno()))
@@ -119,7 +119,7 @@
         finally:
             end_by_sigterm(process, PATIENCE_S)
         assert process.returncode == 0
-        # It lets go of the socket, and the platform has it still.
+        # The router closes its copy of the socket; the platform's own stays open.
         assert held.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
 
 
@@ -133,7 +133,7 @@
         ("other", "listens at 127.0.0.1:"),
     ],
 )
-def test_a_descriptor_that_is_not_the_clients_socket_is_one_plain_line(
+def test_invalid_inherited_descriptor_is_reported_in_one_line(
     tmp_path: Path, given: str, complaint: str
 ) -> None:
     with socket.socket() as silent, socket.create_server(("127.0.0.1", 0)) as other:
--- a/tests/daemon/test_orders.py
+++ b/tests/daemon/test_orders.py
@@ -1,7 +1,8 @@
-"""A search over the orders of what can happen to one request, judged by the rules from what the peers saw.
+"""Searches the orders of events around one request for one that breaks a rule.
 
-Each run puts some events in one order, in one loop turn, one after another, or with time between them. The
-judge knows nothing of the router: only when requests came whole to servers, what was told, what clients got.
+Each run plays some events in one order: in one loop iteration, one after another, or with time between them.
+The rules are checked only from outside the router: by when complete requests arrived at servers, how the
+endpoint list changed, and what clients received.
 """
 
 from __future__ import annotations
@@ -34,29 +35,29 @@
 from tests.crossings import Bed, ClientLine, PeerLine, crossing
 
 LEFT_S, SLACK_S = 0.1, 0.05
-D_MS = 600  # the clients' time
-WINDOW_S = 0.25  # of the keyed class
+D_MS = 600  # the clients' timeout
+WINDOW_S = 0.25  # the dedup window of the request class
 EVENTS = (
     *("answer", "again", "miss", "fin", "reset", "drain", "gone"),
     *("leave", "late", "term", "next", "up", "shut", "meet"),
 )
 GAPS = (0.0, -1.0, 0.004, 0.32)
-"""Between two events: in one turn, once all is settled, within a rest, or long; seconds."""
+"""Seconds between two events: one loop iteration, once all is settled (-1), within the reuse delay, long."""
 EFFECTS = ("retryable", "dedup", "fragile")
 
 
 class Order(NamedTuple):
-    """One run."""
+    """The events of one run, and its parameters."""
 
     events: tuple[str, ...]
     gaps: tuple[float, ...]
     effect: str
     warm: bool
-    """Whether a connection to a server stands, kept from an earlier request; else dials hang at first."""
+    """Whether an earlier request has left an idle connection to a server; otherwise dials hang at first."""
 
 
 def orders(length: int) -> Iterator[Order]:
-    """Every order of so many events round the request, with gaps, effects and warmth by turns."""
+    """Every order of `length` events around the request, with gaps, effects and warmth drawn at random."""
     draw = random.Random(7)
     for events in itertools.permutations(EVENTS, length):
         for at in range(2):
@@ -66,7 +67,7 @@
 
 
 class Run:
-    """One order, played."""
+    """One run of an order of events."""
 
     def __init__(self, bed: Bed, order: Order) -> None:
         self.bed, self.order = bed, order
@@ -77,13 +78,13 @@
         self.of: dict[str, ClientLine] = {}
         self.told: dict[str, float] = {}
         self.answered: list[str] = []
-        """Requests whose whole answer a server has written."""
+        """Requests to which a server has written a complete answer."""
         self.ends_at = float("inf")
         self.never: set[str] = set()
-        """Requests of which a server has said that they had no effect."""
+        """Requests that missed, which means that they had no effect."""
 
     async def play(self) -> None:
-        """Play it, and let everything come to its end."""
+        """Play the events, and wait until everything has ended."""
         bed, order = self.bed, self.order
         bed.origin.came = self.serve
         self.clients = [await bed.client(), await bed.client()]
@@ -118,23 +119,23 @@
         self.of[name] = line
 
     def meet(self) -> None:
-        """A request in the very turn in which the router closes what is idle."""
+        """Send a request in the loop iteration in which the router closes idle connections."""
         line = self.clients[0]
         if line.transport.is_closing() or "r3" in self.asked_at:
             return
         out = line.transport.get_extra_info("socket")._sock.outgoing
-        if out.reader is not None:  # else the router's machine takes it no longer
+        if out.reader is not None:  # otherwise the router's kernel no longer accepts it
             self.ask("r3", line)
 
     def leave(self) -> None:
-        """Its end is with the router's kernel at once: a hold-up may begin right behind it."""
+        """Disconnect the client; the router's kernel knows at once, as a stall may begin right afterwards."""
         transport = self.clients[0].transport
         if not transport.is_closing():
             transport.get_extra_info("socket")._sock.shutdown(socket.SHUT_WR)
             transport.abort()
 
     def newest(self) -> PeerLine | None:
-        """The connection of a cache's on which something was asked last."""
+        """The connection to a cache on which the last request arrived."""
         used = [line for peer in (self.cache, self.other) for line in peer.lines if line.asked]
         return max(used, key=lambda line: line.peer.seen[-1][0], default=None)
 
@@ -178,7 +179,7 @@
                 bed.loop.call_at(self.ends_at + ACCEPT_S, self.meet)
 
     def judge(self) -> list[str]:
-        """What broke a rule."""
+        """Descriptions of all broken rules."""
         found: list[str] = []
         seen = self.bed.seen
         for name, asked_at in self.asked_at.items():
@@ -191,17 +192,17 @@
                 sent = [at for at, _ in mine if at > self.left_at[name] + LEFT_S]
                 if sent:
                     found.append(f"{name}: sent {sent} after its client left at {self.left_at[name]}")
-            # A hold-up of the loop is charged to it: nothing can be sent or said in it.
+            # A stall of the loop delays everything: nothing can be sent or answered during it.
             late = [at for at, _ in mine if at > due + 0.2 * ("late" in self.order.events)]
             if late:
-                found.append(f"{name}: sent at {late} after its time {due}")
+                found.append(f"{name}: sent at {late}, after its deadline {due}")
             ran = [(at, where) for at, where in mine if name not in self.never]
             if self.order.effect == "fragile" and len(ran) > 1:
                 found.append(f"{name}: may have run {len(ran)} times: {ran}")
             if self.order.effect == "dedup" and ran and ran[-1][0] > ran[0][0] + WINDOW_S + SLACK_S:
                 found.append(f"{name}: repeated after the window: {ran}")
             if self.order.effect == "fragile" and ran and any(said.startswith(b"-BUSY") for said in got):
-                found.append(f"{name}: refused, and it may have run")
+                found.append(f"{name}: rejected although it may have run")
             if name in self.left_at and self.left_at[name] >= asked_at:
                 continue
             if len(got) != 1 or not (got[0] == f"value of {name}".encode() or got[0].startswith(b"-")):
@@ -209,16 +210,16 @@
         for server, at in self.told.items():
             for sent_at, where, whose in seen:
                 if where == server and sent_at > at + SLACK_S:
-                    found.append(f"{whose}: sent to {server} {sent_at - at:.3f} s after it was told")
+                    found.append(f"{whose}: sent to {server} {sent_at - at:.3f} s after its removal")
         for client in self.clients:
             own = sorted(name for name, line in self.of.items() if line is client)
             if len(client.answers()) > len(own):
-                found.append(f"answers to nobody: {client.answers()} for {own}")
+                found.append(f"answers without a request: {client.answers()} for {own}")
         return found
 
 
 def played(order: Order, daemon_class: type[Daemon] = Daemon) -> list[str]:
-    """Play an order; returns what broke a rule, or was left behind."""
+    """Play an order; returns the broken rules, and what was left open."""
     found: list[str] = []
 
     async def test(bed: Bed) -> None:
@@ -241,14 +242,14 @@
 
 
 @pytest.mark.parametrize("shard", range(SHARDS))
-def test_no_order_of_two_events_round_a_request_breaks_a_rule(shard: int) -> None:
+def test_no_order_of_two_events_breaks_a_rule(shard: int) -> None:
     for number, order in enumerate(orders(2)):
         if number % SHARDS == shard:
             assert played(order) == [], order
 
 
 @pytest.mark.parametrize("shard", range(SHARDS))
-def test_no_order_of_three_events_round_a_request_breaks_a_rule(shard: int) -> None:
+def test_no_order_of_three_events_breaks_a_rule(shard: int) -> None:
     for number, order in enumerate(orders(3)):
         if number % (SHARDS * 3) == shard * 3:
             assert played(order) == [], order
@@ -256,18 +257,18 @@
 
 @pytest.mark.long
 @pytest.mark.parametrize("shard", range(SHARDS * 3))
-def test_no_order_of_four_events_round_a_request_breaks_a_rule(shard: int) -> None:
+def test_no_order_of_four_events_breaks_a_rule(shard: int) -> None:
     for number, order in enumerate(orders(4)):
         if number % (SHARDS * 3) == shard:
             assert played(order) == [], order
 
 
-# Broken variants, each of which the search must catch
+# Faulty variants, each of which the search must detect
 
 
 @contextmanager
 def sends_what_waited() -> Iterator[None]:
-    """An attempt that waits for a connection is sent though its client has left."""
+    """Fault: an attempt that waits for a connection is sent although its client has disconnected."""
 
     def next_waiting(self: Any, server: Any) -> Any:
         while server.waiting:
@@ -285,7 +286,7 @@
 
 @contextmanager
 def tries_after_the_answer() -> Iterator[None]:
-    """A request that failed is sent once more behind its final answer."""
+    """Fault: a failed request is sent once more after its final answer."""
     whole = router.RouterHost._answer
 
     def answer(self: Any, request_id: str, data: bytes, refused: str = "", failed: str = "") -> None:
@@ -304,7 +305,7 @@
 
 @contextmanager
 def deaf_to_drains() -> Iterator[None]:
-    """A server that drains is sent to as before."""
+    """Fault: a draining server still gets requests."""
     whole = router.RouterHost.servers_changed
 
     def changed(self: Any, listing: Any) -> bool:
@@ -318,7 +319,7 @@
 
 @contextmanager
 def stale_never_ran() -> Iterator[None]:
-    """A kept connection that breaks without an answer counts as one that never ran."""
+    """Fault: a request counts as never run if its reused connection breaks without an answer."""
     whole = exchange.Exchange.end
 
     def end(self: Any, outcome: Outcome, answer: Any = exchange.NOTHING) -> None:
@@ -334,7 +335,7 @@
 
 @contextmanager
 def takes_late_answers() -> Iterator[None]:
-    """A connection is used again at once, whatever stands unread on it."""
+    """Fault: a connection is reused at once, whatever is unread on it."""
     with (
         patch.object(connection_pool, "REUSE_DELAY_S", 0.0),
         patch.object(server_connection.Connection, "has_nothing_unread", True),
@@ -344,7 +345,7 @@
 
 @contextmanager
 def closes_unheard() -> Iterator[None]:
-    """At the router's end a connection is closed whatever stands unread on it, and the backlog with it."""
+    """Fault: a shutdown closes connections with unread requests, and does not accept pending ones."""
 
     async def no_news() -> None:
         pass
@@ -359,7 +360,7 @@
 
 @contextmanager
 def answers_twice() -> Iterator[None]:
-    """A second answer stands behind the first."""
+    """Fault: a second answer follows the first."""
     whole = reply.Reply.send
 
     def send(self: Any, data: bytes) -> None:
@@ -371,14 +372,14 @@
 
 @contextmanager
 def repeats_after_the_window() -> Iterator[None]:
-    """A repeat that had to wait leaves however late it is."""
+    """Fault: a retry that had to wait is sent however late it is."""
     with patch.object(attempts.Attempt, "is_wanted", property(lambda self: not self._request.closed)):
         yield
 
 
 @contextmanager
 def keeps_what_was_spoilt() -> Iterator[None]:
-    """A connection on which an answer came that nobody asked for goes on as if nothing had."""
+    """Fault: a connection that received an answer without a request stays in use."""
     whole = caches.CacheConnection.data_received
 
     def received(self: Any, data: bytes) -> None:
@@ -393,7 +394,7 @@
 
 @contextmanager
 def looks_only_by_the_timer() -> Iterator[None]:
-    """An attempt begins whenever its client was heard last."""
+    """Fault: an attempt begins without a poll of its client's socket."""
     with patch.object(client_connection.ClientConnection, "is_alive", lambda self: not self.closed):
         yield
 
@@ -413,10 +414,10 @@
 
 
 @pytest.mark.parametrize("name", BROKEN)
-def test_the_search_catches_what_is_known_to_be_broken(name: str) -> None:
+def test_search_detects_every_faulty_variant(name: str) -> None:
     with ExitStack() as stack:
         stack.enter_context(BROKEN[name]())
         for order in itertools.chain(orders(2), orders(3)):
             if played(order):
                 return
-    raise AssertionError("no order shows it")
+    raise AssertionError("no order reveals the fault")
--- a/tests/daemon/test_pipelined_forms.py
+++ b/tests/daemon/test_pipelined_forms.py
@@ -1,8 +1,8 @@
-"""Clients that send many commands at once, in pieces and in every form that the protocol page allows.
+"""Clients that pipeline many commands, in pieces and in every form that the protocol allows.
 
-Each command gets exactly one answer, in the order of the commands, also when connections to servers are reset
-under requests that have begun: safe reads are tried again, unsafe writes are not repeated. One router in
-this process, loopback sockets, virtual time.
+Each command gets exactly one answer, in the order of the commands, even if connections to servers are reset
+while requests are in flight: safe reads are retried, unsafe writes are not. One router in this process,
+loopback sockets, virtual time.
 """
 
 from __future__ import annotations
@@ -34,15 +34,15 @@
 CACHES = ("a", "b", "c", "d")
 ROOM: Any = {"sockets": 1024.0, "memory_mb": 192.0}
 SERVICE_S = (0.0, 0.03)
-ALL_RESET_EVERY = 90  # requests at a cache server, after which it breaks all its connections
+ALL_RESET_EVERY = 90  # requests at a cache server, after which it resets all its connections
 REPORT = b"latency_ms=1.5,queue=2"
 VALUES = (b"", b"v", b"\r\n", b"*1\r\n$4\r\nPING\r\n", bytes(range(256)), b"$5\r\n" * 40)
-LONG_PIECES = 150  # in shorter ones the longest values would take long to send
-MOST_REFUSED = 0.2  # of the reads
+LONG_PIECES = 150  # bytes; in shorter pieces the longest values would take long to send
+MOST_REFUSED = 0.2  # fraction of the reads
 
 
 class Kind(Enum):
-    """What a command is, and with it what may be answered."""
+    """The kind of a command, which determines its valid answers."""
 
     READ = auto()
     KEYED_WRITE = auto()
@@ -54,11 +54,11 @@
 CLASSES = {Kind.READ: "get", Kind.KEYED_WRITE: "put", Kind.UNSAFE_WRITE: "once"}
 REQUESTS = tuple(CLASSES)
 KINDS = (*Kind, Kind.READ, Kind.READ, Kind.READ, Kind.UNSAFE_WRITE)
-"""As often as they come."""
+"""The kinds to draw from, repeated by their frequency."""
 
 
 class Fate(Enum):
-    """What a request's first attempt at a server meets; further ones are served."""
+    """What happens to a request's first attempt at a server; later attempts are served."""
 
     SERVED = auto()
     MISS = auto()
@@ -66,7 +66,7 @@
     ERROR = auto()
     RESET = auto()
     RESET_MIDWAY = auto()
-    """Behind a part of the answer."""
+    """After a part of the answer."""
 
     @property
     def may_have_run(self) -> bool:
@@ -89,7 +89,7 @@
 
 
 def names_and_values(draw: random.Random, cls: str) -> bytes:
-    """The list beside the id, in any order and with any of the further names."""
+    """The request's fields, in any order and with any of the optional ones."""
     pairs = [f"c={cls}", "d=2000", "k=5c0f6e1a2b3d4c59"]
     pairs += draw.sample(["t=acme", "r=1", "h=77", "size=9"], draw.randrange(5))
     draw.shuffle(pairs)
@@ -122,7 +122,7 @@
 
 
 def commands(draw: random.Random, long_values: bool) -> list[Sent]:
-    """So many of all kinds; some of the writes with the longest value that there is."""
+    """COMMANDS commands of all kinds; with `long_values` some writes have the longest allowed value."""
     plan = [command(draw, f"r{place:04}", draw.choice(KINDS)) for place in range(COMMANDS)]
     if long_values:
         for place in range(0, COMMANDS, COMMANDS // 3):
@@ -132,7 +132,7 @@
 
 
 class Got(NamedTuple):
-    """A request as a server got it."""
+    """A request as a server received it."""
 
     name: str
     at_store: bool
@@ -149,14 +149,14 @@
 
 @dataclass
 class Servers:
-    """Caches and the store, which answer in every form, and reset connections under requests."""
+    """The caches and the store: they answer in every allowed form, and reset connections during requests."""
 
     bed: Bed
     draw: random.Random
     good: bool = False
     """Whether every attempt is served."""
     fates: dict[str, Fate] = field(default_factory=dict)
-    """What each request's first attempt met, at a cache or for a write at the store."""
+    """What happened to each request's first attempt: of a read at a cache, of a write at the store."""
     met: set[tuple[str, bool]] = field(default_factory=set)
     got: list[Got] = field(default_factory=list)
 
@@ -223,7 +223,7 @@
         return fate
 
     def _answer(self, line: PeerLine, answer: bytes, fate: Fate) -> None:
-        """Write it in pieces, after a while; or break the connection."""
+        """Write the answer in pieces after a delay, or reset the connection."""
         loop, delay = self.bed.loop, self.draw.uniform(*SERVICE_S)
         if fate is Fate.RESET:
             loop.call_later(delay, self._break, line)
@@ -247,7 +247,7 @@
 
 
 def send_at_once(transport: asyncio.Transport) -> None:
-    """Spare the test the kernel's wait for more, as pieces are small."""
+    """Disable Nagle's algorithm, which would delay the small pieces."""
     transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
@@ -270,7 +270,7 @@
 
 
 async def send(bed: Bed, client: ClientLine, draw: random.Random, data: bytes, longest: int) -> None:
-    """Send all of it, each piece read by itself or together with others."""
+    """Send the data in pieces, which the router reads alone or together with others."""
     for piece in in_pieces(draw, data, longest):
         client.transport.write(piece)
         for _ in range(draw.randrange(4)):
@@ -278,22 +278,23 @@
 
 
 def fits(sent: Sent, answer: bytes, fate: Fate) -> bool:
-    """Whether this is an answer that the command may get."""
+    """Whether the answer is a valid one for the command."""
     if sent.kind is Kind.PING:
         return answer == b"+PONG"
     if sent.kind is Kind.INVALID:
         return answer.startswith(b"-ERR ")
     if sent.kind is Kind.UNSAFE_WRITE and fate.may_have_run:
-        return answer.startswith(b"-ERR")  # a refusal would say that a further try is harmless
+        return answer.startswith(b"-ERR")  # -BUSY would say that a retry is safe
     if sent.kind is Kind.READ and answer.startswith(b"-BUSY"):
-        return True  # how many is counted apart
+        return True  # `refused_reads` checks how many
     return answer == b"value of " + sent.name.encode()
 
 
 def refused_reads(plan: list[Sent], answers: list[bytes], servers: Servers) -> list[str]:
-    """Whether too many reads were refused.
+    """Descriptions of too many rejected reads.
 
-    A few are, as servers that break connections are shed; what missed is the failing store's to refuse.
+    A few are rejected because servers that reset connections are avoided. Reads that missed do not count:
+    the failing store may reject them.
     """
     reads = [
         (servers.fates.get(sent.name, Fate.SERVED), answer.startswith(b"-BUSY"))
@@ -303,14 +304,14 @@
     begun = [refused for fate, refused in reads if fate.may_have_run]
     found = []
     if sum(begun) > MOST_REFUSED * len(begun):
-        found.append(f"{sum(begun)} of {len(begun)} reads whose first attempt broke were refused")
+        found.append(f"{sum(begun)} of {len(begun)} reads whose first attempt broke were rejected")
     if sum(refused for _, refused in reads) > MOST_REFUSED * len(reads):
-        found.append("many reads refused")
+        found.append("many reads rejected")
     return found
 
 
 def breaks(plan: list[Sent], answers: list[bytes], servers: Servers) -> list[str]:
-    """Everything that the protocol forbids, in words."""
+    """Descriptions of all violations of the protocol."""
     found = [] if len(answers) == len(plan) else [f"{len(answers)} answers to {len(plan)} commands"]
     attempts = Counter(name for _, _, name in servers.bed.seen)
     for sent, answer in zip(plan, answers, strict=False):
@@ -320,10 +321,10 @@
         if sent.kind is Kind.UNSAFE_WRITE and fate.may_have_run and attempts[sent.name] != 1:
             found.append(f"{sent.name}: an unsafe write sent {attempts[sent.name]} times")
         if sent.kind not in REQUESTS and attempts[sent.name]:
-            found.append(f"{sent.name}: no request, and sent on")
+            found.append(f"{sent.name}: not a request, but forwarded")
     by_name = {sent.name: sent for sent in plan}
     found += [
-        f"{got.name}: sent on with another key or value"
+        f"{got.name}: forwarded with another key or value"
         for got in servers.got
         if not got.is_of(by_name[got.name])
     ]
@@ -331,7 +332,7 @@
 
 
 def pipelined(seed: int, longest: int, check_held: bool = True) -> tuple[list[str], Servers]:
-    """Send all commands on one connection, without waiting for an answer; returns the breaks."""
+    """Send all commands on one connection, without waiting for an answer; returns the violations."""
     played: list[tuple[list[str], Servers]] = []
 
     async def test(bed: Bed) -> None:
@@ -350,22 +351,20 @@
 
 
 LONGEST = [1, 7, 150, 5000, 1 << 20]
-"""Of the pieces: single bytes, cuts in each command, several commands in one segment, all at once."""
+"""Maximum sizes of the pieces: single bytes, cuts in each command, several commands at once, all at once."""
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("longest", LONGEST)
-def test_commands_sent_at_once_in_pieces_are_each_answered_once_in_their_order(
-    longest: int, seed: int
-) -> None:
+def test_pipelined_commands_are_each_answered_once_in_order(longest: int, seed: int) -> None:
     found, servers = pipelined(seed, longest)
     assert found == []
-    assert COMMANDS > MAX_PIPELINE, "reading is paused on the way"
+    assert COMMANDS > MAX_PIPELINE, "too few commands to pause reading"
     assert set(servers.fates.values()) == set(Fate)
 
 
-def test_commands_cut_at_every_byte_are_each_answered_once_in_their_order() -> None:
-    """One command of each kind, sent in two pieces on one connection, and again cut a byte later."""
+def test_commands_split_at_any_byte_are_each_answered_once_in_order() -> None:
+    """One command of each kind, sent in two pieces on one connection, for each position of the split."""
 
     async def test(bed: Bed) -> None:
         servers = Servers(bed, random.Random(1), good=True)
@@ -389,24 +388,24 @@
     crossing(test, CACHES, **ROOM)
 
 
-# Broken routers, which have to be caught
+# Faulty routers, which the checks have to detect
 
 
 def as_they_come(reply: Reply, data: bytes) -> bool:
-    """Broken: an answer does not wait for its turn."""
+    """Fault: an answer does not wait until the earlier ones are written."""
     reply._connection.write(data)
     return True
 
 
 def upper_case_only(words: list[bytes]) -> Command:
-    """Broken: a command's name has to be written in capitals."""
+    """Fault: a command's name has to be in upper case."""
     if words[0] != words[0].upper():
         raise UnknownCommandError("unknown command")
     return parse_request(words)
 
 
 def stripped(words: list[bytes]) -> Command:
-    """Broken: line ends at a value's edges are taken for the protocol's."""
+    """Fault: line ends at the edges of a value are removed as if they were the protocol's."""
     return parse_request([word.strip() for word in words])
 
 
@@ -414,7 +413,7 @@
 
 
 def forgetful(reader: CommandReader, data: bytes) -> list[list[bytes]]:
-    """Broken: a command that is cut in its midst begins anew."""
+    """Fault: the received part of a command is dropped when the next one arrives."""
     if reader.need:
         reader._buffer.clear()
         reader.need = 0
@@ -422,12 +421,12 @@
 
 
 def sent_again_whatever_it_is(request: Request, node: Node, now: int) -> bool:
-    """Broken: an unsafe write that may have run is sent once more."""
+    """Fault: an unsafe write that may have run is sent once more."""
     return True
 
 
 def tried_once(attempts: Attempts, request: Request) -> bool:
-    """Broken: nothing is tried again."""
+    """Fault: nothing is retried."""
     return request.attempts < 1
 
 
@@ -436,13 +435,13 @@
     [
         (Reply, "write", as_they_come, 1 << 20, "answered"),
         (client_connection, "parse_request", upper_case_only, 150, "answered b'-ERR unknown command'"),
-        (client_connection, "parse_request", stripped, 150, "sent on with another key or value"),
+        (client_connection, "parse_request", stripped, 150, "forwarded with another key or value"),
         (CommandReader, "feed", forgetful, 150, "answers to 300 commands"),
         (Request, "may_send", sent_again_whatever_it_is, 150, "an unsafe write sent"),
-        (Attempts, "may_try", tried_once, 150, "reads whose first attempt broke were refused"),
+        (Attempts, "may_try", tried_once, 150, "reads whose first attempt broke were rejected"),
     ],
 )
-def test_routers_that_break_it_are_caught(
+def test_faulty_routers_are_detected(
     owner: Any, method: str, broken: Callable[..., Any], longest: int, says: str
 ) -> None:
     with patch.object(owner, method, broken):
--- a/tests/daemon/test_ready.py
+++ b/tests/daemon/test_ready.py
@@ -1,4 +1,4 @@
-"""How soon a started router is ready, by discovery's state and by what it holds."""
+"""How soon a started router is ready, by the state of discovery and by the list that it knows."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.sockets import FACTS, ROOT
 from tests.virtual import played
 
-IN_TIME_S = 10.0  # for nine in ten restarted routers
+IN_TIME_S = 10.0  # within which nine in ten restarted routers have to be ready
 INSTANCES = [
     {
         "instanceId": "s1",
@@ -34,7 +34,7 @@
 
 
 class Agent(asyncio.Protocol):
-    """Discovery that takes connections and says nothing until some time."""
+    """A discovery agent that accepts connections, but answers only from `speaks_at` on."""
 
     def __init__(self, loop: VirtualLoop, speaks_at: float) -> None:
         self._loop, self._speaks_at = loop, speaks_at
@@ -49,7 +49,7 @@
 
 
 def ready_after(mode: str, known: dict[str, Any] | None, silent_s: float, spent: float = 0.0) -> float:
-    """Seconds from the start, at a router whose discovery is silent at first."""
+    """Seconds from a router's start until it is ready, while discovery is silent for `silent_s`."""
 
     async def work(loop: VirtualLoop) -> float:
         began = loop.time()
@@ -79,25 +79,25 @@
 
 
 @pytest.mark.parametrize("mode", ["automatic", "subscribe"])
-def test_it_is_ready_soon_where_discovery_speaks(mode: str) -> None:
+def test_router_is_ready_soon_if_discovery_answers(mode: str) -> None:
     assert ready_after(mode, None, 0.0, spent=0.4) < MOST_SETTLING_S + 0.1
-    assert ready_after(mode, LAST_LIST, 0.0, spent=0.4) < READY_S + MOST_SETTLING_S  # asked after a draw
+    assert ready_after(mode, LAST_LIST, 0.0, spent=0.4) < READY_S + MOST_SETTLING_S  # after a random delay
 
 
 @pytest.mark.parametrize("mode", ["automatic", "subscribe"])
-def test_a_silent_discovery_holds_up_nobody_who_knows_a_list(mode: str) -> None:
+def test_silent_discovery_does_not_delay_a_router_that_knows_a_list(mode: str) -> None:
     assert READY_S - 0.02 <= ready_after(mode, LAST_LIST, 60.0, spent=0.4) < READY_S + MOST_SETTLING_S + 0.1
 
 
 @pytest.mark.parametrize("silent_s", [0.5, 1.5, 3.0, 8.0])
 @pytest.mark.parametrize("mode", ["automatic", "subscribe"])
-def test_one_that_knows_no_list_is_ready_in_time_once_discovery_speaks(mode: str, silent_s: float) -> None:
-    """The call that met the silence must not be waited for."""
+def test_router_without_a_list_is_ready_soon_after_discovery_answers(mode: str, silent_s: float) -> None:
+    """The router must not keep waiting for the call that got no answer."""
     assert silent_s <= ready_after(mode, None, silent_s) < silent_s + IN_TIME_S / 2
 
 
-def test_a_start_loads_nothing_that_only_the_operators_file_asks_for() -> None:
-    """Imports are most of a start's CPU, and on a part of a core that is the time until it is ready."""
+def test_start_imports_nothing_that_only_the_operators_file_needs() -> None:
+    """Imports take most of a start's CPU, which on a fraction of a core is the time until it is ready."""
     beside = (
         "consensus",
         "accounting",
@@ -109,7 +109,7 @@
         "emulators",
         "simulation",
     )
-    assert [name for name in beside if find_spec(f"pebblepass.{name}") is None] == []  # no stale name
+    assert [name for name in beside if find_spec(f"pebblepass.{name}") is None] == []  # all of these exist
     libraries = ("click", "rich", "numpy", "matplotlib", "sqlite3", "hypothesis")
     listed = "import sys, pebblepass.daemon.__main__; print(*sys.modules)"
     told = subprocess.run(
--- a/tests/daemon/test_requests.py
+++ b/tests/daemon/test_requests.py
@@ -1,4 +1,4 @@
-"""Reads, writes, outcomes and bad input of the real router, over loopback sockets."""
+"""Tests of a router process over loopback sockets: reads, writes, failures and invalid input."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     return dict(part.split("=", 1) for part in info.decode().split(","))
 
 
-def test_read_that_hits_passes_all_on_but_the_time_left(tmp_path: Path) -> None:
+def test_read_that_hits_forwards_all_fields_but_the_timeout(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(b"value of " + words[1]))
     with routed(tmp_path, {"s1": cache}) as router:
         client = router.client()
@@ -43,10 +43,10 @@
         assert 0 < int(told.pop("d")) <= 5000
         assert told == {"c": "get", "t": "acme", "r": "1", "size": "9", "h": "77"}
         assert client.ask(get("id2")) == b"value of k"
-        assert cache.accepted == 1  # the connection is used again
+        assert cache.accepted == 1  # the connection is reused
 
 
-def test_read_that_misses_goes_to_the_origin(tmp_path: Path) -> None:
+def test_read_that_misses_is_fetched_from_the_origin(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: MISS)
     origin = Peer(lambda _, words: http_answer(200, b"fetched", "Server-Load: latency_ms=2,queue=1"), True)
     with routed(tmp_path, {"s1": cache}, origin) as router:
@@ -68,7 +68,7 @@
         assert not cache.seen
 
 
-def test_pipelined_commands_are_answered_in_their_order(tmp_path: Path) -> None:
+def test_pipelined_commands_are_answered_in_order(tmp_path: Path) -> None:
     held = threading.Event()
 
     def answer(_: socket.socket, words: list[bytes]) -> bytes:
@@ -94,7 +94,7 @@
         (503, "X: 1", False),
     ],
 )
-def test_unsafe_write_is_repeated_only_if_it_never_ran(
+def test_unsafe_write_is_retried_only_if_it_never_ran(
     tmp_path: Path, status: int, header: str, tries_again: bool
 ) -> None:
     answers = [http_answer(status, b"", header), http_answer(200, b"done")]
@@ -105,14 +105,14 @@
         assert len(origin.seen) == (2 if tries_again else 1)
 
 
-def test_unsafe_write_whose_connection_breaks_may_have_run(tmp_path: Path) -> None:
+def test_unsafe_write_is_not_retried_after_a_reset(tmp_path: Path) -> None:
     origin = Peer(lambda connection, _: reset(connection), True)
     with routed(tmp_path, {}, origin) as router:
         assert router.client().ask(put("w1", cls="once")) == b"-ERR failed"
         assert len(origin.seen) == 1
 
 
-def test_every_failure_of_a_cache_sends_a_read_to_another(tmp_path: Path) -> None:
+def test_read_is_retried_elsewhere_after_any_failure_of_a_cache(tmp_path: Path) -> None:
     def break_off(connection: socket.socket, words: list[bytes]) -> bytes | None:
         if words[2] == b"reset":
             reset(connection)
@@ -124,23 +124,23 @@
     with routed(tmp_path, {"s1": bad, "s2": good}) as router:
         client = router.client()
         for name in ("error", "junk", "reset"):
-            for i in range(30):  # keys enough that each cache is asked first for some
+            for i in range(30):  # enough keys that each cache is the first choice for some
                 sent = name if i % 2 else "fine"
                 answer = client.ask(get(f"{name}" if sent == name else f"fine{name}{i}", f"k{i}"))
                 assert answer in (name.encode(), f"fine{name}{i}".encode())
         assert bad.seen
 
 
-def test_server_that_breaks_every_connection_is_left_alone(tmp_path: Path) -> None:
+def test_server_that_resets_every_connection_is_avoided(tmp_path: Path) -> None:
     bad, good = Peer(lambda connection, _: reset(connection)), Peer(lambda _, words: hit(words[2]))
     with routed(tmp_path, {"s1": bad, "s2": good}) as router:
         client = router.client()
-        for i in range(80):  # keys enough that each cache is asked first for about half of them
+        for i in range(80):  # enough keys that each cache is the first choice for about half
             assert client.ask(get(f"r{i}", f"k{i}")) == b"r%d" % i
         assert 2 <= len(bad.seen) < 20
 
 
-def test_server_whose_kept_connections_break_goes_on_being_asked(tmp_path: Path) -> None:
+def test_server_that_resets_reused_connections_is_still_used(tmp_path: Path) -> None:
     served: dict[socket.socket, int] = {}
     both = threading.Barrier(2)
 
@@ -156,11 +156,11 @@
         one.send(get("first"))
         two.send(get("second"))
         assert (one.answer(), two.answer()) == (b"first", b"second")
-        assert one.ask(get("third")) == b"third"  # after two breaks, on a new connection
+        assert one.ask(get("third")) == b"third"  # after two resets, on a new connection
         assert len(shaky.seen) == 5
 
 
-def test_silent_server_costs_an_attempt_its_time_and_nothing_more(tmp_path: Path) -> None:
+def test_attempt_at_a_silent_server_times_out(tmp_path: Path) -> None:
     silent = Peer(lambda _, words: None)
     with routed(tmp_path, {"s1": silent}) as router:
         client = router.client()
@@ -184,12 +184,12 @@
         assert client.ask(get("first", d=200)).startswith(b"-BUSY")
         release.set()
         for i in range(10):
-            # refusals are the module's caution after a time-out; an answer must be the request's own
+            # the decision module may reject requests after a timeout; a value must be the request's own
             answer_came = client.ask(get(f"r{i}"))
             assert answer_came == b"r%d" % i or answer_came.startswith(b"-BUSY")
 
 
-def test_answer_that_nobody_asked_for_is_dropped_with_its_connection(tmp_path: Path) -> None:
+def test_answer_without_a_request_is_dropped_with_its_connection(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[2]) + (hit(b"stray") if words[2] == b"r0" else b""))
     with routed(tmp_path, {"s1": cache}, facts={"classes": PATIENT_CLASSES}) as router:
         client = router.client()
@@ -198,7 +198,7 @@
         assert cache.accepted >= 2
 
 
-def test_gone_client_leaves_nothing_behind(tmp_path: Path) -> None:
+def test_request_id_is_free_again_after_a_disconnect(tmp_path: Path) -> None:
     release = threading.Event()
 
     def answer(_: socket.socket, words: list[bytes]) -> bytes:
@@ -215,7 +215,7 @@
         assert eventually(lambda: router.client().ask(get("left")) == b"left", "the id is free again")
 
 
-def test_drained_server_gets_nothing_new(tmp_path: Path) -> None:
+def test_draining_server_gets_no_new_request(tmp_path: Path) -> None:
     old, new = Peer(lambda _, words: hit(b"old")), Peer(lambda _, words: hit(b"new"))
     with routed(tmp_path, {"s1": old}) as router:
         client = router.client()
@@ -248,7 +248,7 @@
         b"no http at all\r\n\r\n",
     ],
 )
-def test_bad_answers_of_discovery_change_nothing(tmp_path: Path, junk: bytes) -> None:
+def test_invalid_answers_of_discovery_change_nothing(tmp_path: Path, junk: bytes) -> None:
     cache = Peer(lambda _, words: hit(words[2]))
     with routed(tmp_path, {"s1": cache}) as router:
         router.discovery.junk = junk
@@ -258,7 +258,7 @@
         assert router.client().ask(get("r1")) == b"r1"
 
 
-def test_known_list_serves_while_discovery_is_silent(tmp_path: Path) -> None:
+def test_known_list_is_used_while_discovery_is_silent(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[2]))
     with routed(tmp_path, {}, known=[entry(cache, "s1")], discovery_says=b"") as router:
         assert router.client().ask(get("r1")) == b"r1"
@@ -283,7 +283,7 @@
         (bulk(b"KV.GET", b"", b"id", b"c=get,d=100"), b"key must", False),
     ],
 )
-def test_bad_input_gets_an_error_line_and_reaches_no_server(
+def test_invalid_input_gets_an_error_and_reaches_no_server(
     tmp_path: Path, data: bytes, words: bytes, closes: bool
 ) -> None:
     cache = Peer(lambda _, message: hit(b"reached"))
@@ -299,13 +299,13 @@
         assert not cache.seen
 
 
-def test_unknown_tenant_is_served_as_of_none(tmp_path: Path) -> None:
+def test_unknown_tenant_is_served_like_no_tenant(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(b"served"))
     with routed(tmp_path, {"s1": cache}) as router:
         assert router.client().ask(bulk(b"KV.GET", b"k", b"id", b"c=get,t=nobody,d=5000")) == b"served"
 
 
-def test_duplicate_id_is_refused_while_the_first_is_open(tmp_path: Path) -> None:
+def test_duplicate_id_is_rejected_while_the_first_is_open(tmp_path: Path) -> None:
     release = threading.Event()
 
     def answer(_: socket.socket, words: list[bytes]) -> bytes:
@@ -323,7 +323,7 @@
         assert len(cache.seen) == 1
 
 
-def test_command_cut_off_midway_reaches_no_server(tmp_path: Path) -> None:
+def test_incomplete_command_reaches_no_server(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(b"served"))
     with routed(tmp_path, {"s1": cache}) as router:
         client = router.client()
@@ -333,7 +333,7 @@
         assert len(cache.seen) == 1
 
 
-def test_command_in_single_bytes_is_read_whole(tmp_path: Path) -> None:
+def test_command_sent_byte_by_byte_is_served(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[1]))
     with routed(tmp_path, {"s1": cache}) as router:
         client = router.client()
--- a/tests/daemon/test_rolling_restart.py
+++ b/tests/daemon/test_rolling_restart.py
@@ -1,9 +1,8 @@
-"""Routers that are told to end one after another, while a quarter to a half of the cache servers hang.
+"""A rolling restart of several routers, while a quarter to a half of the cache servers hang.
 
-Clients go on sending on every connection that stays open, come again at once after each answer, and open
-new connections for 0.4 s after SIGTERM. Every request that a router has taken gets its one final answer
-within its time, and every router ends before SIGKILL. The routers of this process share the servers, in
-virtual time.
+Clients keep sending on every connection that stays open, some right after each answer, and open new
+connections for 0.4 s after SIGTERM. Every accepted request gets exactly one final answer before its deadline,
+and every router exits before SIGKILL. The routers run in this process and share the servers, in virtual time.
 """
 
 from __future__ import annotations
@@ -29,18 +28,18 @@
 ROUTERS, CACHES = 3, 8
 TERM_APART_S = 0.9  # between two routers' SIGTERM
 LONGEST_S = 2.0  # the longest deadline of these tests' settings
-KILLED_S = 0.7  # beyond it: SIGKILL comes no sooner
-NEW_CONNECTIONS_S = 0.4  # after SIGTERM, for which new connections go on coming
-LATE_S = 0.5  # beyond its time: an answer that comes later is lost
-SLACK_S = 0.05  # the pages' own on every limit of time
+KILLED_S = 0.7  # after the longest deadline; SIGKILL comes no sooner
+NEW_CONNECTIONS_S = 0.4  # after SIGTERM, during which clients still open connections
+LATE_S = 0.5  # after the deadline; an answer that arrives later is lost
+SLACK_S = 0.05  # allowed beyond every time limit
 SERVICE_S = (0.005, 0.04)
-THINKING_S = 0.03  # of a client that has been served, before it asks again
+THINKING_S = 0.03  # pause of a client between a served request and its next one
 DEADLINES_MS = (300, 800, 2000)
-RESTING, RESTLESS, NEWCOMERS = 6, 6, 20  # clients of each router; the last come after its SIGTERM
+RESTING, RESTLESS, NEWCOMERS = 6, 6, 20  # clients of each router; the last connect after its SIGTERM
 
 
 class Asked(NamedTuple):
-    """A request that its router's machine has taken."""
+    """A request that the kernel of its router has accepted."""
 
     name: str
     at: float
@@ -48,7 +47,7 @@
 
 
 class Answered(NamedTuple):
-    """A request and what came for it."""
+    """A request and its answer."""
 
     request: Asked
     answer: bytes
@@ -64,12 +63,12 @@
 
     @property
     def foreign(self) -> bool:
-        """Whether it is neither this request's value nor a line that says it was not served."""
+        """Whether it is neither this request's value nor an error that says it was not served."""
         return not self.served and not self.answer.startswith((b"-BUSY", b"-ERR"))
 
 
 class Client(ClientLine):
-    """A client that notes what it asked and got, and may come again at once."""
+    """A client that records its requests and answers, and may send the next request at once."""
 
     def __init__(self, site: Site, bed: Bed, name: str, comes_again: bool) -> None:
         super().__init__()
@@ -79,7 +78,7 @@
         self.too_many: list[bytes] = []
 
     def request(self) -> None:
-        """Ask, if the router's machine takes it still."""
+        """Send a request, if the router's kernel still accepts it."""
         if self.transport.is_closing() or not self._is_taken():
             return
         self.count += 1
@@ -92,11 +91,11 @@
         self.transport.write(asked(name, cls, within_ms, f"k{draw.randrange(1000)}", value))
 
     def _is_taken(self) -> bool:
-        """Not where the router has closed it in this very turn: that crossing is the client's."""
+        """Whether the router will see it; one that crosses a close in this loop iteration is the client's."""
         out = cast(CountedSocket, self.transport.get_extra_info("socket")._sock).outgoing
         if out is None:
             return False
-        if out.reader is None:  # it waits to be accepted, or is closed
+        if out.reader is None:  # the connection is not accepted yet, or closed
             return not out.reset
         return not any(
             held.transport.is_closing()
@@ -131,9 +130,9 @@
     answered: list[Answered] = field(default_factory=list)
     classes: dict[str, str] = field(default_factory=dict)
     refused: list[str] = field(default_factory=list)
-    """New connections that were turned away while they go on coming."""
+    """New connections that were refused within NEW_CONNECTIONS_S of SIGTERM."""
     outlived: list[int] = field(default_factory=list)
-    """Routers that SIGKILL found alive."""
+    """Routers that SIGKILL would have ended."""
 
     async def add_router(self) -> None:
         told = {
@@ -174,13 +173,13 @@
             line.peer.serve(line, name)
 
     def hang(self, share: float) -> None:
-        """Others than before say nothing from here on; what came to these stays unanswered."""
+        """From now on only a new random choice of caches is silent; what arrives there stays unanswered."""
         hanging = self.rng.sample(sorted(self.caches), int(CACHES * share))
         for name, peer in self.caches.items():
             peer.came = (lambda line, name: None) if name in hanging else self.serve
 
     async def end(self, number: int) -> None:
-        """What SIGTERM does to a router, up to SIGKILL."""
+        """Shut a router down as from SIGTERM to SIGKILL."""
         bed = self.beds[number]
         task = self.loop.create_task(bed.daemon.drain())
         arrivals = (self.rng.uniform(0.0, NEW_CONNECTIONS_S) for _ in range(NEWCOMERS))
@@ -188,7 +187,7 @@
             self.loop.create_task(self.newcomer(bed, f"new{number}.{place}", after_s))
             for place, after_s in enumerate(arrivals)
         ]
-        # A resting client asks in some moment of the drain, if its connection is open still.
+        # An idle client sends at a random time of the drain, if its connection is still open.
         for client in self.clients:
             if client.bed is bed and not client.comes_again:
                 self.loop.call_later(self.rng.uniform(0.0, LONGEST_S), client.request)
@@ -220,7 +219,7 @@
 
 
 def rolled(hanging_share: float, seed: int) -> Site:
-    """Play it to the end of the last router."""
+    """Run the rolling restart until the last router has exited."""
 
     async def main() -> Site:
         loop = cast(GatedLoop, asyncio.get_running_loop())
@@ -234,15 +233,15 @@
 
 
 def breaks(site: Site) -> dict[str, list[Any]]:
-    """Everything that the pages forbid, by what it is."""
+    """All violations of the rules, by their description."""
     runs = Counter(name for _, name in site.origin.seen if site.classes[name] == "once")
     found: dict[str, list[Any]] = {
         "never answered": [each.name for client in site.clients for each in client.waiting],
         "answered twice": [answer for client in site.clients for answer in client.too_many],
         "answered with something else": [each for each in site.answered if each.foreign],
         "answered late": [each for each in site.answered if each.late],
-        "run twice": [name for name, count in runs.items() if count > 1],
-        "refused while new connections come": site.refused,
+        "executed twice": [name for name, count in runs.items() if count > 1],
+        "refused right after SIGTERM": site.refused,
         "alive at SIGKILL": site.outlived,
     }
     return {what: found for what, found in found.items() if found}
@@ -250,9 +249,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("hanging_share", [0.25, 0.5])
-def test_every_request_taken_by_routers_that_end_one_after_another_is_answered_in_time(
-    hanging_share: float, seed: int
-) -> None:
+def test_rolling_restart_answers_every_accepted_request_in_time(hanging_share: float, seed: int) -> None:
     site = rolled(hanging_share, seed)
     assert breaks(site) == {}
     assert len(site.answered) > ROUTERS * (RESTING + RESTLESS + NEWCOMERS)
@@ -260,7 +257,7 @@
 
 
 async def closes_at_once(daemon: Daemon) -> None:
-    """Broken: accepts nobody from SIGTERM on."""
+    """Fault: accepts no connections after SIGTERM."""
     daemon.clients.stop_accepting()
     daemon.clients.finish(even_midway=False)
     while daemon.clients.connected:
@@ -268,16 +265,16 @@
 
 
 async def waits_for_nobody(daemon: Daemon) -> None:
-    """Broken: ends with what is open still unanswered."""
+    """Fault: exits while open requests are unanswered."""
     await asyncio.sleep(0.5)
 
 
 def no_limit(attempt: Attempt, due: int) -> None:
-    """Broken: an attempt waits for its server for ever."""
+    """Fault: an attempt waits for its server forever."""
 
 
 def no_last_answer(connection: ClientConnection, even_midway: bool) -> None:
-    """Broken: a connection is closed with requests open."""
+    """Fault: a connection is closed with requests open."""
     assert connection.transport is not None
     connection.transport.close()
 
@@ -285,13 +282,13 @@
 @pytest.mark.parametrize(
     ("owner", "method", "broken", "what"),
     [
-        (Daemon, "drain", closes_at_once, "refused while new connections come"),
+        (Daemon, "drain", closes_at_once, "refused right after SIGTERM"),
         (Daemon, "drain", waits_for_nobody, "never answered"),
         (Attempt, "wait_until", no_limit, "answered late"),
         (ClientConnection, "finish", no_last_answer, "never answered"),
     ],
 )
-def test_routers_that_end_badly_are_caught(
+def test_faulty_shutdowns_are_detected(
     owner: type, method: str, broken: Callable[..., Any], what: str
 ) -> None:
     with patch.object(owner, method, broken):
--- a/tests/daemon/test_settling.py
+++ b/tests/daemon/test_settling.py
@@ -1,4 +1,4 @@
-"""A process is ready when the CPU of its start is paid, and not before."""
+"""The pause between a start and its first clients, which keeps the process within its CPU quota."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Beside:
-    """Notes when clients may come."""
+    """Records when the router became ready."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
@@ -35,7 +35,7 @@
         pass
 
 
-def test_the_wait_grows_with_what_the_start_took_and_is_bounded() -> None:
+def test_pause_grows_with_the_cpu_of_the_start_up_to_a_limit() -> None:
     assert settling(0.0, 0.8) == 0
     assert settling(0.1, 0.8) == pytest.approx(0.1 / 0.32 - 0.1)
     assert settling(0.1, 4.0) == 0
@@ -43,13 +43,13 @@
 
 
 @pytest.mark.parametrize("spent", [0.0, 0.1])
-def test_it_is_ready_once_its_start_is_paid_and_tells_so_once(spent: float) -> None:
+def test_router_becomes_ready_once_after_the_pause(spent: float) -> None:
     async def work(loop: VirtualLoop) -> None:
         daemon = Daemon(loop, read_config(TOLD, {}), loop.unix_ns, spent=spent)
         began, noted, wait = loop.time(), Beside(loop), settling(spent, 0.8)
         daemon._succession = cast(Any, noted)
         daemon._make_do()
-        daemon._make_do()  # the next list may come first
+        daemon._make_do()  # the next list may arrive before the pause is over
         assert daemon.host.ready == (not spent)
         await asyncio.sleep(wait + 0.01)
         assert daemon.host.ready
--- a/tests/daemon/test_signals.py
+++ b/tests/daemon/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals at stated points of a process's life: the router as the deploy file starts it."""
+"""Signals at given points in the life of a router process, started as the deploy file does it."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     routed,
 )
 
-# Loaded by the interpreter before the program: the process sends itself a signal at one moment of its life.
+# Loaded by the interpreter before the program: the process sends itself a signal at one chosen moment.
 SIGNAL_ITSELF = """
 import asyncio, atexit, os, signal, sys, types
 
@@ -83,7 +83,7 @@
 
 
 def started(config: Path, folder: Path, **environ: str) -> subprocess.Popen[str]:
-    """The deploy file's own line, with this interpreter for the one that `build` lays down."""
+    """Start a router by the deploy file's `run` line, with this interpreter in place of that of `build`."""
     run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     assert ".venv/bin/python" in run
     return spawn(
@@ -96,7 +96,7 @@
 
 
 def started_alone(folder: Path, **environ: str) -> tuple[subprocess.Popen[str], int]:
-    """A router whose discovery nobody answers, and its port."""
+    """Start a router at whose discovery address nothing listens; returns it and its port."""
     port, nobody = take_port(), take_port()
     config = folder / "config.json"
     config.write_text(
@@ -108,7 +108,10 @@
 def started_to_signal_itself(
     folder: Path, moment: str, number: signal.Signals
 ) -> tuple[subprocess.Popen[str], int, Path]:
-    """Such a router that sends itself the signal at that moment, its port, and what is there once it has."""
+    """Start such a router that sends itself the signal at that moment.
+
+    Returns it, its port, and a path that exists once the signal was sent.
+    """
     modules, sent = folder / "modules", folder / "sent"
     modules.mkdir()
     (modules / "sitecustomize.py").write_text(SIGNAL_ITSELF)
@@ -135,7 +138,7 @@
     )
 
 
-def test_a_sighup_at_any_moment_of_the_start_does_not_end_it(tmp_path: Path) -> None:
+def test_sighup_at_any_moment_of_the_start_does_not_end_the_process(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[1]))
     discovery = DiscoveryPeer([entry(cache, "c1")])
     port = take_port()
@@ -143,8 +146,9 @@
     config.write_text(told(port, discovery))
     process = started(config, tmp_path)
     try:
-        # The shell has to set its trap: from the program's first instruction on a signal may come.
-        # The name of the process won't do: a shell that has only just begun still has that of who started it.
+        # Waits for the exec: the shell has set its trap by then, and from the program's first instruction on
+        # a signal may arrive. The process's name can't show that: a shell that has just begun still has the
+        # name of its parent.
         line = Path(f"/proc/{process.pid}/cmdline")
         eventually(lambda: line.read_bytes().endswith(b"\0-m\0pebblepass.daemon\0"), "the exec")
 
@@ -163,7 +167,7 @@
     assert process.returncode == 0, log
 
 
-def test_a_sighup_while_the_file_is_being_read_is_taken_once_the_router_runs(tmp_path: Path) -> None:
+def test_sighup_while_the_file_is_read_is_handled_once_the_router_runs(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[1]))
     before, after = DiscoveryPeer([entry(cache, "c1")]), DiscoveryPeer([entry(cache, "c1")])
     port = take_port()
@@ -171,13 +175,13 @@
     os.mkfifo(config)
     process = started(config, tmp_path)
     try:
-        with config.open("w") as pipe:  # opens once the router reads
+        with config.open("w") as pipe:  # returns once the router has opened it
             renamed = tmp_path / "new.json"
             renamed.write_text(told(port, after))
             renamed.rename(config)
             process.send_signal(signal.SIGHUP)
             pipe.write(told(port, before))
-        eventually(lambda: after.peer.seen, "the new address is asked")
+        eventually(lambda: after.peer.seen, "a call of the new address")
     finally:
         log = end_by_sigterm(process, PATIENCE_S)
         for peer in (before.peer, after.peer, cache):
@@ -185,8 +189,8 @@
     assert process.returncode == 0, log
 
 
-def test_sigterm_before_the_router_is_ready_ends_it_in_good_order(tmp_path: Path) -> None:
-    """No discovery answers: it listens, and is told to end while it still waits for its first list."""
+def test_sigterm_before_the_router_is_ready_ends_it_without_an_error(tmp_path: Path) -> None:
+    """Discovery does not answer: the router listens, and gets SIGTERM while it waits for its first list."""
     process, port = started_alone(tmp_path)
     with ending(process):
         eventually(lambda: listens(port), "it listens")
@@ -196,7 +200,7 @@
     assert "Traceback" not in log
 
 
-def test_sigterm_twice_and_a_sighup_in_between_lose_nothing(tmp_path: Path) -> None:
+def test_two_sigterms_and_a_sighup_in_between_lose_no_request(tmp_path: Path) -> None:
     let = threading.Event()
 
     def held(_: object, words: list[bytes]) -> bytes:
@@ -218,7 +222,7 @@
 
 
 @pytest.mark.parametrize("moment", MOMENTS_OF_THE_START)
-def test_a_sigterm_before_the_router_takes_it_ends_the_process(tmp_path: Path, moment: str) -> None:
+def test_sigterm_before_its_handler_is_installed_ends_the_process(tmp_path: Path, moment: str) -> None:
     process, _, sent = started_to_signal_itself(tmp_path, moment, signal.SIGTERM)
     with ending(process):
         _, log = process.communicate(timeout=PATIENCE_S)
@@ -228,7 +232,7 @@
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGHUP])
 @pytest.mark.parametrize("moment", MOMENTS_OF_THE_END)
-def test_a_signal_changes_nothing_up_to_the_exit_of_a_router_that_ends(
+def test_signal_during_the_shutdown_changes_nothing(
     tmp_path: Path, moment: str, number: signal.Signals
 ) -> None:
     process, port, sent = started_to_signal_itself(tmp_path, moment, number)
@@ -241,8 +245,8 @@
     assert "Traceback" not in log
 
 
-def test_sigterm_again_and_again_up_to_the_exit_changes_nothing(tmp_path: Path) -> None:
-    """Also once the interpreter has gone, where the process can't signal itself."""
+def test_repeated_sigterm_until_the_exit_changes_nothing(tmp_path: Path) -> None:
+    """Includes the time after the interpreter's end, when the process can't signal itself."""
     process, port = started_alone(tmp_path)
 
     def over() -> bool:
@@ -254,5 +258,5 @@
         while not over():
             pass
         _, log = process.communicate(timeout=PATIENCE_S)
-    # One that is being delivered in the very moment in which it becomes ignored leaves a line in the log.
+    # The log is not checked: a signal delivered just as it becomes ignored leaves a line there.
     assert process.returncode == 0, log
--- a/tests/daemon/test_standing_terms.py
+++ b/tests/daemon/test_standing_terms.py
@@ -1,4 +1,4 @@
-"""Terms of the users' standing test: routers that turn all away, starts in time, requests left unanswered."""
+"""The users' acceptance limits: on routers that reject everything, unanswered requests and slow starts."""
 
 from __future__ import annotations
 
@@ -28,37 +28,37 @@
 from tests.processes import end_by_sigterm
 from tests.sockets import FACTS, PATIENCE_S, DiscoveryPeer, eventually, is_ready, start_router
 
-WINDOW_S, MOST_IN_WINDOW = 4.0, 14  # a router that turns away more without an attempt breaks the term
-ROUTERS_FOR_ONE = 10  # of so many routers one may break it
-READY_S, READY_SHARE = 6.0, 0.9  # of the restarted routers, where the day ends sooner than after 10 s
+WINDOW_S, MOST_IN_WINDOW = 4.0, 14  # requests that a router may reject within the window without an attempt
+ROUTERS_FOR_ONE = 10  # one of this many routers may exceed that limit
+READY_S, READY_SHARE = 6.0, 0.9  # of the restarted routers; 10 s, if the day does not end sooner
 UNANSWERED_SHARE, UNANSWERED_MORE = 1 / 500, 5
 
 
 @dataclass
 class Observed:
-    """What clients and servers saw in a rehearsal, in seconds of its clock."""
+    """What clients and servers observed in a simulation run, in seconds of its clock."""
 
     turned_away: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
-    """By router: when a request was refused, or failed without having been sent on."""
+    """By router: when a request was rejected, or failed without an attempt."""
     attempts: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
-    """By router: when an attempt of its came to a server."""
+    """By router: when one of its attempts arrived at a server."""
     deadlines: dict[str, float] = field(default_factory=dict)
-    """By request that a router has taken: when its time is up."""
+    """By accepted request: its deadline."""
     answers: dict[str, float] = field(default_factory=dict)
     owed_nothing: set[str] = field(default_factory=set)
-    """Requests whose client has gone or whose router was killed."""
+    """Requests whose client disconnected or whose router was killed."""
     report: dict[str, Any] = field(default_factory=dict)
 
 
 def turns_all_away(turned_away: list[float], attempts: list[float], begin: float, end: float) -> bool:
-    """Whether too many requests were turned away in some four seconds without an attempt."""
+    """Whether too many requests were rejected in some four seconds without an attempt."""
     borders = [begin, *sorted(attempts), end]
     for before, after in pairwise(borders):
         last_window = after - WINDOW_S
         if last_window < before:
             continue
         between = [at for at in turned_away if before <= at <= after]
-        # The fullest window begins with a request that is turned away, or ends with the next attempt.
+        # The fullest window begins with a rejected request, or ends with the next attempt.
         for first in (min(at, last_window) for at in between):
             if sum(first <= at <= first + WINDOW_S for at in between) > MOST_IN_WINDOW:
                 return True
@@ -66,7 +66,7 @@
 
 
 def routers_that_turn_all_away(observed: Observed) -> list[str]:
-    """Their names."""
+    """The names of the routers that rejected too many requests without an attempt."""
     events = [*observed.turned_away.values(), *observed.attempts.values()]
     begin, end = min(map(min, events)), max(map(max, events))
     return [
@@ -77,7 +77,7 @@
 
 
 def left_unanswered(observed: Observed) -> list[str]:
-    """Requests that had no answer when their time was up."""
+    """Requests without an answer at their deadline."""
     return [
         request
         for request, deadline in observed.deadlines.items()
@@ -93,7 +93,7 @@
 def observe(
     scenario: Scenario, seed: int, patch: pytest.MonkeyPatch, make: Callable[..., Daemon] = Daemon
 ) -> Observed:
-    """Play a scenario on the virtual clock, and note what clients and servers saw."""
+    """Run a scenario on the virtual clock, and record what clients and servers observe."""
     observed = Observed()
     referees: list[ObservedReferee] = []
 
@@ -125,7 +125,7 @@
     class ObservedCount(Count):
         def ended(self, ask: Ask, router: str, outcome: str, unseen: bool = False) -> None:
             super().ended(ask, router, outcome, unseen)
-            referee = referees[0]  # which has just been told of this answer
+            referee = referees[0]  # which has just recorded this answer
             if outcome == "refused" or (outcome == "failed" and not referee.was_sent(referee.last_answered)):
                 observed.turned_away[router].append(referee.last_answer_at)
 
@@ -136,7 +136,7 @@
     return observed
 
 
-# Routers that turn away all that they get
+# Routers that reject everything
 
 ROUTERS, NODES = 20, 24
 CALM = Scenario(
@@ -164,7 +164,7 @@
 
 
 def refusing(names: set[str], begin: float, seconds: float) -> type[Daemon]:
-    """A daemon that refuses all that it gets for some time, where it has one of these names."""
+    """A daemon class that rejects all requests for some time if the router has one of these names."""
 
     class Refuses(RouterHost):
         refuses = False
@@ -195,7 +195,7 @@
 
 @pytest.mark.parametrize("scenario", [CALM, ROLL], ids=["calm", "roll"])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_at_most_one_router_in_ten_turns_all_away_for_four_seconds(
+def test_at_most_one_router_in_ten_rejects_everything_for_four_seconds(
     scenario: Scenario, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     observed = observe(scenario, seed, monkeypatch)
@@ -204,14 +204,14 @@
     assert len(routers_that_turn_all_away(observed)) * ROUTERS_FOR_ONE <= ROUTERS
 
 
-def test_routers_that_refuse_all_for_four_seconds_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_routers_that_reject_everything_for_four_seconds_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     names = {"r1", "r4", "r17"}
     observed = observe(CALM, 1, monkeypatch, refusing(names, 6.0, 6.0))
     assert routers_that_turn_all_away(observed) == sorted(names)
     assert len(names) * ROUTERS_FOR_ONE > ROUTERS
 
 
-def test_routers_that_refuse_all_for_less_are_not_taken_for_such(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_routers_that_reject_everything_for_less_are_not_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     observed = observe(CALM, 1, monkeypatch, refusing({"r1", "r4", "r17"}, 6.0, 3.0))
     assert routers_that_turn_all_away(observed) == []
 
@@ -228,18 +228,18 @@
         (REFUSALS, [11.0], False),
         (REFUSALS[:14], [], False),
         (REFUSALS[:15], [], True),
-        ([at * 2 for at in REFUSALS], [], False),  # too few of them in four seconds
-        ([*REFUSALS, *(at + 5 for at in REFUSALS)], [13.0], True),  # the second time
+        ([at * 2 for at in REFUSALS], [], False),  # too few in any four seconds
+        ([*REFUSALS, *(at + 5 for at in REFUSALS)], [13.0], True),  # in the second series
         ([], [], False),
     ],
 )
-def test_four_seconds_without_an_attempt_are_found(
+def test_four_seconds_of_rejections_without_an_attempt_are_found(
     turned_away: list[float], attempts: list[float], found: bool
 ) -> None:
     assert turns_all_away(turned_away, attempts, 0.0, 60.0) is found
 
 
-# Requests that are left with no answer
+# Requests that stay unanswered
 
 SHORT = Scenario(
     title="short deadlines under faults",
@@ -274,7 +274,7 @@
 
 
 class Forgets(RouterHost):
-    """Never answers every fiftieth request."""
+    """Leaves every fiftieth request unanswered."""
 
     counted = 0
 
@@ -289,7 +289,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_one_request_in_500_is_left_unanswered_at_most_under_faults(
+def test_at_most_one_request_in_500_stays_unanswered_under_faults(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     observed = observe(SHORT, seed, monkeypatch)
@@ -298,7 +298,7 @@
     assert len(left_unanswered(observed)) <= most_unanswered(observed)
 
 
-def test_a_router_that_leaves_more_unanswered_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_router_that_leaves_more_unanswered_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     observed = observe(SHORT, 1, monkeypatch, ForgetfulDaemon)
     assert len(left_unanswered(observed)) > most_unanswered(observed)
 
@@ -321,7 +321,7 @@
 
 
 class Start:
-    """A router's process from its start on."""
+    """A router process, and how long it took to become ready."""
 
     def __init__(self, folder: Path, discovery: DiscoveryPeer, port: int) -> None:
         folder.mkdir(exist_ok=True)
@@ -336,7 +336,7 @@
         self.took: float | None = None
 
     def look(self) -> bool:
-        """Whether it is ready, or has ended."""
+        """Check whether it is ready or has exited; records when it became ready."""
         if self.took is None and is_ready(self.port):
             self.took = time.monotonic() - self.begun
         return self.took is not None or self.process.poll() is not None
@@ -347,7 +347,7 @@
 
 
 def test_nine_in_ten_restarted_processes_are_ready_within_six_seconds(tmp_path: Path) -> None:
-    """They are all restarted at once, at the addresses that they had."""
+    """All are restarted at once, at their old addresses."""
     discovery = DiscoveryPeer(INSTANCES)
     ports = [take_port() for _ in range(STARTS)]
     running: list[Start] = []
@@ -356,7 +356,7 @@
         running[:] = [Start(tmp_path / str(port), discovery, port) for port in ports]
 
         def all_looked_at() -> bool:
-            looked = [start.look() for start in running]  # each of them, for its own time
+            looked = [start.look() for start in running]  # all of them, so that each records its own time
             return all(looked)
 
         eventually(all_looked_at, "every router is ready")
--- a/tests/daemon/test_unread_age.py
+++ b/tests/daemon/test_unread_age.py
@@ -1,4 +1,4 @@
-"""A deadline counts from when a request came, also where the router read it late."""
+"""A deadline counts from the arrival of a request, even if the router reads it late."""
 
 from __future__ import annotations
 
@@ -25,49 +25,49 @@
 
 HOLD_UP_S = 0.3
 CLIENT_TIMEOUT_MS = 2000
-LOOK_S = 0.1  # between two looks at a connection that is not read
+LOOK_S = 0.1  # between two polls of a connection that is not read
 
 
 def not_far_below(seen: list[Advertised], sent_at: float, slack_s: float) -> bool:
-    """Whether each attempt advertised what was left but for this slack."""
+    """Whether each attempt advertised at least the time left, less this slack."""
     expected = [CLIENT_TIMEOUT_MS - (each.at - sent_at + slack_s) * 1000 - 1.01 for each in seen]
     return all(each.timeout_ms >= least for each, least in zip(seen, expected, strict=True))
 
 
-# The bound by itself
+# The bound alone
 
 
-def test_what_is_read_soon_after_a_look_counts_as_read_at_once() -> None:
+def test_bytes_read_soon_after_a_poll_count_as_read_at_once() -> None:
     age = UnreadAge(10.0)
     assert age.read(10.0 + RECENT_S * 0.9, 100) == 0.0
 
 
-def test_what_is_read_late_may_have_come_right_after_the_last_look() -> None:
+def test_bytes_read_late_may_be_as_old_as_the_last_poll() -> None:
     age = UnreadAge(10.0)
     assert age.read(10.3, 100) == pytest.approx(0.3)
-    assert age.read(10.31, 100) == 0.0, "the read before has emptied the socket"
+    assert age.read(10.31, 100) == 0.0, "the previous read has emptied the socket"
 
 
-def test_a_long_read_may_leave_more_behind() -> None:
+def test_long_read_may_leave_bytes_unread() -> None:
     age = UnreadAge(10.0)
     assert age.read(10.3, SHORT_READ) == pytest.approx(0.3)
     assert age.read(10.4, 100) == pytest.approx(0.4)
 
 
-def test_an_older_look_takes_nothing_back_and_nothing_known_is_no_age() -> None:
+def test_older_poll_changes_nothing_and_an_unknown_age_is_zero() -> None:
     age = UnreadAge(10.0)
     age.emptied(9.0)
     assert age.read(10.2, 100) == pytest.approx(0.2)
     assert UnreadAge(-math.inf).read(10.2, 100) == 0.0
 
 
-def test_a_connection_has_come_since_the_last_look_where_none_waited_before_it() -> None:
+def test_connection_after_an_empty_backlog_is_newer_than_the_last_poll() -> None:
     backlog = BacklogAge()
     assert backlog.accepted(10.0, polled_at=9.98, more_wait=False) == 9.98
     assert backlog.accepted(10.3, polled_at=10.29, more_wait=False) == 10.29
 
 
-def test_connections_that_wait_behind_others_may_be_as_old_as_the_first() -> None:
+def test_connections_behind_others_may_be_as_old_as_the_first() -> None:
     backlog = BacklogAge()
     backlog.accepted(10.0, polled_at=9.98, more_wait=False)
     assert backlog.accepted(11.0, polled_at=10.99, more_wait=True) == 10.99
@@ -76,15 +76,15 @@
     assert backlog.accepted(11.5, polled_at=11.39, more_wait=False) == 11.4, "the backlog was empty then"
 
 
-def test_nothing_is_known_of_connections_older_than_the_process() -> None:
+def test_age_of_connections_older_than_the_process_is_unknown() -> None:
     assert BacklogAge().accepted(10.0, polled_at=-math.inf, more_wait=True) == -math.inf
 
 
-# On sockets
+# Over sockets
 
 
 class RecordingHost:
-    """Notes for how long each request may have waited before it was read."""
+    """Records for how long each request may have been unread."""
 
     ready = True
 
@@ -104,13 +104,13 @@
         raise AssertionError("there is room")
 
 
-def test_a_request_behind_a_crowd_of_new_connections_counts_from_when_it_came() -> None:
-    """Each new connection costs the loop work, and the kernel's queue of them is taken one by one."""
+def test_request_behind_many_new_connections_counts_from_its_arrival() -> None:
+    """Each new connection takes CPU time, and the loop accepts the kernel's backlog one by one."""
     crowd, work_s = 60, 0.005
 
     class BusyServer(ClientServer):
         def register(self, connection: ClientConnection) -> None:
-            time.sleep(work_s)  # the work, not a wait
+            time.sleep(work_s)  # stands for CPU time: the loop is blocked
             super().register(connection)
 
     async def main(loop: DaemonLoop) -> float:
@@ -119,7 +119,7 @@
         await server.listen((ADDRESS, 0))
         assert server._listener is not None
         address = server._listener.sockets[0].getsockname()
-        await asyncio.sleep(0.1)  # heartbeats have looked at the sockets
+        await asyncio.sleep(0.1)  # a heartbeat has polled the sockets
         lines = [socket.create_connection(address) for _ in range(crowd + 1)]
         lines[-1].sendall(asked("r"))
         while not host.unread_s:
@@ -144,7 +144,7 @@
 
 
 async def new_connection(bed: Bed) -> None:
-    """The connection itself comes in the hold-up."""
+    """The connection itself arrives in the stall."""
     await bed.wait(0.5)
     made = bed.loop.network.adopt()
     made.connect((ADDRESS, bed.port))
@@ -153,7 +153,7 @@
 
 
 async def handed_over(bed: Bed) -> None:
-    """Another process has read the first half of the command."""
+    """Another process has read the first part of the command."""
     await bed.wait(0.5)
     listener = await bed.loop.create_server(asyncio.Protocol, ADDRESS, 0)
     client = bed.loop.network.adopt()
@@ -168,7 +168,7 @@
 
 
 @pytest.mark.parametrize("way", [open_connection, new_connection, handed_over], ids=lambda way: way.__name__)
-def test_a_request_read_after_a_hold_up_advertises_what_is_left(
+def test_request_read_after_a_stall_advertises_the_time_left(
     way: Callable[[Bed], Awaitable[None]],
 ) -> None:
     async def test(bed: Bed) -> None:
@@ -185,7 +185,7 @@
     crossing(test)
 
 
-def test_what_stood_unread_on_a_paused_connection_advertises_what_is_left() -> None:
+def test_request_unread_on_a_paused_connection_advertises_the_time_left() -> None:
     async def test(bed: Bed) -> None:
         client = await bed.client()
         await bed.wait(0.3)
@@ -206,7 +206,7 @@
     crossing(test)
 
 
-def test_what_came_after_a_pause_has_all_of_its_time() -> None:
+def test_request_sent_after_a_pause_advertises_its_full_time() -> None:
     async def test(bed: Bed) -> None:
         client = await bed.client()
         await bed.wait(0.3)
@@ -225,7 +225,7 @@
 
 
 @pytest.mark.parametrize("between_s", [0.001, 0.005, 0.3])
-def test_requests_on_a_busy_connection_have_all_of_their_time(between_s: float) -> None:
+def test_requests_on_a_busy_connection_advertise_their_full_time(between_s: float) -> None:
     async def test(bed: Bed) -> None:
         for cache in bed.caches.values():
             cache.came = cache.serve
@@ -240,7 +240,7 @@
     crossing(test)
 
 
-def test_a_list_of_keys_read_after_a_hold_up_advertises_what_is_left() -> None:
+def test_multi_get_read_after_a_stall_advertises_the_time_left() -> None:
     async def test(site: Site) -> None:
         client = await site.client()
         await client.many(["k1", "k2"], "warm")
--- a/tests/daemon/test_upgrade.py
+++ b/tests/daemon/test_upgrade.py
@@ -1,4 +1,4 @@
-"""An upgrade between real processes: one after another on the clients' socket, which the test holds."""
+"""Upgrades between router processes that share the clients' listening socket, which the test holds."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Site:
-    """The platform's part: the listening socket, the folder, the list, and the processes."""
+    """What the platform provides: the listening socket, the folder, the endpoint list and the processes."""
 
     def __init__(self, folder: Path, caches: dict[str, Peer], sockets: int = 256) -> None:
         self.folder, self.caches = folder, caches
@@ -64,12 +64,12 @@
         process = start_router(folder, told, (number,), checkout, **environ)
         self.processes.append(process)
         self.cleanup.callback(kill_process, process)
-        eventually(lambda: process.poll() is not None or is_yes(ops), "the word that it is ready")
+        eventually(lambda: process.poll() is not None or is_yes(ops), "the router is ready")
         assert process.poll() is None, process.communicate()[1]
         return process, ops
 
     def end(self, process: subprocess.Popen[str]) -> None:
-        """End it by SIGTERM."""
+        """Shut a process down by SIGTERM."""
         process.send_signal(signal.SIGTERM)
         _, log = process.communicate(timeout=PATIENCE_S)
         self.logs.append(log)
@@ -124,7 +124,7 @@
             old = new
 
 
-def test_half_a_command_is_finished_at_the_new_process(tmp_path: Path) -> None:
+def test_partial_command_is_completed_at_the_new_process(tmp_path: Path) -> None:
     with site(tmp_path, {"s1": Peer(lambda _, words: hit(b"v"))}) as made:
         old, _ = made.start()
         client, whole = made.client(), get("q1")
@@ -137,7 +137,7 @@
         assert served(ops) == 1
 
 
-def test_what_is_open_is_answered_by_the_process_that_took_it(tmp_path: Path) -> None:
+def test_open_request_is_answered_by_the_process_that_accepted_it(tmp_path: Path) -> None:
     waiting: list[socket.socket] = []
 
     def cache(connection: socket.socket, words: list[bytes]) -> bytes | None:
@@ -153,7 +153,7 @@
         eventually(lambda: waiting, "the request at its server")
         _, ops = made.start()
         old.send_signal(signal.SIGTERM)
-        # The rest is the new one's from here on.
+        # The new process serves everything else from now on.
         assert made.client().ask(get("q2")) == b"quick"
         assert figures(before)["current"] == 1
         waiting[0].sendall(hit(b"late"))
@@ -164,7 +164,7 @@
         assert old.returncode == 0
 
 
-def test_the_old_process_serves_on_when_the_new_one_ends_before_it_was_told_to(tmp_path: Path) -> None:
+def test_old_process_serves_again_when_the_new_one_is_killed(tmp_path: Path) -> None:
     with site(tmp_path, {"s1": Peer(lambda _, words: hit(b"v"))}) as made:
         old, ops = made.start()
         new, _ = made.start()
@@ -173,14 +173,14 @@
         new.communicate(timeout=PATIENCE_S)
         eventually(lambda: is_yes(ops), "the old one's word that it serves again")
         assert made.client().ask(get("q1")) == b"v"
-        # And it hands on as ever, to the next.
+        # It still hands over to the next process.
         _, next_ops = made.start()
         made.end(old)
         assert made.client().ask(get("q2")) == b"v"
         assert served(next_ops) == 1
 
 
-def test_a_new_process_that_is_told_to_end_gives_nothing_back_and_the_old_one_serves_on(
+def test_old_process_serves_again_when_the_new_one_is_terminated(
     tmp_path: Path,
 ) -> None:
     waiting: list[socket.socket] = []
@@ -199,8 +199,8 @@
         client.send(get("q1", "slow", PATIENT_DEADLINE_MS))
         eventually(lambda: waiting, "the request at its server")
         new.send_signal(signal.SIGTERM)
-        eventually(lambda: not is_yes(ops), "the new one's word that it takes nothing new")
-        assert new.poll() is None, "it has an answer to give still"
+        eventually(lambda: not is_yes(ops), "the new process is not ready")
+        assert new.poll() is None, "it still has an open request"
         waiting[0].sendall(hit(b"late"))
         assert client.answer() == b"late"
         assert client.at_end()
@@ -210,7 +210,7 @@
         assert made.client().ask(get("q2")) == b"quick"
 
 
-def test_a_process_killed_outright_leaves_a_door_that_keeps_nobody(tmp_path: Path) -> None:
+def test_leftover_socket_of_a_killed_process_does_not_block_a_start(tmp_path: Path) -> None:
     with site(tmp_path, {"s1": Peer(lambda _, words: hit(b"v"))}) as made:
         old, _ = made.start()
         old.kill()
@@ -220,7 +220,7 @@
         assert served(ops) == 1
 
 
-def test_one_that_is_there_and_silent_keeps_nobody(tmp_path: Path) -> None:
+def test_stopped_old_process_does_not_block_a_start(tmp_path: Path) -> None:
     with site(tmp_path, {"s1": Peer(lambda _, words: hit(b"v"))}) as made:
         old, _ = made.start()
         old.send_signal(signal.SIGSTOP)
@@ -232,7 +232,7 @@
             old.send_signal(signal.SIGCONT)
 
 
-def test_the_list_comes_from_the_old_process_while_discovery_is_silent(tmp_path: Path) -> None:
+def test_endpoint_list_comes_from_the_old_process_if_discovery_fails(tmp_path: Path) -> None:
     with site(tmp_path, {"s1": Peer(lambda _, words: hit(b"v"))}) as made:
         old, _ = made.start()
         assert made.client().ask(get("q1")) == b"v"
@@ -243,7 +243,7 @@
         assert (served(ops), figures(ops)["cluster_size"]) == (1, 1)
 
 
-def test_what_is_held_against_a_server_is_known_to_the_new_process(tmp_path: Path) -> None:
+def test_health_of_servers_is_known_to_the_new_process(tmp_path: Path) -> None:
     caches = {"up": Peer(lambda _, words: hit(b"v")), "dead": Peer(lambda _, words: hit(b"v"))}
     with site(tmp_path, caches) as made:
         caches["dead"].close()
@@ -255,20 +255,20 @@
                 client.ask(get(f"q{served(ops)}.{number}", f"k{number}"))
             return figures(ops)["cluster_unhealthy"] == 1
 
-        eventually(found, "a server found dead")
+        eventually(found, "a server is found unhealthy")
         _, ops = made.start()
         made.end(old)
         assert figures(ops)["cluster_unhealthy"] == 1
 
 
 def asked_anew(made: Site) -> bool:
-    """Whether a new client has its answer; one that is closed unheard comes again, as clients do."""
+    """Whether a new client is served; one that is closed without an answer connects again, as clients do."""
     with contextlib.suppress(ConnectionError):
         return made.client().ask(get(f"q{next(made.numbers)}")) == b"v"
     return False
 
 
-def test_both_processes_hold_no_more_descriptors_than_one_may(tmp_path: Path) -> None:
+def test_both_processes_together_stay_within_one_descriptor_limit(tmp_path: Path) -> None:
     limit = 160
     caches = {f"s{i}": Peer(lambda _, words: hit(b"v")) for i in range(4)}
     with site(tmp_path, caches, sockets=limit) as made:
@@ -281,14 +281,14 @@
                     crowd.append(made.client())
 
         more()
-        eventually(lambda: descriptors(old) > limit // 3, "a crowd at the old process")
+        eventually(lambda: descriptors(old) > limit // 3, "many connections at the old process")
         most = descriptors(old)
         new, _ = made.start()
         more()
         for _ in range(20):
             most = max(most, descriptors(old) + descriptors(new))
-            eventually(lambda: asked_anew(made), "an answer in the crowd")
+            eventually(lambda: asked_anew(made), "an answer among many connections")
         made.end(old)
         more()
-        eventually(lambda: descriptors(new) > limit // 3, "a crowd at the new process")
+        eventually(lambda: descriptors(new) > limit // 3, "many connections at the new process")
         assert max(most, descriptors(new)) <= limit
--- a/tests/daemon/test_upstream.py
+++ b/tests/daemon/test_upstream.py
@@ -1,4 +1,4 @@
-"""The server side alone, in this process, over loopback sockets: one test for each failure found."""
+"""Tests of the connection pool alone, in this process, over loopback sockets: one for each fault found."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Ask(Exchange):
-    """One request, and how it ended."""
+    """An exchange of one request, which records its outcome."""
 
     def __init__(self, name: bytes, is_http: bool = False) -> None:
         self.name, self._http = name, is_http
@@ -45,7 +45,7 @@
 
 
 class AskLong(Ask):
-    """Its client can take no more with the value's last part, and again in a while."""
+    """Its client stops reading at the value's last part, and reads again 50 ms later."""
 
     def value_started(self, length: int, source: ValueSource) -> None:
         self._left, self._source = length, source
@@ -62,7 +62,7 @@
 
 
 class Stand:
-    """A pool with one server that answers as told; b"" answers nothing."""
+    """A pool with one server, whose answers come from `answer`; b"" means no answer."""
 
     def __init__(self, pool: Pool, is_http: bool) -> None:
         self.pool, self._http = pool, is_http
@@ -94,7 +94,7 @@
 
 
 def with_pool(test: Callable[[Stand], Awaitable[None]], is_http: bool = False, port: int = 0) -> None:
-    """Run a test over a pool with one server; with a port given, nobody listens there."""
+    """Run a test over a pool with one server; if a port is given, nothing listens there."""
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
@@ -122,7 +122,7 @@
         await asyncio.sleep(0.005)
 
 
-def test_given_up_attempt_closes_its_connection_and_frees_its_place() -> None:
+def test_timed_out_attempt_closes_its_connection_and_frees_its_slot() -> None:
     async def test(stand: Stand) -> None:
         stand.answer = lambda name: hit(name) if name == b"last" else b""
         silent = [stand.submit(b"r%d" % i) for i in range(MAX_CONNECTIONS_PER_SERVER)]
@@ -132,13 +132,13 @@
         assert [(await exchange.came())[0] for exchange in silent] == [
             Outcome.TIMEOUT
         ] * MAX_CONNECTIONS_PER_SERVER
-        await until(lambda: not stand.open, "the connections of what was given up are closed")
+        await until(lambda: not stand.open, "the connections of the timed out attempts are closed")
         assert await stand.ask(b"last") == (Outcome.OK, b"last")
 
     with_pool(test)
 
 
-def test_refused_connection_ends_the_attempt_that_waits_for_it_at_once() -> None:
+def test_refused_connection_fails_the_attempt_that_waits_for_it() -> None:
     async def test(stand: Stand) -> None:
         attempts = [stand.submit(b"r%d" % i) for i in range(3)]
         assert [(await exchange.came())[0] for exchange in attempts] == [Outcome.CONNECT_FAILED] * 3
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize("host", ["x" * 80, "a..b", "\ud800"])
-def test_listed_host_that_can_be_none_ends_its_attempts_at_once(host: str) -> None:
+def test_attempt_at_an_invalid_host_fails_at_once(host: str) -> None:
     async def test(stand: Stand) -> None:
         stand.pool.list_server("s1", (host, 80), CacheConnection)
         assert await stand.ask(b"r") == (Outcome.CONNECT_FAILED, None)
@@ -156,7 +156,7 @@
 
 
 @pytest.mark.parametrize("more", [hit(b"copy"), b"\x00\xff noise\r\n", b"*3\r\n$", b"-ERR again\r\n"])
-def test_cache_answer_with_more_behind_it_counts_and_its_connection_is_retired(more: bytes) -> None:
+def test_cache_answer_with_trailing_bytes_counts_but_retires_connection(more: bytes) -> None:
     async def test(stand: Stand) -> None:
         stand.answer = lambda name: hit(name) + more
         for i in range(3):
@@ -169,7 +169,7 @@
 @pytest.mark.parametrize(
     "more", [http_answer(200, b"copy"), http_answer(500), b"\x00\xff noise", b"HTTP/1.1 2"]
 )
-def test_origin_answer_with_more_behind_it_counts_and_its_connection_is_retired(more: bytes) -> None:
+def test_origin_answer_with_trailing_bytes_counts_but_retires_connection(more: bytes) -> None:
     async def test(stand: Stand) -> None:
         stand.answer = lambda name: http_answer(200, name) + more
         for i in range(3):
@@ -179,7 +179,7 @@
     with_pool(test, is_http=True)
 
 
-def test_interim_answers_ahead_of_the_origins_answer_are_passed_over() -> None:
+def test_interim_answers_of_the_origin_are_skipped() -> None:
     async def test(stand: Stand) -> None:
         interim = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nContent-Length: 9\r\n\r\n"
         stand.answer = lambda name: interim + http_answer(200, name)
@@ -191,9 +191,9 @@
 
 
 @pytest.mark.parametrize("told", [3, 11, 19])
-def test_value_of_another_length_than_told_is_not_served(told: int) -> None:
+def test_value_of_a_wrong_length_is_not_served(told: int) -> None:
     async def test(stand: Stand) -> None:
-        value = b"value+of\r\n"  # cut or lengthened so that what follows can be read all the same
+        value = b"value+of\r\n"  # announced shorter or longer so that the rest can still be parsed
         spoilt = {
             3: b"*3\r\n$3\r\n" + value + b"$3\r\nhit\r\n$-1\r\n",
             11: b"*3\r\n$11\r\n" + value + b"$3:1\r\n$-1\r\n",
@@ -211,7 +211,7 @@
 @pytest.mark.parametrize(
     "header", [b"*1000000000\r\n", b"*3\r\n*3\r\n*3\r\n", b"*0\r\n", b"*3\r\n$\r\n", b"*3\r\n:1\r\n"]
 )
-def test_short_header_that_is_broken_is_seen_at_once(header: bytes) -> None:
+def test_invalid_short_header_fails_at_once(header: bytes) -> None:
     async def test(stand: Stand) -> None:
         stand.answer = lambda name: header
         assert await stand.ask(b"r") == (Outcome.ERROR, None)
@@ -220,7 +220,7 @@
 
 
 @pytest.mark.parametrize(("answer", "outcome"), [(hit(b"value"), Outcome.OK), (MISS, Outcome.MISS)])
-def test_answer_cut_at_any_byte_is_read_whole(answer: bytes, outcome: Outcome) -> None:
+def test_answer_split_at_any_byte_is_parsed(answer: bytes, outcome: Outcome) -> None:
     async def test(stand: Stand) -> None:
         stand.answer = lambda name: b""
         for cut in range(1, len(answer)):
@@ -236,25 +236,27 @@
     with_pool(test)
 
 
-def test_server_without_a_place_for_a_connection_is_told_apart_and_that_connection_closed() -> None:
+def test_rejection_of_the_first_request_closes_its_connection() -> None:
     async def test(stand: Stand) -> None:
         stand.answer = lambda _: b"-BUSY\r\n"
         for n in range(2):
             exchange = stand.submit(b"a%d" % n)
             assert await exchange.came() == (Outcome.OVERLOADED, None)
             assert exchange.connection_rejected
-            assert stand.accepted == n + 1  # kept, the first would be turned away again
+            assert stand.accepted == n + 1  # if it were kept, the first connection would be rejected again
         stand.answer = hit
         assert (await stand.ask(b"b"))[0] is Outcome.OK
         stand.answer = lambda _: b"-BUSY\r\n"
         exchange = stand.submit(b"c")
         assert (await exchange.came())[0] is Outcome.OVERLOADED
-        assert not exchange.connection_rejected  # it has a place: this is its queue
+        assert (
+            not exchange.connection_rejected
+        )  # the server had accepted the connection: this rejection means load
 
     with_pool(test)
 
 
-def test_refusal_with_a_load_report_tells_of_the_load() -> None:
+def test_rejection_with_a_load_report_means_load() -> None:
     async def test(stand: Stand) -> None:
         stand.answer = lambda _: b"-BUSY queue=9,latency_ms=40\r\n"
         exchange = stand.submit(b"a")
@@ -264,7 +266,7 @@
     with_pool(test)
 
 
-def test_further_connection_without_a_place_leaves_it_to_those_that_have_one() -> None:
+def test_rejected_further_connection_leaves_requests_to_the_accepted_one() -> None:
     async def test(stand: Stand) -> None:
         stand.answer = lambda name: b"" if name == b"slow" else b"-BUSY\r\n"
         slow = stand.submit(b"slow")
@@ -276,12 +278,12 @@
         await asyncio.sleep(0)
         assert (stand.accepted, waiting.end_came.done()) == (2, False)  # no further dial
         slow.give_up(Outcome.TIMEOUT)
-        assert (await waiting.came())[0] is Outcome.OK  # it does not wait for good
+        assert (await waiting.came())[0] is Outcome.OK  # it does not wait forever
 
     with_pool(test)
 
 
-def test_idle_connection_is_used_again_until_shortly_before_its_server_may_close_it() -> None:
+def test_idle_connection_is_reused_until_its_server_may_close_it() -> None:
     async def work(loop: VirtualLoop) -> None:
         stand = Stand(Pool(loop, 64, 5.0, 10.0), False)
         server = await asyncio.start_server(stand.serve, "127.0.0.1", 0)
@@ -298,7 +300,7 @@
     played(work)
 
 
-def test_where_no_server_gives_reports_a_refusal_tells_of_the_load() -> None:
+def test_rejection_means_load_if_servers_send_no_reports() -> None:
     async def test(stand: Stand) -> None:
         stand.pool.reports = False
         stand.answer = lambda name: b"" if name == b"slow" else b"-BUSY\r\n"
@@ -307,14 +309,14 @@
             exchange = stand.submit(name)
             assert (await exchange.came())[0] is Outcome.OVERLOADED
             assert (exchange.connection_rejected, exchange.connection_failed) == (False, False)
-        assert stand.accepted == 2  # the one that was turned away is kept
+        assert stand.accepted == 2  # the rejected connection is kept
         slow.give_up(Outcome.TIMEOUT)
 
     with_pool(test)
 
 
 @pytest.mark.parametrize("is_http", [False, True])
-def test_connection_is_read_again_after_a_value_whose_client_took_its_end_late(is_http: bool) -> None:
+def test_reading_resumes_after_a_value_that_its_client_read_late(is_http: bool) -> None:
     async def test(stand: Stand) -> None:
         value = bytes(100_000)
         stand.answer = lambda name: http_answer(200, value) if is_http else hit(value)
@@ -322,7 +324,7 @@
         stand.pool.submit("s1", exchange)
         assert (await exchange.came())[0] is Outcome.OK
         stand.answer = lambda name: http_answer(200, name) if is_http else hit(name)
-        await asyncio.sleep(0.02)  # it has rested, and is used again
+        await asyncio.sleep(0.02)  # by then it can be reused
         assert await asyncio.wait_for(stand.ask(b"next"), 2.0) == (Outcome.OK, b"next")
         assert stand.accepted == 1
 
--- a/tests/daemon/test_whole_answers.py
+++ b/tests/daemon/test_whole_answers.py
@@ -1,4 +1,4 @@
-"""An answer that comes whole is judged as one that comes byte by byte."""
+"""An answer that arrives at once is parsed like one that arrives byte by byte."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Told(Exchange):
-    """Notes its end."""
+    """Records its outcome."""
 
     def __init__(self) -> None:
         self.seen: list[tuple[Any, ...]] = []
@@ -38,7 +38,7 @@
 
 
 class ReplySlot:
-    """What a connection knows of its server."""
+    """The server as its connection sees it."""
 
     id, pool = "s1", NoPool()
 
@@ -67,7 +67,7 @@
 
 
 def judged(answer: bytes, size: int) -> tuple[list[tuple[Any, ...]], bool]:
-    """What becomes of the attempt, and whether the connection can go on, with answers in pieces so long."""
+    """The outcomes of the attempt, and whether the connection stays usable, for pieces of `size` bytes."""
     connection = CacheConnection(cast(Server, ReplySlot()))
     connection.transport = NoTransport()
     exchange = Told()
@@ -80,7 +80,7 @@
 
 
 @given(strategies.binary(max_size=20))
-def test_a_hit_gives_its_value_note_and_report(value: bytes) -> None:
+def test_hit_yields_its_value_note_and_report(value: bytes) -> None:
     for size in (1, 7, 10_000):
         (ended,), usable = judged(hit(value), size)
         assert ended == (Outcome.OK, value, CacheNote.HIT, b"latency_ms=1.5,queue=2")
@@ -88,39 +88,39 @@
 
 
 @given(strategies.binary(max_size=12), strategies.data())
-def test_one_byte_changed_is_judged_the_same_whole_as_byte_by_byte(
+def test_changed_byte_gives_the_same_outcome_at_once_as_byte_by_byte(
     value: bytes, data: strategies.DataObject
 ) -> None:
     answer = bytearray(hit(value))
     at = data.draw(strategies.integers(0, len(answer) - 1))
     answer[at] = data.draw(strategies.sampled_from(b"\r\n$*-0123459hx"))
     whole, pieces = judged(bytes(answer), len(answer)), judged(bytes(answer), 1)
-    # Where the whole holds more than one answer the connection is given up, which pieces can't tell.
+    # The connection is not compared: with more than one answer it is retired, which single bytes don't show.
     assert whole[0] == pieces[0]
 
 
 @pytest.mark.parametrize(
     "answer",
     [
-        b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$5\r\nabc\r\n",  # a report shorter than told: more must come
+        b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$5\r\nabc\r\n",  # a report shorter than announced: more must follow
         b"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$2\r\nabc\r\n",
         b"*2\r\n$1\r\nv\r\n$3\r\nhit\r\n$3\r\nabc\r\n",
         b"*4\r\n$1\r\nv\r\n$3\r\nhit\r\n$3\r\nabc\r\n",
     ],
 )
-def test_lengths_that_are_wrong_are_found_also_where_all_comes_at_once(answer: bytes) -> None:
+def test_wrong_lengths_are_found_in_an_answer_that_arrives_at_once(answer: bytes) -> None:
     whole, pieces = judged(answer, len(answer)), judged(answer, 1)
     assert whole[0] == pieces[0]
 
 
-def test_more_behind_an_answer_ends_the_connection_and_not_the_answer() -> None:
+def test_trailing_bytes_retire_the_connection_but_not_the_answer() -> None:
     (ended,), usable = judged(hit(b"value") + MISS, 10_000)
     assert ended[:2] == (Outcome.OK, b"value")
     assert not usable
 
 
 def at_the_origin(*pieces: bytes, reset: bool = False) -> list[tuple[Any, ...]]:
-    """What an attempt is told whose answer comes in these pieces, and then the end of the connection."""
+    """The outcomes of an attempt whose answer arrives in these pieces, and then the connection's end."""
     connection, exchange = OriginConnection(cast(Server, OriginsPlace())), Told()
     connection.exchange, exchange.connection = exchange, connection
     for piece in pieces:
@@ -131,7 +131,7 @@
     return exchange.seen
 
 
-def test_the_origins_answer_without_a_length_is_whole_with_the_end_of_its_connection() -> None:
+def test_origin_answer_without_a_length_ends_with_its_connection() -> None:
     head = b"HTTP/1.1 200 OK\r\nServer-Load: a=1 \r\nConnection: close\r\n\r\n"
     told = [(Outcome.OK, b"all of it", None, b"a=1")]
     assert at_the_origin(head, b"all ", b"of it") == told
@@ -145,7 +145,7 @@
 
 
 class Slow(Told):
-    """A client that takes one part, and then no more until it is asked to."""
+    """Its client reads one part, and no more until the source is resumed."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -165,7 +165,7 @@
 LONG = bytes(range(256)) * 1024  # 256 KiB, four parts
 
 
-def test_a_long_value_without_a_length_waits_for_its_client_beyond_the_connections_end() -> None:
+def test_long_value_without_a_length_waits_for_its_client_after_the_end() -> None:
     place, exchange = OriginsPlace(), Slow()
     connection = OriginConnection(cast(Server, place))
     connection.exchange, exchange.connection = exchange, connection
@@ -183,7 +183,7 @@
     assert place.pool.gathered.held == 0
 
 
-def test_what_has_been_gathered_goes_with_a_client_that_leaves() -> None:
+def test_buffered_value_is_freed_when_its_client_leaves() -> None:
     place, exchange = OriginsPlace(), Slow()
     connection = OriginConnection(cast(Server, place))
     connection.exchange, exchange.connection = exchange, connection
