--- a/tests/daemon/test_standing_terms.py
+++ b/tests/daemon/test_acceptance_limits.py
@@ -30,7 +30,8 @@
 
 WINDOW_S, MOST_IN_WINDOW = 4.0, 14  # requests that a router may reject within the window without an attempt
 ROUTERS_FOR_ONE = 10  # one of this many routers may exceed that limit
-READY_S, READY_SHARE = 6.0, 0.9  # of the restarted routers; 10 s, if the day does not end sooner
+# Nine in ten restarted routers are ready within 10 s, or within 6 s if a run ends sooner after the restart.
+READY_S, READY_SHARE = 6.0, 0.9
 UNANSWERED_SHARE, UNANSWERED_MORE = 1 / 500, 5
 
 
