--- a/tests/daemon/test_deadlines.py
+++ b/tests/daemon/test_deadlines.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from pebblepass.daemon.deadlines import ROUNDED_S, STEP_NS, Deadlines
+from pebblepass.daemon.deadlines import STEP_NS, TIMER_ROUNDING_S, Deadlines
 from pebblepass.daemon.loop import DaemonLoop
 from pebblepass.simulation.clock import VirtualLoop
-from tests.virtual import played
+from tests.virtual import run_virtual
 
 MS = 1_000_000
 
@@ -31,9 +31,9 @@
         await asyncio.sleep(0.4)
         assert len(off) == 500
         assert min(off) >= 0
-        assert max(off) <= STEP_NS + ROUNDED_S * 1e9 + 1000
+        assert max(off) <= STEP_NS + TIMER_ROUNDING_S * 1e9 + 1000
 
-    played(work)
+    run_virtual(work)
 
 
 def test_deadline_before_all_others_does_not_wait_for_them() -> None:
@@ -47,7 +47,7 @@
         await asyncio.sleep(0.5)
         assert seen == ["soon", "late"]
 
-    played(work)
+    run_virtual(work)
 
 
 def test_past_deadline_added_by_a_callback_fires() -> None:
@@ -63,7 +63,7 @@
         await asyncio.sleep(0.05)
         assert seen == ["first", "second"]
 
-    played(work)
+    run_virtual(work)
 
 
 def test_failing_callback_does_not_stop_other_deadlines(caplog: pytest.LogCaptureFixture) -> None:
@@ -80,7 +80,7 @@
         await asyncio.sleep(0.05)
         assert seen == ["with it", "after it"]
 
-    played(work)
+    run_virtual(work)
     assert "on purpose" in caplog.text
 
 
@@ -98,7 +98,7 @@
         assert seen() is None
         await asyncio.sleep(0.1)
 
-    played(work)
+    run_virtual(work)
 
 
 def test_no_deadline_fires_early_on_the_daemons_loop() -> None:
--- a/tests/daemon/test_signals.py
+++ b/tests/daemon/test_signals.py
@@ -16,9 +16,9 @@
 from pebblepass.emulators.ports import take_port
 from tests.processes import end_by_sigterm, ending, spawn
 from tests.sockets import (
-    FACTS,
-    PATIENCE_S,
     ROOT,
+    SETTINGS,
+    WAIT_TIMEOUT_S,
     Client,
     DiscoveryPeer,
     Peer,
@@ -27,7 +27,7 @@
     get,
     hit,
     is_ready,
-    routed,
+    running_router,
 )
 
 # Loaded by the interpreter before the program: the process sends itself a signal at one chosen moment.
@@ -100,7 +100,7 @@
     port, nobody = take_port(), take_port()
     config = folder / "config.json"
     config.write_text(
-        json.dumps({"listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{nobody}", "settings": FACTS})
+        json.dumps({"listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{nobody}", "settings": SETTINGS})
     )
     return started(config, folder, **environ), port
 
@@ -133,7 +133,7 @@
         {
             "listen": f"127.0.0.1:{port}",
             "discovery": f"127.0.0.1:{discovery.peer.port}",
-            "settings": FACTS,
+            "settings": SETTINGS,
         }
     )
 
@@ -158,10 +158,10 @@
 
         eventually(ready, "the router is ready")
         client = Client(port)
-        assert client.ask(get("r1")) == b"k"
+        assert client.request(get("r1")) == b"k"
         client.close()
     finally:
-        log = end_by_sigterm(process, PATIENCE_S)
+        log = end_by_sigterm(process, WAIT_TIMEOUT_S)
         discovery.peer.close()
         cache.close()
     assert process.returncode == 0, log
@@ -181,9 +181,9 @@
             renamed.rename(config)
             process.send_signal(signal.SIGHUP)
             pipe.write(told(port, before))
-        eventually(lambda: after.peer.seen, "a call of the new address")
+        eventually(lambda: after.peer.requests, "a call of the new address")
     finally:
-        log = end_by_sigterm(process, PATIENCE_S)
+        log = end_by_sigterm(process, WAIT_TIMEOUT_S)
         for peer in (before.peer, after.peer, cache):
             peer.close()
     assert process.returncode == 0, log
@@ -195,7 +195,7 @@
     with ending(process):
         eventually(lambda: listens(port), "it listens")
         process.send_signal(signal.SIGTERM)
-        _, log = process.communicate(timeout=PATIENCE_S)
+        _, log = process.communicate(timeout=WAIT_TIMEOUT_S)
     assert process.returncode == 0, log
     assert "Traceback" not in log
 
@@ -204,19 +204,19 @@
     let = threading.Event()
 
     def held(_: object, words: list[bytes]) -> bytes:
-        let.wait(PATIENCE_S)
+        let.wait(WAIT_TIMEOUT_S)
         return hit(words[1])
 
     cache = Peer(held)
-    with routed(tmp_path, {"c1": cache}) as router:
+    with running_router(tmp_path, {"c1": cache}) as router:
         client = router.client()
         client.send(get("r1"))
-        eventually(lambda: cache.seen, "the request is at the cache")
+        eventually(lambda: cache.requests, "the request is at the cache")
         router.terminate()
         router.process.send_signal(signal.SIGHUP)
         router.terminate()
         let.set()
-        assert client.answer() == b"k"
+        assert client.read_reply() == b"k"
         assert client.at_end()
         client.close()
 
@@ -225,7 +225,7 @@
 def test_sigterm_before_its_handler_is_installed_ends_the_process(tmp_path: Path, moment: str) -> None:
     process, _, sent = started_to_signal_itself(tmp_path, moment, signal.SIGTERM)
     with ending(process):
-        _, log = process.communicate(timeout=PATIENCE_S)
+        _, log = process.communicate(timeout=WAIT_TIMEOUT_S)
     assert sent.exists()
     assert process.returncode == -signal.SIGTERM, log
 
@@ -239,7 +239,7 @@
     with ending(process):
         eventually(lambda: listens(port), "it listens")
         process.send_signal(signal.SIGTERM)
-        _, log = process.communicate(timeout=PATIENCE_S)
+        _, log = process.communicate(timeout=WAIT_TIMEOUT_S)
     assert sent.exists()
     assert process.returncode == 0, log
     assert "Traceback" not in log
@@ -257,6 +257,6 @@
         eventually(lambda: listens(port), "it listens")
         while not over():
             pass
-        _, log = process.communicate(timeout=PATIENCE_S)
+        _, log = process.communicate(timeout=WAIT_TIMEOUT_S)
     # The log is not checked: a signal delivered just as it becomes ignored leaves a line there.
     assert process.returncode == 0, log
