--- a/tests/daemon/test_upgrade.py
+++ b/tests/daemon/test_upgrade.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from pebblepass.emulators.ports import take_port
-from tests.daemon.test_operations import control, figures
+from tests.daemon.test_operations import call_control, read_counters
 from tests.processes import kill_process
 from tests.sockets import (
     LONG_DEADLINE_CLASSES,
@@ -38,8 +38,8 @@
 
     def __init__(self, folder: Path, caches: dict[str, Peer], sockets: int = 256) -> None:
         self.folder, self.caches = folder, caches
-        self.held = socket.create_server(("127.0.0.1", 0), backlog=1024)
-        self.port = int(self.held.getsockname()[1])
+        self.listener = socket.create_server(("127.0.0.1", 0), backlog=1024)
+        self.port = int(self.listener.getsockname()[1])
         self.discovery = DiscoveryPeer([entry(peer, name) for name, peer in caches.items()])
         self.limits = {"cores": 1.0, "memory_mb": 80, "sockets": sockets}
         self.processes: list[subprocess.Popen[str]] = []
@@ -50,7 +50,7 @@
     def start(self, checkout: Path = ROOT) -> tuple[subprocess.Popen[str], int]:
         """Start a checkout's process, and wait until it is ready; returns it and its control address."""
         ops = take_port()
-        told = {
+        config = {
             "listen": f"127.0.0.1:{self.port}",
             "discovery": f"127.0.0.1:{self.discovery.peer.port}",
             "settings": {**SETTINGS, "classes": LONG_DEADLINE_CLASSES},
@@ -59,12 +59,12 @@
         }
         folder = self.folder / str(len(self.processes))
         folder.mkdir()
-        number = self.held.fileno()
-        environ = {"LB_INHERITED_FD": str(number), "TMPDIR": str(self.folder)}
-        process = start_router(folder, told, (number,), checkout, **environ)
+        descriptor = self.listener.fileno()
+        environ = {"LB_INHERITED_FD": str(descriptor), "TMPDIR": str(self.folder)}
+        process = start_router(folder, config, (descriptor,), checkout, **environ)
         self.processes.append(process)
         self.cleanup.callback(kill_process, process)
-        eventually(lambda: process.poll() is not None or is_yes(ops), "the router is ready")
+        eventually(lambda: process.poll() is not None or is_ready_at(ops), "the router is ready")
         assert process.poll() is None, process.communicate()[1]
         return process, ops
 
@@ -79,45 +79,45 @@
         return Client(self.port)
 
 
-def is_yes(ops: int) -> bool:
+def is_ready_at(ops: int) -> bool:
     with contextlib.suppress(OSError):
-        return control(ops, "ready")[0] == 200
+        return call_control(ops, "ready")[0] == 200
     return False
 
 
 @contextlib.contextmanager
 def site(folder: Path, caches: dict[str, Peer], sockets: int = 256) -> Iterator[Site]:
-    made = Site(folder, caches, sockets)
-    with made.cleanup:
+    upgrade = Site(folder, caches, sockets)
+    with upgrade.cleanup:
         try:
-            yield made
+            yield upgrade
         finally:
-            for process in made.processes:
+            for process in upgrade.processes:
                 if process.poll() is None:
-                    made.end(process)
-            made.held.close()
-            for peer in (*caches.values(), made.discovery.peer):
+                    upgrade.end(process)
+            upgrade.listener.close()
+            for peer in (*caches.values(), upgrade.discovery.peer):
                 peer.close()
-    assert not any("Traceback" in log for log in made.logs), made.logs
+    assert not any("Traceback" in log for log in upgrade.logs), upgrade.logs
 
 
 def served(ops: int) -> int:
-    return figures(ops)["answered.get"]
+    return read_counters(ops)["answered.get"]
 
 
-def descriptors(process: subprocess.Popen[str]) -> int:
+def descriptor_count(process: subprocess.Popen[str]) -> int:
     return len(os.listdir(f"/proc/{process.pid}/fd"))
 
 
 def test_clients_keep_their_connections_through_two_upgrades(tmp_path: Path) -> None:
-    with site(tmp_path, {"s1": Peer(lambda _, words: hit(b"v"))}) as made:
-        old, _ = made.start()
-        clients = [made.client() for _ in range(40)]
+    with site(tmp_path, {"s1": Peer(lambda _, words: hit(b"v"))}) as upgrade:
+        old, _ = upgrade.start()
+        clients = [upgrade.client() for _ in range(40)]
         for number, client in enumerate(clients):
             assert client.request(get(f"a{number}")) == b"v"
         for turn in ("b", "c"):
-            new, ops = made.start()
-            made.end(old)
+            new, ops = upgrade.start()
+            upgrade.end(old)
             for number, client in enumerate(clients):
                 assert client.request(get(f"{turn}{number}")) == b"v"
             assert served(ops) == len(clients)
@@ -125,15 +125,15 @@
 
 
 def test_partial_command_is_completed_at_the_new_process(tmp_path: Path) -> None:
-    with site(tmp_path, {"s1": Peer(lambda _, words: hit(b"v"))}) as made:
-        old, _ = made.start()
-        client, whole = made.client(), get("q1")
+    with site(tmp_path, {"s1": Peer(lambda _, words: hit(b"v"))}) as upgrade:
+        old, _ = upgrade.start()
+        client, command = upgrade.client(), get("q1")
         assert client.request(bulk(b"HELLO", b"2")).startswith(b"*")
         assert [client.read_reply() for _ in range(14)][-1] == b"*0"
-        client.send(whole[:30])
-        _, ops = made.start()
-        made.end(old)
-        assert client.request(whole[30:]) == b"v"
+        client.send(command[:30])
+        _, ops = upgrade.start()
+        upgrade.end(old)
+        assert client.request(command[30:]) == b"v"
         assert served(ops) == 1
 
 
@@ -146,16 +146,16 @@
             return None
         return hit(b"quick")
 
-    with site(tmp_path, {"s1": Peer(cache)}) as made:
-        old, before = made.start()
-        client = made.client()
+    with site(tmp_path, {"s1": Peer(cache)}) as upgrade:
+        old, old_ops = upgrade.start()
+        client = upgrade.client()
         client.send(get("q1", "slow", LONG_DEADLINE_MS))
         eventually(lambda: waiting, "the request at its server")
-        _, ops = made.start()
+        _, ops = upgrade.start()
         old.send_signal(signal.SIGTERM)
         # The new process serves everything else from now on.
-        assert made.client().request(get("q2")) == b"quick"
-        assert figures(before)["current"] == 1
+        assert upgrade.client().request(get("q2")) == b"quick"
+        assert read_counters(old_ops)["current"] == 1
         waiting[0].sendall(hit(b"late"))
         assert client.read_reply() == b"late"
         assert client.request(get("q3")) == b"quick"
@@ -165,18 +165,18 @@
 
 
 def test_old_process_serves_again_when_the_new_one_is_killed(tmp_path: Path) -> None:
-    with site(tmp_path, {"s1": Peer(lambda _, words: hit(b"v"))}) as made:
-        old, ops = made.start()
-        new, _ = made.start()
-        eventually(lambda: not is_yes(ops), "the old one's word that it takes nothing new")
+    with site(tmp_path, {"s1": Peer(lambda _, words: hit(b"v"))}) as upgrade:
+        old, ops = upgrade.start()
+        new, _ = upgrade.start()
+        eventually(lambda: not is_ready_at(ops), "the old process is not ready")
         new.kill()
         new.communicate(timeout=WAIT_TIMEOUT_S)
-        eventually(lambda: is_yes(ops), "the old one's word that it serves again")
-        assert made.client().request(get("q1")) == b"v"
+        eventually(lambda: is_ready_at(ops), "the old process is ready again")
+        assert upgrade.client().request(get("q1")) == b"v"
         # It still hands over to the next process.
-        _, next_ops = made.start()
-        made.end(old)
-        assert made.client().request(get("q2")) == b"v"
+        _, next_ops = upgrade.start()
+        upgrade.end(old)
+        assert upgrade.client().request(get("q2")) == b"v"
         assert served(next_ops) == 1
 
 
@@ -191,104 +191,104 @@
             return None
         return hit(b"quick")
 
-    with site(tmp_path, {"s1": Peer(cache)}) as made:
-        _, before = made.start()
-        new, ops = made.start()
-        eventually(lambda: not is_yes(before), "the old one's word that it takes nothing new")
-        client = made.client()
+    with site(tmp_path, {"s1": Peer(cache)}) as upgrade:
+        _, old_ops = upgrade.start()
+        new, ops = upgrade.start()
+        eventually(lambda: not is_ready_at(old_ops), "the old process is not ready")
+        client = upgrade.client()
         client.send(get("q1", "slow", LONG_DEADLINE_MS))
         eventually(lambda: waiting, "the request at its server")
         new.send_signal(signal.SIGTERM)
-        eventually(lambda: not is_yes(ops), "the new process is not ready")
+        eventually(lambda: not is_ready_at(ops), "the new process is not ready")
         assert new.poll() is None, "it still has an open request"
         waiting[0].sendall(hit(b"late"))
         assert client.read_reply() == b"late"
         assert client.at_end()
         new.communicate(timeout=WAIT_TIMEOUT_S)
         assert new.returncode == 0
-        eventually(lambda: is_yes(before), "the old one's word that it serves again")
-        assert made.client().request(get("q2")) == b"quick"
+        eventually(lambda: is_ready_at(old_ops), "the old process is ready again")
+        assert upgrade.client().request(get("q2")) == b"quick"
 
 
 def test_leftover_socket_of_a_killed_process_does_not_block_a_start(tmp_path: Path) -> None:
-    with site(tmp_path, {"s1": Peer(lambda _, words: hit(b"v"))}) as made:
-        old, _ = made.start()
+    with site(tmp_path, {"s1": Peer(lambda _, words: hit(b"v"))}) as upgrade:
+        old, _ = upgrade.start()
         old.kill()
         old.communicate(timeout=WAIT_TIMEOUT_S)
-        _, ops = made.start()
-        assert made.client().request(get("q1")) == b"v"
+        _, ops = upgrade.start()
+        assert upgrade.client().request(get("q1")) == b"v"
         assert served(ops) == 1
 
 
 def test_stopped_old_process_does_not_block_a_start(tmp_path: Path) -> None:
-    with site(tmp_path, {"s1": Peer(lambda _, words: hit(b"v"))}) as made:
-        old, _ = made.start()
+    with site(tmp_path, {"s1": Peer(lambda _, words: hit(b"v"))}) as upgrade:
+        old, _ = upgrade.start()
         old.send_signal(signal.SIGSTOP)
         try:
-            _, ops = made.start()
-            assert made.client().request(get("q1")) == b"v"
+            _, ops = upgrade.start()
+            assert upgrade.client().request(get("q1")) == b"v"
             assert served(ops) == 1
         finally:
             old.send_signal(signal.SIGCONT)
 
 
 def test_endpoint_list_comes_from_the_old_process_if_discovery_fails(tmp_path: Path) -> None:
-    with site(tmp_path, {"s1": Peer(lambda _, words: hit(b"v"))}) as made:
-        old, _ = made.start()
-        assert made.client().request(get("q1")) == b"v"
-        made.discovery.invalid_reply = http_answer(503)
-        _, ops = made.start()
-        made.end(old)
-        assert made.client().request(get("q2")) == b"v"
-        assert (served(ops), figures(ops)["cluster_size"]) == (1, 1)
+    with site(tmp_path, {"s1": Peer(lambda _, words: hit(b"v"))}) as upgrade:
+        old, _ = upgrade.start()
+        assert upgrade.client().request(get("q1")) == b"v"
+        upgrade.discovery.invalid_reply = http_answer(503)
+        _, ops = upgrade.start()
+        upgrade.end(old)
+        assert upgrade.client().request(get("q2")) == b"v"
+        assert (served(ops), read_counters(ops)["cluster_size"]) == (1, 1)
 
 
 def test_health_of_servers_is_known_to_the_new_process(tmp_path: Path) -> None:
     caches = {"up": Peer(lambda _, words: hit(b"v")), "dead": Peer(lambda _, words: hit(b"v"))}
-    with site(tmp_path, caches) as made:
+    with site(tmp_path, caches) as upgrade:
         caches["dead"].close()
-        old, ops = made.start()
-        client = made.client()
+        old, ops = upgrade.start()
+        client = upgrade.client()
 
         def found() -> bool:
             for number in range(8):
                 client.request(get(f"q{served(ops)}.{number}", f"k{number}"))
-            return figures(ops)["cluster_unhealthy"] == 1
+            return read_counters(ops)["cluster_unhealthy"] == 1
 
         eventually(found, "a server is found unhealthy")
-        _, ops = made.start()
-        made.end(old)
-        assert figures(ops)["cluster_unhealthy"] == 1
+        _, ops = upgrade.start()
+        upgrade.end(old)
+        assert read_counters(ops)["cluster_unhealthy"] == 1
 
 
-def asked_anew(made: Site) -> bool:
+def new_client_is_served(upgrade: Site) -> bool:
     """Whether a new client is served; one that is closed without an answer connects again, as clients do."""
     with contextlib.suppress(ConnectionError):
-        return made.client().request(get(f"q{next(made.numbers)}")) == b"v"
+        return upgrade.client().request(get(f"q{next(upgrade.numbers)}")) == b"v"
     return False
 
 
 def test_both_processes_together_stay_within_one_descriptor_limit(tmp_path: Path) -> None:
     limit = 160
     caches = {f"s{i}": Peer(lambda _, words: hit(b"v")) for i in range(4)}
-    with site(tmp_path, caches, sockets=limit) as made:
-        old, _ = made.start()
-        crowd: list[Client] = []
+    with site(tmp_path, caches, sockets=limit) as upgrade:
+        old, _ = upgrade.start()
+        clients: list[Client] = []
 
-        def more() -> None:
+        def connect_more() -> None:
             for _ in range(60):
                 with contextlib.suppress(OSError):
-                    crowd.append(made.client())
+                    clients.append(upgrade.client())
 
-        more()
-        eventually(lambda: descriptors(old) > limit // 3, "many connections at the old process")
-        most = descriptors(old)
-        new, _ = made.start()
-        more()
+        connect_more()
+        eventually(lambda: descriptor_count(old) > limit // 3, "many connections at the old process")
+        peak = descriptor_count(old)
+        new, _ = upgrade.start()
+        connect_more()
         for _ in range(20):
-            most = max(most, descriptors(old) + descriptors(new))
-            eventually(lambda: asked_anew(made), "an answer among many connections")
-        made.end(old)
-        more()
-        eventually(lambda: descriptors(new) > limit // 3, "many connections at the new process")
-        assert max(most, descriptors(new)) <= limit
+            peak = max(peak, descriptor_count(old) + descriptor_count(new))
+            eventually(lambda: new_client_is_served(upgrade), "an answer among many connections")
+        upgrade.end(old)
+        connect_more()
+        eventually(lambda: descriptor_count(new) > limit // 3, "many connections at the new process")
+        assert max(peak, descriptor_count(new)) <= limit
