--- a/tests/daemon/__init__.py
+++ b/tests/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the room of the same name."""
+"""Tests of the package of the same name."""
--- a/tests/daemon/test_acceptance_limits.py
+++ b/tests/daemon/test_acceptance_limits.py
@@ -58,10 +58,10 @@
         last_window = after - WINDOW_S
         if last_window < before:
             continue
-        between = [at for at in rejected if before <= at <= after]
+        rejected_between = [at for at in rejected if before <= at <= after]
         # The fullest window begins with a rejected request, or ends with the next attempt.
-        for first in (min(at, last_window) for at in between):
-            if sum(first <= at <= first + WINDOW_S for at in between) > MAX_REJECTED_IN_WINDOW:
+        for first in (min(at, last_window) for at in rejected_between):
+            if sum(first <= at <= first + WINDOW_S for at in rejected_between) > MAX_REJECTED_IN_WINDOW:
                 return True
     return False
 
@@ -181,15 +181,15 @@
             self.record_rejection(command, refused="open requests")
             reply.free_command()
 
-        def __init__(self, *given: Any) -> None:
-            super().__init__(*given)
+        def __init__(self, *args: Any) -> None:
+            super().__init__(*args)
             self.started = self.now()
 
     class RejectingDaemon(Daemon):
         host_class = RejectingHost
 
-        def __init__(self, loop: Any, config: Any, *given: Any, **named: Any) -> None:
-            super().__init__(loop, config, *given, **named)
+        def __init__(self, loop: Any, config: Any, *args: Any, **kwargs: Any) -> None:
+            super().__init__(loop, config, *args, **kwargs)
             assert isinstance(self.host, RejectingHost)
             self.host.rejects = config.name in names
 
@@ -223,7 +223,7 @@
 
 
 @pytest.mark.parametrize(
-    ("rejected", "attempts", "found"),
+    ("rejected", "attempts", "expected"),
     [
         (REJECTED_AT, [], True),
         (REJECTED_AT, [9.9, 13.95], True),
@@ -237,9 +237,9 @@
     ],
 )
 def test_four_seconds_of_rejections_without_an_attempt_are_found(
-    rejected: list[float], attempts: list[float], found: bool
+    rejected: list[float], attempts: list[float], expected: bool
 ) -> None:
-    assert rejects_everything(rejected, attempts, 0.0, 60.0) is found
+    assert rejects_everything(rejected, attempts, 0.0, 60.0) is expected
 
 
 # Requests that stay unanswered
@@ -306,7 +306,7 @@
     assert len(unanswered_requests(observed)) > max_unanswered(observed)
 
 
-# Starts in time
+# Time until a started router is ready
 
 STARTS = 10
 INSTANCES = [
@@ -334,14 +334,14 @@
             "known": {"generation": 1, "reset": True, "instances": discovery.instances},
             "settings": SETTINGS,
         }
-        self.port, self.begun = port, time.monotonic()
+        self.port, self.started_at = port, time.monotonic()
         self.process: subprocess.Popen[str] = start_router(folder, config)
         self.ready_after_s: float | None = None
 
     def poll(self) -> bool:
         """Check whether it is ready or has exited; records when it became ready."""
         if self.ready_after_s is None and is_ready(self.port):
-            self.ready_after_s = time.monotonic() - self.begun
+            self.ready_after_s = time.monotonic() - self.started_at
         return self.ready_after_s is not None or self.process.poll() is not None
 
     def end(self) -> int:
--- a/tests/daemon/test_deadline_propagation.py
+++ b/tests/daemon/test_deadline_propagation.py
@@ -379,8 +379,8 @@
         sent_at = site.loop.time()
         await client.many(["k1", "k2", "k3"], d=200)
         assert delayed
-        late = [attempt for attempt in site.advertised if attempt.at > sent_at + 0.2 - 0.001]
-        assert late == []
+        sent_late = [attempt for attempt in site.advertised if attempt.at > sent_at + 0.2 - 0.001]
+        assert sent_late == []
 
     on_site(test)
 
--- a/tests/daemon/test_disconnected_clients.py
+++ b/tests/daemon/test_disconnected_clients.py
@@ -358,7 +358,7 @@
 
 @pytest.mark.parametrize("leaves", [True, False])
 def test_no_fetch_of_a_multi_get_begins_for_a_client_that_left(leaves: bool) -> None:
-    """Nor do further fetches of the command, although each dropped one frees its slot for the next."""
+    """Further fetches of the command do not begin either, although each dropped one frees its slot."""
 
     async def test(site: Site) -> None:
         client = await site.client()
@@ -444,15 +444,15 @@
     async def test(harness: RouterHarness) -> None:
         await open_idle_connections(harness)
         cache = harness.caches["a"]
-        client, again = await harness.client(), await harness.client()
+        client, second = await harness.client(), await harness.client()
         await harness.wait(0.3)
         stall = Stall(harness.loop, raw_socket(client), leaves=True)
         client.send_request("r")
-        again.send_request("r")
+        second.send_request("r")
         stall()
         cache.on_request = cache.serve
         await harness.wait(1.0)
-        assert again.replies() == [b"value of r"]
+        assert second.replies() == [b"value of r"]
         assert cache.request_ids == ["r"]
         harness.assert_nothing_left()
 
@@ -463,7 +463,7 @@
 
 
 def test_recently_read_client_is_not_polled() -> None:
-    """Only clients that were not read lately are polled: none while the loop is on time."""
+    """Only clients that were not read lately are polled: none while the event loop is on time."""
 
     async def test(harness: RouterHarness) -> None:
         await open_idle_connections(harness)
@@ -488,7 +488,7 @@
 
 
 def test_busy_connection_is_polled_every_50_ms() -> None:
-    """Behind bytes that arrive in every loop iteration only a poll of the socket finds a disconnect."""
+    """A disconnect behind bytes that arrive in every loop iteration is found only by polling the socket."""
 
     async def test(harness: RouterHarness) -> None:
         await open_idle_connections(harness)
--- a/tests/daemon/test_disconnects_and_shutdown.py
+++ b/tests/daemon/test_disconnects_and_shutdown.py
@@ -371,17 +371,17 @@
     async def test(harness: RouterHarness) -> None:
         cache = harness.caches["a"]
         cache.on_request = cache.serve
-        whole, half = await harness.client(), await harness.client()
+        completed, partial = await harness.client(), await harness.client()
         request = encode_request("r1")
-        for client in (whole, half):
+        for client in (completed, partial):
             client.transport.write(request[:20])
         await harness.settle()
         task = drain(harness)
-        harness.loop.call_later(ACCEPT_S + 0.1, whole.transport.write, request[20:])
+        harness.loop.call_later(ACCEPT_S + 0.1, completed.transport.write, request[20:])
         await harness.wait(PARTIAL_COMMANDS_S + 0.1)
-        assert whole.replies() == [b"value of r1"]
-        assert half.replies() == []
-        assert half.closed
+        assert completed.replies() == [b"value of r1"]
+        assert partial.replies() == []
+        assert partial.closed
         await harness.wait(0.1)
         assert task.done()
 
@@ -407,7 +407,7 @@
     run_with_router(test)
 
 
-# Random disconnects with all of this at once
+# Disconnects at random times
 
 
 def random_disconnects(seed: int) -> tuple[list[str], int]:
@@ -420,7 +420,7 @@
     sent: set[str] = set()
 
     async def test(harness: RouterHarness) -> None:
-        draw = random.Random(seed)
+        rng = random.Random(seed)
         cache, origin = harness.caches["a"], harness.origin
         gates = {peer.address: asyncio.Event() for peer in (cache, harness.caches["b"], origin)}
         harness.loop.gates.update(gates)
@@ -429,7 +429,7 @@
 
         def busy(connection: PeerConnection, name: str) -> None:
             # A write is retried after a pause; a read waits for the next free slot of the store.
-            delay = draw.uniform(0.0, 0.4)
+            delay = rng.uniform(0.0, 0.4)
             harness.loop.call_later(
                 delay, connection.transport.write, http_answer(503, b"", "Not-Started: 1")
             )
@@ -439,22 +439,22 @@
 
         async def act_as_client(number: int) -> None:
             client = await harness.client()
-            await asyncio.sleep(draw.uniform(0, 0.5))
-            names = [f"r{number}.{i}" for i in range(draw.choice([1, 1, 3, MAX_PIPELINE + 40]))]
-            cls = draw.choice(["get", "put", "once"])
-            value = b"v" if cls != "get" and draw.random() < 0.5 else None
+            await asyncio.sleep(rng.uniform(0, 0.5))
+            names = [f"r{number}.{i}" for i in range(rng.choice([1, 1, 3, MAX_PIPELINE + 40]))]
+            cls = rng.choice(["get", "put", "once"])
+            value = b"v" if cls != "get" and rng.random() < 0.5 else None
             half = min(len(names), MAX_PIPELINE)
             for part in (names[:half], names[half:]):
                 client.transport.write(b"".join(encode_request(n, cls, key=n, value=value) for n in part))
                 await asyncio.sleep(0.001)
-            await asyncio.sleep(draw.uniform(0, 0.8))
+            await asyncio.sleep(rng.uniform(0, 0.8))
             left_at.update(dict.fromkeys(names, harness.loop.time()))
-            (client.transport.abort if draw.random() < 0.5 else client.transport.close)()
+            (client.transport.abort if rng.random() < 0.5 else client.transport.close)()
 
         async def toggle_gates() -> None:
             for _ in range(20):
                 for gate in gates.values():
-                    (gate.set if draw.random() < 0.5 else gate.clear)()
+                    (gate.set if rng.random() < 0.5 else gate.clear)()
                 await asyncio.sleep(0.1)
             for gate in gates.values():
                 gate.set()
--- a/tests/daemon/test_event_orders.py
+++ b/tests/daemon/test_event_orders.py
@@ -1,8 +1,8 @@
 """Searches the orders of events around one request for one that breaks a rule.
 
 Each run plays some events in one order: in one loop iteration, one after another, or with time between them.
-The rules are checked only from outside the router: by when complete requests arrived at servers, how the
-endpoint list changed, and what clients received.
+The rules are checked only from outside the router: by the times at which complete requests arrived at
+servers, the changes of the endpoint list, and what clients received.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 class Order(NamedTuple):
-    """The events of one run, and its parameters."""
+    """The events of one run, with the gaps between them and the conditions of the run."""
 
     events: tuple[str, ...]
     gaps: tuple[float, ...]
@@ -61,9 +61,9 @@
     rng = random.Random(7)
     for events in itertools.permutations(EVENTS, length):
         for at in range(2):
-            placed = (*events[:at], "request", *events[at:])
-            gaps = tuple(rng.choice(GAPS) for _ in placed)
-            yield Order(placed, gaps, rng.choice(EFFECTS), rng.random() < 0.6)
+            events_with_request = (*events[:at], "request", *events[at:])
+            gaps = tuple(rng.choice(GAPS) for _ in events_with_request)
+            yield Order(events_with_request, gaps, rng.choice(EFFECTS), rng.random() < 0.6)
 
 
 class Run:
@@ -123,8 +123,8 @@
         client = self.clients[0]
         if client.transport.is_closing() or "r3" in self.sent_at:
             return
-        out = client.transport.get_extra_info("socket")._sock.outgoing
-        if out.reader is not None:  # otherwise the router's kernel no longer accepts it
+        outgoing = client.transport.get_extra_info("socket")._sock.outgoing
+        if outgoing.reader is not None:  # otherwise the router's kernel no longer accepts it
             self.send_request("r3", client)
 
     def disconnect(self) -> None:
@@ -136,13 +136,13 @@
 
     def last_used(self) -> PeerConnection | None:
         """The connection to a cache on which the last request arrived."""
-        used = [
+        connections = [
             connection
             for peer in (self.cache, self.other)
             for connection in peer.connections
             if connection.request_ids
         ]
-        return max(used, key=lambda connection: connection.peer.requests[-1][0], default=None)
+        return max(connections, key=lambda connection: connection.peer.requests[-1][0], default=None)
 
     def play_event(self, event: str) -> None:
         harness, connection = self.harness, self.last_used()
--- a/tests/daemon/test_large_fleet.py
+++ b/tests/daemon/test_large_fleet.py
@@ -112,7 +112,7 @@
     discovery = DiscoveryPeer(servers(first))
     with running(tmp_path, discovery, servers(first)) as router:
         eventually(lambda: has_applied(discovery, 1), "the full list is applied")
-        peaks = [peak_kb(router, "with the whole list")]
+        peaks = [peak_kb(router, "with the full list")]
         check_answers(router, b"first", "a")
         peaks.append(peak_kb(router, f"after {KEYS} keys"))
         assert len({message[1] for message in first.requests}) == KEYS
--- a/tests/daemon/test_limits.py
+++ b/tests/daemon/test_limits.py
@@ -86,13 +86,13 @@
 
 
 def test_long_value_waits_for_earlier_answers(tmp_path: Path) -> None:
-    begun = threading.Event()
+    request_arrived = threading.Event()
 
     def answer(_: socket.socket, words: list[bytes]) -> bytes:
         if words[2] == b"slow":
-            begun.wait(10)
+            request_arrived.wait(10)
             return hit(b"slow")
-        begun.set()
+        request_arrived.set()
         return hit(LONG_VALUE)
 
     cache = Peer(answer)
@@ -366,14 +366,14 @@
         may_finish.clear()
         for number, client in enumerate(clients):
             client.send(get(f"q{number}", f"k{number}", d=60_000))
-        eventually(lambda: len(origin.requests) > count, "all of them at the store")
+        eventually(lambda: len(origin.requests) > count, "all requests at the store")
         samples = [before]
 
         def at_rest() -> bool:
             samples.append(router.memory_kb())
             return len(samples) > 30 and len(set(samples[-20:])) == 1
 
-        eventually(at_rest, "an end of the growth")
+        eventually(at_rest, "the memory stops growing")
         may_finish.set()
         for client in clients:
             assert client.read_reply() == value
--- a/tests/daemon/test_pipelining.py
+++ b/tests/daemon/test_pipelining.py
@@ -54,7 +54,7 @@
 CLASSES = {Kind.READ: "get", Kind.KEYED_WRITE: "put", Kind.UNSAFE_WRITE: "once"}
 REQUESTS = tuple(CLASSES)
 KINDS = (*Kind, Kind.READ, Kind.READ, Kind.READ, Kind.UNSAFE_WRITE)
-"""The kinds to draw from, repeated by their frequency."""
+"""The kinds to draw from, each repeated by its frequency."""
 
 
 class AttemptResult(Enum):
@@ -114,14 +114,14 @@
     if kind is Kind.PING:
         return SentCommand(name, kind, bulk(random_case(rng, b"PING")))
     if kind is Kind.INVALID:
-        wrong = (
+        invalid_commands = (
             bulk(b"KV.DROP", b"k"),
             bulk(b"KV.GET", b"k", name.encode()),
             bulk(b"KV.GET", b"k", name.encode(), b"c=nobody,d=2000"),
             bulk(b"KV.GET", b"k", name.encode(), b"c=get,d=soon"),
             bulk(b"KV.SET", b"", name.encode(), b"c=put,d=2000", b"v"),
         )
-        return SentCommand(name, kind, rng.choice(wrong))
+        return SentCommand(name, kind, rng.choice(invalid_commands))
     key = rng.choice((f"key/{name}", f"npm:@scope/{name}-1.0.tgz", f"schlüssel-{name}")).encode()
     words = [key, name.encode(), request_info(rng, CLASSES[kind])]
     if kind is Kind.READ:
@@ -353,11 +353,11 @@
     async def test(harness: RouterHarness) -> None:
         servers = Servers(harness, random.Random(seed + 1))
         rng = random.Random(seed)
-        plan = commands(rng, long_values=longest >= MIN_PIECE_FOR_LONG_VALUES)
+        sent_commands = commands(rng, long_values=longest >= MIN_PIECE_FOR_LONG_VALUES)
         client = await connect(harness)
-        await send(harness, client, rng, b"".join(sent.data for sent in plan), longest)
+        await send(harness, client, rng, b"".join(sent.data for sent in sent_commands), longest)
         await harness.wait(5.0)
-        results.append((violations(plan, client.replies(), servers), servers))
+        results.append((violations(sent_commands, client.replies(), servers), servers))
         if check_nothing_left:
             harness.assert_nothing_left()
 
--- a/tests/daemon/test_rolling_restart.py
+++ b/tests/daemon/test_rolling_restart.py
@@ -41,7 +41,7 @@
 LATE_ANSWER_S = 0.5  # after the deadline; an answer that arrives later is lost
 SLACK_S = 0.05  # tolerance of the platform's rules on every time limit
 SERVICE_S = (0.005, 0.04)
-REQUEST_PAUSE_S = 0.03  # pause of a client between a served request and its next one
+REQUEST_PAUSE_S = 0.03  # of a client between a served request and its next one
 DEADLINES_MS = (300, 800, 2000)
 IDLE_CLIENTS, BUSY_CLIENTS, NEW_CLIENTS = 6, 6, 20  # of each router; the last connect after its SIGTERM
 
@@ -99,7 +99,7 @@
         self.transport.write(encode_request(name, cls, timeout_ms, f"k{rng.randrange(1000)}", value))
 
     def _is_accepted(self) -> bool:
-        """Whether the router will see it; one that crosses a close in this loop iteration is the client's."""
+        """Whether the router will read it; after a close in this loop iteration the client retries."""
         outgoing = cast(CountedSocket, self.transport.get_extra_info("socket")._sock).outgoing
         if outgoing is None:
             return False
--- a/tests/daemon/test_server_connection_races.py
+++ b/tests/daemon/test_server_connection_races.py
@@ -18,7 +18,7 @@
 
 
 def single_class_settings(effect: str, window_ns: int = 0, group: str = "all") -> dict[str, Any]:
-    """Settings with a single class `x` of this effect: the effect can't be told from the class's name."""
+    """Settings with a single class `x` of this effect, which the class's name does not imply."""
     request_class = {"name": "x", "aimNs": 10**9, "giveUpNs": 2 * 10**9, "semantics": effect, "group": group}
     return {"classes": [{**request_class, "dedupWindowNs": window_ns}], **LONG_DIALS}
 
@@ -265,16 +265,16 @@
 
 def test_server_listed_at_a_new_address_gets_nothing_at_the_old_one() -> None:
     async def test(harness: RouterHarness) -> None:
-        moved = harness.caches["b"]
-        moved.on_request, harness.origin.on_request = moved.serve, harness.origin.serve
-        old = harness.caches["a"].address
-        gate = harness.loop.gates[old] = asyncio.Event()
+        new_server = harness.caches["b"]
+        new_server.on_request, harness.origin.on_request = new_server.serve, harness.origin.serve
+        old_address = harness.caches["a"].address
+        gate = harness.loop.gates[old_address] = asyncio.Event()
         harness.update_servers("a", "origin", full=True)  # "b" is removed; its address becomes that of "a"
         client = await harness.client()
         client.send_request("r1")
         await harness.settle()
         harness.update_servers("a", state=ServerState.DRAINING)
-        harness.caches["a"].address = moved.address
+        harness.caches["a"].address = new_server.address
         harness.update_servers("a")
         client.send_request("r2")
         gate.set()
--- a/tests/daemon/test_signals.py
+++ b/tests/daemon/test_signals.py
@@ -246,7 +246,7 @@
 
 
 def test_repeated_sigterm_until_the_exit_changes_nothing(tmp_path: Path) -> None:
-    """Includes the time after the interpreter's end, when the process can't signal itself."""
+    """Includes the time after the interpreter's teardown, when the process can't signal itself."""
     process, port = started_alone(tmp_path)
 
     def has_exited_after_sigterm() -> bool:
