--- a/tests/daemon/test_deadline_propagation.py
+++ b/tests/daemon/test_deadline_propagation.py
@@ -12,7 +12,7 @@
 
 from pebblepass.daemon.deadline_propagation import NS_PER_MS, SHORTEST_TIMEOUT_MS, remaining_ms
 from pebblepass.wire.resp import with_timeout
-from tests.multi_get.site import Site, on_site
+from tests.multi_get.deployment import Deployment, run_on_deployment
 from tests.sockets import MISS, SETTINGS, bulk, http_answer
 from tests.virtual_router import Advertised, PeerConnection, RouterHarness, VirtualClient, run_with_router
 
@@ -301,7 +301,7 @@
 # Multi-gets
 
 
-def fate_of_batches(server: str, key: str, attempt_number: int) -> str:
+def behavior_of_batches(server: str, key: str, attempt_number: int) -> str:
     """Some keys miss, some are rejected, and one gets no answer from its first node."""
     if server == "store":
         return "ok"
@@ -311,78 +311,78 @@
 
 
 def test_batches_and_fetches_of_a_multi_get_advertise_the_time_left() -> None:
-    async def test(site: Site) -> None:
-        client = await site.client()
-        sent_at = site.loop.time()
-        await client.many([f"k{number}" for number in range(40)] + ["silent"])
-        seen = [attempt for attempt in site.advertised if attempt.request.startswith("q")]
-        assert len([at for at, server, _, _ in site.attempts if server == "store"]) > 0
+    async def test(deployment: Deployment) -> None:
+        client = await deployment.client()
+        sent_at = deployment.loop.time()
+        await client.multi_get([f"k{number}" for number in range(40)] + ["silent"])
+        seen = [attempt for attempt in deployment.advertised if attempt.request.startswith("q")]
+        assert len([at for at, server, _, _ in deployment.attempts if server == "store"]) > 0
         assert any(attempt.at - sent_at > 0.05 for attempt in seen), "no attempt was late"
         assert advertised_too_much(seen, sent_at, 1000) == []
 
-    on_site(test, fate=fate_of_batches)
+    run_on_deployment(test, behavior=behavior_of_batches)
 
 
 def test_batch_that_waited_for_connections_advertises_the_time_left() -> None:
-    async def test(site: Site) -> None:
-        client = await site.client()
-        for node in site.nodes:
-            site.loop.set_silent(("127.0.0.1", node.ports["here"]), True)
-        sent_at = site.loop.time()
-        client.ask_many([f"k{number}" for number in range(8)], d=3000)
+    async def test(deployment: Deployment) -> None:
+        client = await deployment.client()
+        for node in deployment.nodes:
+            deployment.loop.set_silent(("127.0.0.1", node.ports["here"]), True)
+        sent_at = deployment.loop.time()
+        client.send_multi_get([f"k{number}" for number in range(8)], d=3000)
         await asyncio.sleep(0.6)
-        for node in site.nodes:
-            site.loop.set_silent(("127.0.0.1", node.ports["here"]), False)
-        await client.answer()
-        site.answered["q"] = site.loop.time()
-        seen = [attempt for attempt in site.advertised if attempt.request.startswith("q")]
+        for node in deployment.nodes:
+            deployment.loop.set_silent(("127.0.0.1", node.ports["here"]), False)
+        await client.read_reply()
+        deployment.replied_at["q"] = deployment.loop.time()
+        seen = [attempt for attempt in deployment.advertised if attempt.request.startswith("q")]
         assert any(attempt.at - sent_at > 0.4 for attempt in seen), "no attempt waited"
         assert advertised_too_much(seen, sent_at, 3000) == []
 
-    on_site(test)
+    run_on_deployment(test)
 
 
 def test_second_copy_advertises_at_most_the_time_left() -> None:
-    def fate(server: str, key: str, attempt_number: int) -> str:
+    def behavior(server: str, key: str, attempt_number: int) -> str:
         return "silent" if key == "slow" and attempt_number == 1 else "ok"
 
-    async def test(site: Site) -> None:
+    async def test(deployment: Deployment) -> None:
         for number in range(40):
-            client = await site.client()
-            await client.many([f"k{index}" for index in range(20)], request=f"warm{number}")
-        sent_at = site.loop.time()
-        await client.many(["a", "b", "c", "slow"])
-        copies = [attempt for attempt in site.advertised if attempt.request == "q.3"]
+            client = await deployment.client()
+            await client.multi_get([f"k{index}" for index in range(20)], request=f"warm{number}")
+        sent_at = deployment.loop.time()
+        await client.multi_get(["a", "b", "c", "slow"])
+        copies = [attempt for attempt in deployment.advertised if attempt.request == "q.3"]
         assert len(copies) == 2
         assert copies[1].at > copies[0].at
         assert advertised_too_much(copies, sent_at, 1000) == []
 
-    on_site(test, fate=fate)
+    run_on_deployment(test, behavior=behavior)
 
 
 def test_no_batch_is_sent_after_the_deadline_of_its_command() -> None:
-    async def test(site: Site) -> None:
-        client = await site.client()
-        await client.many([f"k{number}" for number in range(40)], "warm")
+    async def test(deployment: Deployment) -> None:
+        client = await deployment.client()
+        await client.multi_get([f"k{number}" for number in range(40)], "warm")
         await asyncio.sleep(0.1)  # every node has an idle connection: no dial is needed
-        pool: Any = site.daemon._pool
+        pool: Any = deployment.daemon._pool
         submit = pool.submit
         delayed: list[Any] = []
 
         def submit_late(server: str, exchange: Any) -> None:
             if not delayed:
                 delayed.append(exchange)
-                site.loop.stall(0.5)
+                deployment.loop.stall(0.5)
             submit(server, exchange)
 
         pool.submit = submit_late
-        sent_at = site.loop.time()
-        await client.many(["k1", "k2", "k3"], d=200)
+        sent_at = deployment.loop.time()
+        await client.multi_get(["k1", "k2", "k3"], d=200)
         assert delayed
-        sent_late = [attempt for attempt in site.advertised if attempt.at > sent_at + 0.2 - 0.001]
+        sent_late = [attempt for attempt in deployment.advertised if attempt.at > sent_at + 0.2 - 0.001]
         assert sent_late == []
 
-    on_site(test)
+    run_on_deployment(test)
 
 
 # Computing the remaining time, and rewriting it in the request
--- a/tests/daemon/test_disconnected_clients.py
+++ b/tests/daemon/test_disconnected_clients.py
@@ -19,7 +19,7 @@
 from pebblepass.daemon.connection_pool import REUSE_DELAY_S
 from pebblepass.daemon.multi_get.batch_exchange import BatchExchange
 from pebblepass.decisions import Send
-from tests.multi_get.site import Site, on_site
+from tests.multi_get.deployment import Deployment, run_on_deployment
 from tests.sockets import bulk, http_answer
 from tests.virtual_router import (
     ADDRESS,
@@ -307,72 +307,78 @@
 ) -> None:
     """The first batch, and the first that waited for a dial; one poll of the client serves all keys."""
 
-    async def test(site: Site) -> None:
-        client = await site.client()
+    async def test(deployment: Deployment) -> None:
+        client = await deployment.client()
         if method == "submit":  # otherwise dials succeed one by one, and the disconnect is read meanwhile
-            await client.many([f"k{number}" for number in range(40)], "warm")
+            await client.multi_get([f"k{number}" for number in range(40)], "warm")
         await asyncio.sleep(0.3)
-        attempts_before = len(site.attempts)
+        attempts_before = len(deployment.attempts)
         sock = client.writer.transport.get_extra_info("socket")._sock
-        stall = Stall(site.loop, sock, leaves)
+        stall = Stall(deployment.loop, sock, leaves)
         if method == "submit":
             is_batch = lambda server, exchange: isinstance(exchange, BatchExchange)  # noqa: E731
-            stall_before_call(site.daemon._pool, "submit", stall, is_batch)
+            stall_before_call(deployment.daemon._pool, "submit", stall, is_batch)
         else:
-            stall_before_call(site.daemon._pool, "opened", stall)
-        client.ask_many([f"k{number}" for number in range(40)])
+            stall_before_call(deployment.daemon._pool, "opened", stall)
+        client.send_multi_get([f"k{number}" for number in range(40)])
         if is_paused:
             client.writer.write(bulk(b"PING") * (MAX_PIPELINE - 1))
         await asyncio.sleep(1.0)
         assert stall.at
-        late = [at for at, _, _, _ in site.attempts[attempts_before:] if at > stall.at + DISCONNECT_GRACE_S]
+        late = [
+            at for at, _, _, _ in deployment.attempts[attempts_before:] if at > stall.at + DISCONNECT_GRACE_S
+        ]
         assert bool(late) != leaves
 
-    on_site(test)
+    run_on_deployment(test)
 
 
 @pytest.mark.parametrize("leaves", [True, False])
 @pytest.mark.parametrize("is_paused", [False, True], ids=["read", "paused"])
 def test_no_second_copy_begins_for_a_client_that_left(is_paused: bool, leaves: bool) -> None:
-    def fate(server: str, key: str, attempt_number: int) -> str:
+    def behavior(server: str, key: str, attempt_number: int) -> str:
         return "silent" if key == "slow" and attempt_number == 1 else "ok"
 
-    async def test(site: Site) -> None:
+    async def test(deployment: Deployment) -> None:
         for i in range(40):
-            client = await site.client()
-            await client.many([f"k{number}" for number in range(20)], request=f"w{i}")
-        attempts_before = len(site.attempts)
+            client = await deployment.client()
+            await client.multi_get([f"k{number}" for number in range(20)], request=f"w{i}")
+        attempts_before = len(deployment.attempts)
         sock = client.writer.transport.get_extra_info("socket")._sock
-        stall = Stall(site.loop, sock, leaves)
-        stall_before_send(site.host, "q.3", 1, stall)
-        client.ask_many(["a", "b", "c", "slow"])
+        stall = Stall(deployment.loop, sock, leaves)
+        stall_before_send(deployment.host, "q.3", 1, stall)
+        client.send_multi_get(["a", "b", "c", "slow"])
         if is_paused:
             client.writer.write(bulk(b"PING") * (MAX_PIPELINE - 1))
         await asyncio.sleep(1.5)
         assert stall.at
-        late = [at for at, _, _, _ in site.attempts[attempts_before:] if at > stall.at + DISCONNECT_GRACE_S]
+        late = [
+            at for at, _, _, _ in deployment.attempts[attempts_before:] if at > stall.at + DISCONNECT_GRACE_S
+        ]
         assert bool(late) != leaves
 
-    on_site(test, fate=fate)
+    run_on_deployment(test, behavior=behavior)
 
 
 @pytest.mark.parametrize("leaves", [True, False])
 def test_no_fetch_of_a_multi_get_begins_for_a_client_that_left(leaves: bool) -> None:
     """Further fetches of the command do not begin either, although each dropped one frees its slot."""
 
-    async def test(site: Site) -> None:
-        client = await site.client()
-        await client.many([f"k{number}" for number in range(40)], "warm")
+    async def test(deployment: Deployment) -> None:
+        client = await deployment.client()
+        await client.multi_get([f"k{number}" for number in range(40)], "warm")
         await asyncio.sleep(0.3)
-        stall = Stall(site.loop, client.writer.transport.get_extra_info("socket")._sock, leaves)
-        stall_before_call(site.host, "_send", stall, lambda action: action.server == "store")
-        client.ask_many([f"k{number}" for number in range(40)])
+        stall = Stall(deployment.loop, client.writer.transport.get_extra_info("socket")._sock, leaves)
+        stall_before_call(deployment.host, "_send", stall, lambda action: action.server == "store")
+        client.send_multi_get([f"k{number}" for number in range(40)])
         await asyncio.sleep(1.0)
         assert stall.at
-        late = [at for at, _, _, _ in site.attempts if at > stall.at + DISCONNECT_GRACE_S]
+        late = [at for at, _, _, _ in deployment.attempts if at > stall.at + DISCONNECT_GRACE_S]
         assert bool(late) != leaves
 
-    on_site(test, fate=lambda server, key, attempt_number: "ok" if server == "store" else "miss")
+    run_on_deployment(
+        test, behavior=lambda server, key, attempt_number: "ok" if server == "store" else "miss"
+    )
 
 
 # Several requests that wait for one fetch
--- a/tests/daemon/test_pipelining.py
+++ b/tests/daemon/test_pipelining.py
@@ -453,7 +453,7 @@
         (client_connection, "parse_request", strip_words, 150, "forwarded with another key or value"),
         (CommandReader, "feed", drop_partial_commands, 150, "answers to 300 commands"),
         (Request, "may_send", always_may_send, 150, "an unsafe write sent"),
-        (Attempts, "may_try", never_retry, 150, "reads whose first attempt broke were rejected"),
+        (Attempts, "may_attempt", never_retry, 150, "reads whose first attempt broke were rejected"),
     ],
 )
 def test_faulty_routers_are_detected(
--- a/tests/daemon/test_unread_age.py
+++ b/tests/daemon/test_unread_age.py
@@ -19,7 +19,7 @@
 from pebblepass.handover.messages import ConnectionState
 from pebblepass.wire.resp import Command
 from tests.daemon.test_deadline_propagation import advertised_to, advertised_too_much
-from tests.multi_get.site import Site, on_site
+from tests.multi_get.deployment import Deployment, run_on_deployment
 from tests.sockets import bulk
 from tests.virtual_router import ADDRESS, Advertised, RouterHarness, encode_request, run_with_router
 
@@ -243,17 +243,17 @@
 
 
 def test_multi_get_read_after_a_stall_advertises_the_time_left() -> None:
-    async def test(site: Site) -> None:
-        client = await site.client()
-        await client.many(["k1", "k2"], "warm")
+    async def test(deployment: Deployment) -> None:
+        client = await deployment.client()
+        await client.multi_get(["k1", "k2"], "warm")
         await asyncio.sleep(0.5)
-        sent_at = site.loop.time()
-        client.ask_many(["k1", "k2", "k3"], d=1000)
-        site.loop.stall(STALL_S)
-        await client.answer()
-        site.answered["q"] = site.loop.time()
-        seen = [attempt for attempt in site.advertised if attempt.request.startswith("q")]
+        sent_at = deployment.loop.time()
+        client.send_multi_get(["k1", "k2", "k3"], d=1000)
+        deployment.loop.stall(STALL_S)
+        await client.read_reply()
+        deployment.replied_at["q"] = deployment.loop.time()
+        seen = [attempt for attempt in deployment.advertised if attempt.request.startswith("q")]
         assert seen
         assert advertised_too_much(seen, sent_at, 1000) == []
 
-    on_site(test)
+    run_on_deployment(test)
