--- a/tests/daemon/test_answer_parsing.py
+++ b/tests/daemon/test_answer_parsing.py
@@ -19,7 +19,7 @@
 from tests.sockets import MISS, hit
 
 
-class Told(Exchange):
+class RecordingExchange(Exchange):
     """Records its outcome."""
 
     def __init__(self) -> None:
@@ -32,18 +32,18 @@
         self.seen.append((outcome, *answer))
 
 
-class NoPool:
+class StubPool:
     def released(self, connection: CacheConnection | OriginConnection) -> None:
         pass
 
 
-class ReplySlot:
+class StubServer:
     """The server as its connection sees it."""
 
-    id, pool = "s1", NoPool()
+    id, pool = "s1", StubPool()
 
 
-class OriginsPool(NoPool):
+class StubOriginPool(StubPool):
     def __init__(self) -> None:
         self.buffer_budget = BufferBudget(8 << 20, MAX_ANSWER_VALUE_BYTES)
 
@@ -51,14 +51,14 @@
         pass
 
 
-class OriginsPlace:
+class StubOriginServer:
     id = "s1"
 
     def __init__(self) -> None:
-        self.pool = OriginsPool()
+        self.pool = StubOriginPool()
 
 
-class NoTransport(asyncio.Transport):
+class StubTransport(asyncio.Transport):
     def abort(self) -> None:
         pass
 
@@ -68,9 +68,9 @@
 
 def judged(answer: bytes, size: int) -> tuple[list[tuple[Any, ...]], bool]:
     """The outcomes of the attempt, and whether the connection stays usable, for pieces of `size` bytes."""
-    connection = CacheConnection(cast(Server, ReplySlot()))
-    connection.transport = NoTransport()
-    exchange = Told()
+    connection = CacheConnection(cast(Server, StubServer()))
+    connection.transport = StubTransport()
+    exchange = RecordingExchange()
     connection.exchange, exchange.connection = exchange, connection
     for at in range(0, len(answer), size):
         if exchange.is_over:
@@ -119,12 +119,12 @@
     assert not usable
 
 
-def at_the_origin(*pieces: bytes, reset: bool = False) -> list[tuple[Any, ...]]:
+def parse_at_origin(*parts: bytes, reset: bool = False) -> list[tuple[Any, ...]]:
     """The outcomes of an attempt whose answer arrives in these pieces, and then the connection's end."""
-    connection, exchange = OriginConnection(cast(Server, OriginsPlace())), Told()
+    connection, exchange = OriginConnection(cast(Server, StubOriginServer())), RecordingExchange()
     connection.exchange, exchange.connection = exchange, connection
-    for piece in pieces:
-        connection.data_received(piece)
+    for part in parts:
+        connection.data_received(part)
     if not reset:
         connection.eof_received()
     connection.connection_lost(ConnectionResetError() if reset else None)
@@ -133,18 +133,18 @@
 
 def test_origin_answer_without_a_length_ends_with_its_connection() -> None:
     head = b"HTTP/1.1 200 OK\r\nServer-Load: a=1 \r\nConnection: close\r\n\r\n"
-    told = [(Outcome.OK, b"all of it", None, b"a=1")]
-    assert at_the_origin(head, b"all ", b"of it") == told
-    assert at_the_origin(head + b"all of it") == told
-    assert at_the_origin(head, b"all ", reset=True) == [(Outcome.RESET, None, None, None)]
+    expected = [(Outcome.OK, b"all of it", None, b"a=1")]
+    assert parse_at_origin(head, b"all ", b"of it") == expected
+    assert parse_at_origin(head + b"all of it") == expected
+    assert parse_at_origin(head, b"all ", reset=True) == [(Outcome.RESET, None, None, None)]
     never = b"HTTP/1.1 503 X\r\nNot-Started: 1 \r\nConnection: close\r\n\r\nbusy"
-    assert at_the_origin(never) == [(Outcome.OVERLOADED, None, None, None)]
-    assert at_the_origin(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nall ") == [
+    assert parse_at_origin(never) == [(Outcome.OVERLOADED, None, None, None)]
+    assert parse_at_origin(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nall ") == [
         (Outcome.RESET, None, None, None)
     ]
 
 
-class Slow(Told):
+class SlowExchange(RecordingExchange):
     """Its client reads one part, and no more until the source is resumed."""
 
     def __init__(self) -> None:
@@ -161,34 +161,34 @@
         self.source.pause()
 
 
-LONG_HEAD = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
-LONG = bytes(range(256)) * 1024  # 256 KiB, four parts
+LONG_VALUE_HEAD = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
+LONG_VALUE = bytes(range(256)) * 1024  # 256 KiB, four parts
 
 
 def test_long_value_without_a_length_waits_for_its_client_after_the_end() -> None:
-    place, exchange = OriginsPlace(), Slow()
-    connection = OriginConnection(cast(Server, place))
+    server, exchange = StubOriginServer(), SlowExchange()
+    connection = OriginConnection(cast(Server, server))
     connection.exchange, exchange.connection = exchange, connection
-    connection.data_received(LONG_HEAD + LONG[:100_000])
-    connection.data_received(LONG[100_000:])
-    assert place.pool.buffer_budget.used == len(LONG)
+    connection.data_received(LONG_VALUE_HEAD + LONG_VALUE[:100_000])
+    connection.data_received(LONG_VALUE[100_000:])
+    assert server.pool.buffer_budget.used == len(LONG_VALUE)
     connection.eof_received()
     connection.connection_lost(None)
-    assert (exchange.length, exchange.value, exchange.seen) == (len(LONG), LONG[: 64 << 10], [])
+    assert (exchange.length, exchange.value, exchange.seen) == (len(LONG_VALUE), LONG_VALUE[: 64 << 10], [])
     assert exchange.source is not None
     while not exchange.seen:
         exchange.source.resume()
-    assert exchange.value == LONG
+    assert exchange.value == LONG_VALUE
     assert exchange.seen == [(Outcome.OK, None, None, None)]
-    assert place.pool.buffer_budget.used == 0
+    assert server.pool.buffer_budget.used == 0
 
 
 def test_buffered_value_is_freed_when_its_client_leaves() -> None:
-    place, exchange = OriginsPlace(), Slow()
-    connection = OriginConnection(cast(Server, place))
+    server, exchange = StubOriginServer(), SlowExchange()
+    connection = OriginConnection(cast(Server, server))
     connection.exchange, exchange.connection = exchange, connection
-    connection.data_received(LONG_HEAD + LONG)
+    connection.data_received(LONG_VALUE_HEAD + LONG_VALUE)
     connection.eof_received()
     exchange.give_up(Outcome.CANCELLED)
     assert exchange.seen == [(Outcome.CANCELLED, None, None, None)]
-    assert place.pool.buffer_budget.used == 0
+    assert server.pool.buffer_budget.used == 0
