--- a/pebblepass/scale/figures.py
+++ b/pebblepass/scale/figures.py
@@ -13,7 +13,7 @@
 COUNTS = ("messages_in", "messages_out", "bytes_in", "bytes_out")
 
 
-class Look(Struct, frozen=True):
+class Snapshot(Struct, frozen=True):
     """A run at one moment; by process."""
 
     at: float
@@ -26,7 +26,7 @@
     """What each control machine's process has counted, with `pid`: another one has begun anew."""
 
 
-def counted(before: Look, after: Look, voter: str, what: str, names: Iterable[str]) -> int:
+def counted(before: Snapshot, after: Snapshot, voter: str, what: str, names: Iterable[str]) -> int:
     """By how much a control machine's count of these routers went up; a new process began at nothing."""
     new = after.told.get(voter, {})
     old = before.told.get(voter, {})
@@ -35,7 +35,7 @@
     return sum(new.get(what, {}).get(name, 0) - old.get(what, {}).get(name, 0) for name in names)
 
 
-def _traffic(plan: Plan, before: Look, after: Look, names: list[str]) -> dict[str, Any]:
+def _traffic(plan: Plan, before: Snapshot, after: Snapshot, names: list[str]) -> dict[str, Any]:
     """Per router and second; what a control machine is sent, a router sends."""
     seconds, voters = after.at - before.at, plan.voter_names()
     sums = {what: sum(counted(before, after, voter, what, names) for voter in voters) for what in COUNTS}
@@ -49,7 +49,7 @@
     }
 
 
-def _kinds(plan: Plan, before: Look, after: Look, names: list[str]) -> dict[str, float]:
+def _kinds(plan: Plan, before: Snapshot, after: Snapshot, names: list[str]) -> dict[str, float]:
     """What one of these routers was sent, by kind of message."""
     sort, found = names[0][0], dict[str, float]()
     for voter in plan.voter_names():
@@ -62,11 +62,11 @@
     return found
 
 
-def _spent(before: Look, after: Look, name: str) -> float:
+def _spent(before: Snapshot, after: Snapshot, name: str) -> float:
     return after.cpu.get(name, 0.0) - before.cpu.get(name, 0.0)
 
 
-def by_role(plan: Plan, before: Look, after: Look) -> dict[str, Any]:
+def figures_by_role(plan: Plan, before: Snapshot, after: Snapshot) -> dict[str, Any]:
     """The figures of each role: CPU in cores, memory in MB, the rest per second."""
     seconds = after.at - before.at
     processes = [f"hollow{number}" for number in range(plan.hollow_processes)]
@@ -95,7 +95,7 @@
     return told
 
 
-def _voter(plan: Plan, before: Look, after: Look) -> dict[str, Any]:
+def _voter(plan: Plan, before: Snapshot, after: Snapshot) -> dict[str, Any]:
     seconds, voters = after.at - before.at, plan.voter_names()
     sums = {
         what: sum(
@@ -114,12 +114,12 @@
     }
 
 
-def of_changes(
-    plan: Plan, before: Look, after: Look, took: list[list[float]], idle: dict[str, Any] | None
+def change_figures(
+    plan: Plan, before: Snapshot, after: Snapshot, took: list[list[float]], idle: dict[str, Any] | None
 ) -> dict[str, Any]:
     """What a change costs beyond what goes on anyway; `took`: seconds to in force, by change and router."""
     seconds, changes = after.at - before.at, len(took)
-    told = by_role(plan, before, after)
+    told = figures_by_role(plan, before, after)
     routers = plan.routers
 
     def beyond(role: str, what: str, count: int) -> float:
--- a/pebblepass/scale/run.py
+++ b/pebblepass/scale/run.py
@@ -22,7 +22,7 @@
 from pebblepass.emulators.ports import take_port
 from pebblepass.emulators.registry import RegistryAgent
 from pebblepass.fault_injection.relay import LOOPBACK, Relays
-from pebblepass.scale.figures import Look, by_role, of_changes
+from pebblepass.scale.figures import Snapshot, change_figures, figures_by_role
 from pebblepass.scale.hollow import Order, Place, Report, Specification
 from pebblepass.scale.plan import OUTAGE_S, SETTINGS, Plan, PlanError
 
@@ -318,7 +318,7 @@
         except TimeoutError:
             raise RunError(f"{self._where}: {name} told no figures") from None
 
-    async def _look(self) -> Look:
+    async def _look(self) -> Snapshot:
         told = {}
         for name in self._plan.voter_names():
             child = self._children[name]
@@ -329,7 +329,7 @@
             with contextlib.suppress(OSError):
                 cpu[name] = child.spent + cpu_s(child.process.pid)
                 memory[name] = memory_mb(child.process.pid)
-        return Look(time.monotonic(), cpu, memory, told)
+        return Snapshot(time.monotonic(), cpu, memory, told)
 
     async def _holding(self) -> set[str]:
         """The hollow routers that hold a lease at this moment."""
@@ -380,13 +380,13 @@
             self.figures["failed"] = {"phase": name, "why": str(error)}
             with contextlib.suppress(RunError):
                 self.figures["failed"] |= {
-                    **by_role(self._plan, before, await self._look()),
+                    **figures_by_role(self._plan, before, await self._look()),
                     "links_closed": await self._causes(),
                 }
             raise
         after = await self._look()
         closed = {"links_closed": await self._causes()}
-        self.figures["phases"][name] = {**by_role(self._plan, before, after), **closed, **extra}
+        self.figures["phases"][name] = {**figures_by_role(self._plan, before, after), **closed, **extra}
 
     async def _start(self) -> None:
         plan, loop = self._plan, asyncio.get_running_loop()
@@ -450,7 +450,7 @@
         idle = self.figures["phases"].get("idle")
         value = max(each["value_bytes"] for each in after.told.values())
         told = {"value_bytes": value, "told_open": told_open}
-        return {**of_changes(plan, before, after, took, idle), **told}
+        return {**change_figures(plan, before, after, took, idle), **told}
 
     async def _all_listed(self, generation: int, since: int) -> float:
         """Wait until all have a list; returns the seconds that it took."""
--- a/tests/compatibility/forms.py
+++ b/tests/compatibility/forms.py
@@ -50,7 +50,7 @@
 from pebblepass.handover.listener import SOCKET_NAME
 from pebblepass.operator_config import AccountingSection, describe, load_operator
 from pebblepass.peers import links
-from pebblepass.scale.figures import Look, by_role, of_changes
+from pebblepass.scale.figures import Snapshot, change_figures, figures_by_role
 from pebblepass.scale.hollow import CountingService
 from pebblepass.scale.plan import Plan as ScalePlan
 from pebblepass.scale.run import play as play_scale
@@ -457,10 +457,10 @@
         name: {"r0000": 1, "f0000": 2} for name in ("messages_in", "messages_out", "bytes_in", "bytes_out")
     }
     told = {"c0": {**seen, "kinds": {"Grant r": 3, "Learn f": 4, "Renew c": 5}, "connections": 6, "pid": 7}}
-    before = Look(1.0, dict.fromkeys(names, 1.0), dict.fromkeys(names, 2.0), {})
-    after = Look(5.0, dict.fromkeys(names, 3.0), dict.fromkeys(names, 4.0), told)
-    roles = by_role(plan, before, after)
-    changes = of_changes(plan, before, after, [[1.0, 2.0, 3.0]], roles)
+    before = Snapshot(1.0, dict.fromkeys(names, 1.0), dict.fromkeys(names, 2.0), {})
+    after = Snapshot(5.0, dict.fromkeys(names, 3.0), dict.fromkeys(names, 4.0), told)
+    roles = figures_by_role(plan, before, after)
+    changes = change_figures(plan, before, after, [[1.0, 2.0, 3.0]], roles)
     return {"plan": msgspec.to_builtins(plan), "roles": roles, "changes": changes}
 
 
--- a/tests/scale/test_plan.py
+++ b/tests/scale/test_plan.py
@@ -7,7 +7,7 @@
 import pytest
 from msgspec.structs import replace
 
-from pebblepass.scale.figures import Look, by_role, counted
+from pebblepass.scale.figures import Snapshot, counted, figures_by_role
 from pebblepass.scale.plan import PHASES, Plan, PlanError, checked
 
 PLAN = Plan(930, phases=PHASES)
@@ -56,12 +56,12 @@
         checked(PLAN, 2000)  # the relay holds two for each link
 
 
-def look(at: float, pid: int, messages: int) -> Look:
+def look(at: float, pid: int, messages: int) -> Snapshot:
     told: dict[str, Any] = {"pid": pid, "messages_in": {"r0000": messages}}
     told["bytes_in"] = {"r0000": 100 * messages}
     told["kinds"] = {"Grant r": 2 * messages, "Grant c": 7}
     cpu, memory = {"hollow0": at / 10, "empty": at / 100, "c0": at / 5}, {"hollow0": 50.0, "empty": 30.0}
-    return Look(at, cpu, memory, {"c0": told})
+    return Snapshot(at, cpu, memory, {"c0": told})
 
 
 def test_a_control_machine_that_began_anew_counts_from_nothing() -> None:
@@ -70,7 +70,7 @@
 
 
 def test_a_process_without_routers_is_subtracted_from_each() -> None:
-    told = by_role(Plan(1, 1), look(0, 1, 10), look(10, 1, 30))
+    told = figures_by_role(Plan(1, 1), look(0, 1, 10), look(10, 1, 30))
     assert told["router"]["sent_per_s"] == pytest.approx(2.0)
     assert told["router"]["received"] == {"Grant": 40}
     assert told["router"]["bytes_per_s"] == pytest.approx(200.0)
