--- a/pebblepass/scale/fit.py
+++ b/pebblepass/scale/fit.py
@@ -1,7 +1,7 @@
-"""Slopes of what a fleet costs over its size: least squares, their errors, and what they say of a target.
+"""Least-squares fits of a fleet's costs over its size, with standard errors and predictions.
 
-No I/O. A quantity is fitted by the form that its reason gives, never by the one that fits best: by how it
-grows it is told at a size that nobody has run.
+No I/O. The polynomial degree of a quantity follows from the known cause of its growth and is never chosen by
+goodness of fit, because the fit is extrapolated to sizes that have not been run.
 """
 
 from __future__ import annotations
@@ -10,28 +10,28 @@
 from typing import Any
 
 import numpy as np
-from msgspec import Struct
+from msgspec import Struct, field
 
-TARGET = 930
-OFF = 0.15  # of a prediction: from there on a run has refuted it
-# Student's t for an interval of 95 %, by degrees of freedom.
-STUDENT = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23)
-MANY = 1.96
+TARGET_ROUTERS = 930
+MAX_DEVIATION = 0.15  # fraction of a prediction; a run that deviates by more refutes it
+# Student's t for a 95% interval, by degrees of freedom starting at 1.
+STUDENT_T = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23)
+NORMAL_T = 1.96  # for more degrees of freedom than the table has
 
 
 class Quantity(Struct, frozen=True):
-    """What is fitted."""
+    """A measured quantity, and the form of its growth."""
 
     name: str
-    where: tuple[str, ...]
-    """Its path in a run's figures."""
+    path: tuple[str, ...] = field(name="where")
+    """Keys that lead to its value in a run's figures."""
     unit: str
     degree: int
-    """1: a constant and a slope; 2: the square as well."""
+    """Degree of the polynomial in the number of routers: 1 or 2."""
     reason: str
-    """Why it grows so."""
+    """Why it grows with this degree."""
     bound: float | None = None
-    """What the users allow; None: they say nothing."""
+    """The limit that users set; None: no limit."""
 
 
 QUANTITIES = (
@@ -173,106 +173,112 @@
 
 
 class Fit(Struct, frozen=True):
-    """A quantity over the number of routers."""
+    """A quantity fitted over the number of routers."""
 
     quantity: Quantity
     sizes: tuple[float, ...]
     values: tuple[float, ...]
     factors: tuple[float, ...]
-    """Of 1, N and, with degree 2, N squared."""
+    """Coefficients of 1, N and, for degree 2, N squared."""
     errors: tuple[float, ...]
-    """Their standard errors; nothing is left to tell them by where they are infinite."""
+    """Standard errors of the coefficients; infinite if there are no more runs than coefficients."""
     target: float
     predicted: float
     margin: float
-    """At the target: a further run falls within so much of the prediction, 19 times of 20."""
+    """Half the width of the 95% prediction interval for one more run at the target."""
 
     @property
-    def missed(self) -> bool:
-        """Whether the prediction is beyond what the users allow."""
+    def exceeds_bound(self) -> bool:
+        """Whether the prediction exceeds the limit that users set."""
         return self.quantity.bound is not None and self.predicted > self.quantity.bound
 
 
 class FitError(ValueError):
-    """Nothing can be fitted; the text is one plain line."""
+    """The runs can't be fitted; the message is one line."""
 
 
-def student(freedom: int) -> float:
-    """Student's t for 95 %."""
-    if freedom < 1:
+def student_t(degrees_of_freedom: int) -> float:
+    """Student's t of a 95% interval for these degrees of freedom."""
+    if degrees_of_freedom < 1:
         return float("inf")
-    return STUDENT[freedom - 1] if freedom <= len(STUDENT) else MANY
+    return STUDENT_T[degrees_of_freedom - 1] if degrees_of_freedom <= len(STUDENT_T) else NORMAL_T
 
 
-def value_of(figures: Mapping[str, Any], quantity: Quantity) -> float | None:
-    """A run's value of a quantity; None: it has not measured it."""
-    at: Any = figures
-    for key in quantity.where:
-        if not isinstance(at, Mapping) or key not in at:
+def measured_value(figures: Mapping[str, Any], quantity: Quantity) -> float | None:
+    """The quantity's value in a run's figures; None if the run has not measured it."""
+    value: Any = figures
+    for key in quantity.path:
+        if not isinstance(value, Mapping) or key not in value:
             return None
-        at = at[key]
-    return float(at) if isinstance(at, int | float) and not isinstance(at, bool) else None
+        value = value[key]
+    return float(value) if isinstance(value, int | float) and not isinstance(value, bool) else None
 
 
-def fit(quantity: Quantity, sizes: Sequence[float], values: Sequence[float], target: float = TARGET) -> Fit:
-    """Fit one quantity; raises FitError where the sizes are too few."""
+def fit_quantity(
+    quantity: Quantity, sizes: Sequence[float], values: Sequence[float], target: float = TARGET_ROUTERS
+) -> Fit:
+    """Fit one quantity; raises FitError if there are too few different sizes."""
     degree = quantity.degree
     if len(set(sizes)) <= degree:
         raise FitError(
-            f"{quantity.name}: {len(set(sizes))} sizes are too few for {degree + 1} factors of its form"
+            f"{quantity.name}: {len(set(sizes))} different sizes are too few to fit {degree + 1} coefficients"
         )
-    # Scaled: the square of a size beside 1 would cost digits.
+    # Sizes are scaled to at most 1: columns of very different magnitude would lose precision.
     largest = max(sizes)
     scaled = np.asarray(sizes, dtype=float) / largest
-    table = np.vander(scaled, degree + 1, increasing=True)
-    seen = np.asarray(values, dtype=float)
-    found, *_ = np.linalg.lstsq(table, seen, rcond=None)
-    freedom = len(seen) - degree - 1
-    rest = seen - table @ found
-    spread = float(rest @ rest) / freedom if freedom > 0 else float("inf")
-    inverse = np.linalg.inv(table.T @ table)
-    at = np.vander(np.asarray([target / largest]), degree + 1, increasing=True)[0]
-    leverage = float(at @ inverse @ at)
+    design = np.vander(scaled, degree + 1, increasing=True)
+    measured = np.asarray(values, dtype=float)
+    coefficients, *_ = np.linalg.lstsq(design, measured, rcond=None)
+    degrees_of_freedom = len(measured) - degree - 1
+    residuals = measured - design @ coefficients
+    variance = float(residuals @ residuals) / degrees_of_freedom if degrees_of_freedom > 0 else float("inf")
+    inverse = np.linalg.inv(design.T @ design)
+    target_row = np.vander(np.asarray([target / largest]), degree + 1, increasing=True)[0]
+    leverage = float(target_row @ inverse @ target_row)
     powers = [largest**power for power in range(degree + 1)]
     return Fit(
         quantity,
         tuple(float(size) for size in sizes),
         tuple(float(value) for value in values),
-        tuple(float(each) / power for each, power in zip(found, powers, strict=True)),
-        tuple(float(np.sqrt(spread * inverse[power, power])) / powers[power] for power in range(degree + 1)),
+        tuple(float(coefficient) / power for coefficient, power in zip(coefficients, powers, strict=True)),
+        tuple(
+            float(np.sqrt(variance * inverse[power, power])) / powers[power] for power in range(degree + 1)
+        ),
         float(target),
-        float(at @ found),
-        student(freedom) * float(np.sqrt(spread * (1 + leverage))) if freedom > 0 else float("inf"),
+        float(target_row @ coefficients),
+        student_t(degrees_of_freedom) * float(np.sqrt(variance * (1 + leverage)))
+        if degrees_of_freedom > 0
+        else float("inf"),
     )
 
 
-def at_size(told: Fit, size: float) -> float:
-    """What a fit says of a size."""
-    return sum(factor * size**power for power, factor in enumerate(told.factors))
+def predict(fitted: Fit, size: float) -> float:
+    """The value that a fit predicts for a number of routers."""
+    return sum(factor * size**power for power, factor in enumerate(fitted.factors))
 
 
-def fit_all(runs: Sequence[Mapping[str, Any]], target: float = TARGET) -> list[Fit]:
-    """Fit all that these runs have measured; raises FitError where that is nothing."""
-    fits, why = [], "no run has measured anything"
+def fit_all(runs: Sequence[Mapping[str, Any]], target: float = TARGET_ROUTERS) -> list[Fit]:
+    """Fit every quantity that the runs have measured; raises FitError if none can be fitted."""
+    fits, reason = [], "no run has measured anything"
     for quantity in QUANTITIES:
         rows = [
             (float(run["plan"]["routers"]), value)
             for run in runs
-            if (value := value_of(run, quantity)) is not None
+            if (value := measured_value(run, quantity)) is not None
         ]
         if not rows:
             continue
         try:
-            fits.append(fit(quantity, [row[0] for row in rows], [row[1] for row in rows], target))
+            fits.append(fit_quantity(quantity, [row[0] for row in rows], [row[1] for row in rows], target))
         except FitError as error:
-            why = str(error)
+            reason = str(error)
     if not fits:
-        raise FitError(why)
+        raise FitError(reason)
     return fits
 
 
-def off(predicted: float, seen: float) -> float:
-    """By which part of a prediction a run is off."""
+def relative_deviation(predicted: float, measured: float) -> float:
+    """A run's deviation from its prediction, as a fraction of the prediction."""
     if predicted == 0:
-        return 0.0 if seen == 0 else float("inf")
-    return (seen - predicted) / abs(predicted)
+        return 0.0 if measured == 0 else float("inf")
+    return (measured - predicted) / abs(predicted)
