--- a/pebblepass/scale/commands.py
+++ b/pebblepass/scale/commands.py
@@ -9,7 +9,7 @@
 import click
 import msgspec
 
-from pebblepass.scale.plan import MEMORY_MB, PHASES, Plan, PlanError, checked
+from pebblepass.scale.plan import MEMORY_MB, PHASES, Plan, PlanError, validate_plan
 
 EXIT_BROKEN, EXIT_USAGE, EXIT_INTERRUPTED = 1, 2, 130
 
@@ -62,10 +62,10 @@
 
     Exit code 0: all phases completed; 1: a phase failed; 2: wrong usage, or too much memory or descriptors.
     """
-    from pebblepass.scale.run import RunError, most_descriptors, play
+    from pebblepass.scale.run import RunError, play, raise_descriptor_limit
 
     try:
-        plan = checked(Plan(phases=phases or ("idle", "change"), **chosen), most_descriptors())
+        plan = validate_plan(Plan(phases=phases or ("idle", "change"), **chosen), raise_descriptor_limit())
         play(plan, _make_folder(out), lambda line: click.echo(line, err=True))
     except PlanError as error:
         _exit_with_error(str(error))
--- a/pebblepass/scale/hollow.py
+++ b/pebblepass/scale/hollow.py
@@ -1,9 +1,9 @@
-"""A process of hollow routers: of each the fleet's part as the daemon has it, nothing that takes requests.
+"""A process of hollow routers, which run the daemon's fleet membership without a request path.
 
     python -m pebblepass.scale.hollow SPECIFICATION
 
-It is told what to do in lines of JSON on its standard input, tells what happens on its standard output, and
-ends with its input: so none is left behind by a run that was killed.
+The process reads orders as lines of JSON from its standard input and writes reports as lines of JSON to its
+standard output. It exits when its input ends, so that no process outlives a run that was killed.
 """
 
 from __future__ import annotations
@@ -37,51 +37,51 @@
 from pebblepass.operator_config import FleetSection
 from pebblepass.wire.address import Address, parse_address
 
-FRAME = 4  # bytes before each message on a link
+FRAME_HEADER_BYTES = 4  # before each message on a link
 
 
-class Place(Struct, frozen=True):
-    """One router of a process."""
+class Placement(Struct, frozen=True):
+    """Where one router of a process listens and stores its data."""
 
     name: str
     listen: str
     directory: str = ""
-    """Where a control machine keeps its promises; empty: it does not vote."""
+    """Directory of a control machine's consensus log; empty: the router does not vote."""
     reached: dict[str, str] = {}
-    """Others that it reaches at another address than the fleet's."""
+    """Members reached at another address than in the fleet's member list, such as a relay's."""
 
 
 class Specification(Struct, frozen=True):
-    """What a process is told."""
+    """The configuration file of a process."""
 
     fleet: str
     settings: dict[str, Any]
     members: dict[str, str]
     voters: tuple[str, ...]
-    places: tuple[Place, ...]
+    places: tuple[Placement, ...]
     lease_ms: int
     seed: int
     pace_s: float = 0.0
-    """From the start of one router to the next; a restart knows no pace."""
+    """Time between the starts of two routers; restarts are not paced."""
     counted: bool = False
-    """Whether messages are counted, by the router on the other side: at the control machines alone."""
+    """Whether messages are counted by peer; only control machines do so."""
 
 
 class Order(Struct, frozen=True, forbid_unknown_fields=True):
-    """A line that it is sent."""
+    """A line that the process receives."""
 
     do: str
     """`start`, `restart`, `propose`, `follow`, `figures`."""
     names: tuple[str, ...] = ()
-    """Of the routers that restart."""
+    """The routers that restart."""
     change: str = ""
     rate: float = 0.0
     discovery: str = ""
-    """HOST:PORT, for `follow`."""
+    """Address of discovery as HOST:PORT, for `follow`."""
 
 
 class Report(Struct, omit_defaults=True):
-    """A line that it tells; times are the machine's, in nanoseconds."""
+    """A line that the process writes; times are nanoseconds of the monotonic clock."""
 
     what: str
     at: int
@@ -91,55 +91,57 @@
     figures: dict[str, Any] = {}
 
 
-Tell = Callable[[Report], None]
+ReportSink = Callable[[Report], None]
 
 
 class HollowHost:
-    """What a hollow router has in place of the request path."""
+    """Stands in for the request path of a hollow router."""
 
-    def __init__(self, settings: Settings, now: Callable[[], int], name: str, tell: Tell) -> None:
-        self.settings, self._now, self._name, self._tell = settings, now, name, tell
-        self._until = 0
+    def __init__(
+        self, settings: Settings, now: Callable[[], int], name: str, report_sink: ReportSink
+    ) -> None:
+        self.settings, self._now, self._name, self._report = settings, now, name, report_sink
+        self._lease_expires_at = 0
 
     def now(self) -> int:
         """The time in nanoseconds."""
         return self._now()
 
     def handle_event(self, event: PolicyChanged) -> None:
-        """Take a lease; one after none is told."""
+        """Accept a lease; the first one after a time without a lease is reported."""
         now = self._now()
-        if self._until <= now < event.expires_at:
-            self._tell(Report("held", now, self._name, event.policy.version))
-        self._until = event.expires_at
+        if self._lease_expires_at <= now < event.expires_at:
+            self._report(Report("held", now, self._name, event.policy.version))
+        self._lease_expires_at = event.expires_at
 
     def demand(self) -> dict[str, int]:
-        """No fetches: nobody asks a hollow router for anything."""
+        """Report no demand: a hollow router receives no requests."""
         return {}
 
 
 class CountingService(ConsensusService):
-    """The service of a control machine, with a count of what it is sent and what it sends, by router."""
+    """The consensus service of a control machine, which counts messages and bytes in and out by peer."""
 
-    def __init__(self, *given: Any) -> None:
-        super().__init__(*given)
+    def __init__(self, *arguments: Any) -> None:
+        super().__init__(*arguments)
         self.messages_in: Counter[str] = Counter()
         self.messages_out: Counter[str] = Counter()
         self.bytes_in: Counter[str] = Counter()
         self.bytes_out: Counter[str] = Counter()
         self.kinds: Counter[str] = Counter()
-        """Messages sent, by kind and by the first letter of the router's name: of what sort it is."""
-        sound = self.links.send
+        """Messages sent, by kind and first letter of the recipient's name, which gives its role."""
+        send_uncounted = self.links.send
 
         def send(name: str, message: bytes, boot_id: str = "") -> None:
             self.messages_out[name] += 1
-            self.bytes_out[name] += len(message) + FRAME
-            sound(name, message, boot_id)
+            self.bytes_out[name] += len(message) + FRAME_HEADER_BYTES
+            send_uncounted(name, message, boot_id)
 
         self.links.send = send  # type: ignore[method-assign]
 
     def _received(self, name: str, data: bytes) -> None:
         self.messages_in[name] += 1
-        self.bytes_in[name] += len(data) + FRAME
+        self.bytes_in[name] += len(data) + FRAME_HEADER_BYTES
         super()._received(name, data)
 
     def _carry_out(self, actions: list[Action]) -> None:
@@ -149,58 +151,62 @@
         super()._carry_out(actions)
 
 
-class CountingPart(FleetMember):
-    """A control machine's part."""
+class CountingMember(FleetMember):
+    """Fleet membership of a control machine, with counted messages."""
 
     service_class = CountingService
 
 
 class Identity(Struct, frozen=True):
-    """A router's name, and the seed of what it draws."""
+    """A router's name, and the seed of its random numbers."""
 
     name: str
     seed: int
 
 
 class Process:
-    """All routers of a process."""
+    """All routers of one process."""
 
-    def __init__(self, loop: DaemonLoop, specification: Specification, tell: Tell) -> None:
-        self._loop, self._told, self._tell = loop, specification, tell
+    def __init__(self, loop: DaemonLoop, specification: Specification, report_sink: ReportSink) -> None:
+        self._loop, self._specification, self._report = loop, specification, report_sink
         self._settings = read_settings(specification.settings)
-        self._places = {place.name: place for place in specification.places}
-        self._parts: dict[str, FleetMember] = {}
-        self._lists: list[DiscoveryClient] = []
+        self._placements = {placement.name: placement for placement in specification.places}
+        self._members: dict[str, FleetMember] = {}
+        self._discovery_clients: list[DiscoveryClient] = []
         self._proposals: set[asyncio.Task[None]] = set()
 
     async def start(self, name: str) -> None:
-        """Start a router; raises OSError where its address can't be had."""
-        told, place = self._told, self._places[name]
-        members = {**told.members, **place.reached} if place.reached else told.members
+        """Start a router; raises OSError if it can't listen on its address."""
+        specification, placement = self._specification, self._placements[name]
+        members = (
+            {**specification.members, **placement.reached} if placement.reached else specification.members
+        )
         section = FleetSection(
-            id=told.fleet,
+            id=specification.fleet,
             members=members,
-            voters=told.voters,
-            listen=place.listen,
-            directory=place.directory,
-            lease_ms=told.lease_ms,
+            voters=specification.voters,
+            listen=placement.listen,
+            directory=placement.directory,
+            lease_ms=specification.lease_ms,
             alone_after_s=3600,
         )
-        host = HollowHost(self._settings, self._loop.time_ns, name, self._tell)
-        made = CountingPart if told.counted else FleetMember
-        part = self._parts[name] = made(self._loop, host, Identity(name, told.seed), section)
-        await part.start()
+        host = HollowHost(self._settings, self._loop.time_ns, name, self._report)
+        member_class = CountingMember if specification.counted else FleetMember
+        member = self._members[name] = member_class(
+            self._loop, host, Identity(name, specification.seed), section
+        )
+        await member.start()
 
-    async def obey(self, order: Order) -> None:
-        """Do what a line says."""
+    async def carry_out(self, order: Order) -> None:
+        """Carry out one order."""
         match order.do:
             case "start":
-                for name in self._places:
+                for name in self._placements:
                     await self.start(name)
-                    await asyncio.sleep(self._told.pace_s)
+                    await asyncio.sleep(self._specification.pace_s)
             case "restart":
                 for name in order.names:
-                    self._parts.pop(name).close()
+                    self._members.pop(name).close()
                 for name in order.names:
                     await self.start(name)
             case "propose":
@@ -208,82 +214,84 @@
                 self._proposals.add(task)
                 task.add_done_callback(self._proposals.discard)
             case "follow":
-                for name in self._parts:
+                for name in self._members:
                     self._follow(name, parse_address("discovery", order.discovery))
             case "figures":
-                self._tell(Report("figures", self._loop.time_ns(), figures=self._figures()))
+                self._report(Report("figures", self._loop.time_ns(), figures=self._figures()))
             case _:
-                raise ValueError(f"no order {order.do!r}")
+                raise ValueError(f"unknown order {order.do!r}")
 
     async def _propose(self, order: Order) -> None:
-        part = next(iter(self._parts.values()))
+        member = next(iter(self._members.values()))
         policy = Policy(StorePolicy(rate_per_s=order.rate))
-        self._tell(Report("proposed", self._loop.time_ns(), part.name))
-        verdict = await part.service.propose(m.Proposal(order.change, "scale", "a measured change", policy))
-        self._tell(Report("verdict", self._loop.time_ns(), part.name, verdict.version, verdict.state))
+        self._report(Report("proposed", self._loop.time_ns(), member.name))
+        verdict = await member.service.propose(m.Proposal(order.change, "scale", "a measured change", policy))
+        self._report(Report("verdict", self._loop.time_ns(), member.name, verdict.version, verdict.state))
 
     def _follow(self, name: str, address: Address) -> None:
-        """The daemon's own client of discovery, where lists are pushed."""
+        """Start the daemon's discovery client for one router, with pushed lists."""
 
-        def take(listing: EndpointList) -> None:
-            self._tell(Report("listed", self._loop.time_ns(), name, listing.generation))
+        def report_listing(listing: EndpointList) -> None:
+            self._report(Report("listed", self._loop.time_ns(), name, listing.generation))
 
         clock = ClockOffset(self._loop.time_ns(), time.time_ns())
-        followed = DiscoveryClient(address, False, clock, take, lambda: None, random.Random(name))
-        self._lists.append(followed)
-        followed.start()
+        client = DiscoveryClient(address, False, clock, report_listing, lambda: None, random.Random(name))
+        self._discovery_clients.append(client)
+        client.start()
 
     def _figures(self) -> dict[str, Any]:
         now = self._loop.time_ns()
-        told: dict[str, Any] = {
-            "holding": [name for name, part in self._parts.items() if part.service.replica.may_admit(now)]
+        figures: dict[str, Any] = {
+            "holding": [
+                name for name, member in self._members.items() if member.service.replica.may_admit(now)
+            ]
         }
-        for part in self._parts.values():
-            service = part.service
+        for member in self._members.values():
+            service = member.service
             if isinstance(service, CountingService):
-                told["messages_in"], told["messages_out"] = service.messages_in, service.messages_out
-                told["bytes_in"], told["bytes_out"] = service.bytes_in, service.bytes_out
-                told["kinds"], told["closed"] = service.kinds, service.links.closed
-                told["connections"] = len(os.listdir("/proc/self/fd"))
-                told["value_bytes"] = len(m.encode(service.replica.decided))
-        return told
+                figures["messages_in"], figures["messages_out"] = service.messages_in, service.messages_out
+                figures["bytes_in"], figures["bytes_out"] = service.bytes_in, service.bytes_out
+                figures["kinds"], figures["closed"] = service.kinds, service.links.closed
+                figures["connections"] = len(os.listdir("/proc/self/fd"))
+                figures["value_bytes"] = len(m.encode(service.replica.decided))
+        return figures
 
-    def end(self) -> None:
-        """End all routers."""
-        for followed in self._lists:
-            followed.close()
-        for part in self._parts.values():
-            part.close()
+    def close(self) -> None:
+        """Stop all routers."""
+        for client in self._discovery_clients:
+            client.close()
+        for member in self._members.values():
+            member.close()
 
 
 async def serve(specification: Specification) -> None:
-    """Obey until the input ends."""
+    """Carry out orders until the input ends."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, DaemonLoop)
     encode = msgspec.json.Encoder().encode
 
-    def tell(report: Report) -> None:
+    def write_report(report: Report) -> None:
         os.write(1, encode(report) + b"\n")
 
-    process = Process(loop, specification, tell)
+    process = Process(loop, specification, write_report)
     orders = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(orders), os.fdopen(0, "rb"))
-    tell(Report("ready", loop.time_ns()))
+    write_report(Report("ready", loop.time_ns()))
     try:
         while line := await orders.readline():
-            await process.obey(msgspec.json.decode(line, type=Order))
+            await process.carry_out(msgspec.json.decode(line, type=Order))
     finally:
-        process.end()
+        process.close()
 
 
 def main() -> int:
-    """Run the process; what can't be had is one plain line and exit code 2."""
+    """Run the process; an OSError or ValueError prints one line and gives exit code 2."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != hard:
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     specification = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Specification)
     gc.freeze()
-    gc.set_threshold(GC_THRESHOLD)  # as the daemon does
+    gc.set_threshold(GC_THRESHOLD)  # as in the daemon
     try:
         with asyncio.Runner(loop_factory=DaemonLoop) as runner:
             runner.run(serve(specification))
--- a/pebblepass/scale/plan.py
+++ b/pebblepass/scale/plan.py
@@ -1,16 +1,16 @@
-"""What a run of hollow routers consists of: names, places, processes, phases, what it may take. No I/O.
+"""The plan of a run of hollow routers: names, regions, processes, phases and resource limits. No I/O.
 
-| phase | what is done | over when |
+| phase | action | ends when |
 | --- | --- | --- |
 | join | control machines start, then all routers | all hold a lease |
-| idle | nothing | the window is over |
-| change | changes of the policy, one after another | the last is in force everywhere |
-| discovery | all follow the list of servers; a change; an outage with a change in it | all have the last |
-| voter | a control machine is killed, and started after two leases | it holds its lease |
-| cut | a region hears nobody for two leases | all hold a lease again |
-| zone | likewise a zone, half a region | likewise |
-| some | 100 routers restart, or a tenth where there are fewer than 900 | all hold a lease |
-| all | all routers and control machines restart | all hold a lease |
+| idle | none | the window has passed |
+| change | policy changes, one after another | the last is in force everywhere |
+| discovery | all follow the server list; it changes, and again during an outage | all have the last |
+| voter | a control machine is killed, and restarted after two lease times | it holds its lease |
+| cut | a region is disconnected for two lease times | all hold a lease again |
+| zone | a zone (half a region) is disconnected for two lease times | all hold a lease again |
+| some | 100 hollow routers restart, or a tenth if there are fewer than 900 | all hold a lease |
+| all | all hollow routers and control machines restart | all hold a lease |
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 FAULTS = ("voter", "cut", "zone", "some", "all")
 PHASES = ("idle", "change", "discovery", *FAULTS)
 CUTS = ("cut", "zone")
-ZONES = 2  # in a region
-PER_PROCESS = 120  # hollow routers
-MOST_PROCESSES = 40
-MOST_ROUTERS = 5000
+ZONES_PER_REGION = 2
+ROUTERS_PER_PROCESS = 120
+MAX_PROCESSES = 40
+MAX_ROUTERS = 5000
 MEMORY_MB = 12 * 1024
-PROCESS_MB, ROUTER_MB = 45.0, 0.12  # of a process with none, and of a router for itself
-MEMBER_MB, VERSIONS = 0.00018, 8  # what a member costs a router in each version that it keeps, and how many
+PROCESS_MB, ROUTER_MB = 45.0, 0.12  # of a process without routers, and of each router
+MEMBER_MB, VERSIONS = 0.00018, 8  # memory per member and policy version in a router; versions it keeps
 OWN_DESCRIPTORS = 64
-SERVERS = 120  # in the list
-OUTAGE_S = 12.0  # of discovery
+SERVERS = 120  # in the endpoint list
+OUTAGE_S = 12.0  # duration of the discovery outage
 
 SETTINGS: dict[str, Any] = {
     "balancers": 1,
@@ -51,20 +51,20 @@
     "membershipMode": "automatic",
     "tenants": [{"name": "acme", "portion": 1.0, "quotaPerS": 200.0}],
 }
-"""The platform's settings, as small as a router takes them."""
+"""The smallest platform settings that a router accepts."""
 
 
 class PlanError(ValueError):
-    """A run can't be made so; the text is one plain line."""
+    """A plan is invalid or exceeds a limit; the message is one line."""
 
 
 class Plan(Struct, frozen=True):
-    """A run."""
+    """The parameters of one run."""
 
     routers: int
     voters: int = 3
     full: int = 0
-    """Routers among them that are the real daemon; beside each runs one without a fleet, to subtract."""
+    """How many of the routers are real daemons; for each, a daemon without a fleet runs as the baseline."""
     seed: int = 1
     phases: tuple[str, ...] = ("idle", "change")
     lease_ms: int = 6000
@@ -72,68 +72,68 @@
     changes: int = 3
     regions: int = 4
     delay_ms: float = 0.0
-    """One way, between regions."""
+    """One-way delay between regions."""
     pace_ms: float = 0.0
-    """From the start of one router to the next; 0: all start at once."""
+    """Time between the starts of two routers; 0: all start at once."""
     processes: int = 0
-    """Of hollow routers; 0: by their number."""
+    """Number of processes for hollow routers; 0: by the number of routers."""
     memory_mb: int = MEMORY_MB
     patience_s: float = 120.0
-    """After which a phase is given up."""
+    """Timeout of each wait in a phase."""
 
     @property
-    def hollow(self) -> int:
+    def hollow_count(self) -> int:
         """How many routers are hollow."""
         return self.routers - self.full
 
     @property
     def hollow_processes(self) -> int:
-        """Among how many processes they are spread."""
-        return self.processes or max(-(-self.hollow // PER_PROCESS), 1)
+        """The number of processes that the hollow routers are spread over."""
+        return self.processes or max(-(-self.hollow_count // ROUTERS_PER_PROCESS), 1)
 
     @property
     def relayed(self) -> bool:
-        """Whether the links pass a relay: only where something is to be cut or delayed."""
+        """Whether links pass through a relay, which is needed only to cut or delay them."""
         return self.delay_ms > 0 or any(phase in CUTS for phase in self.phases)
 
     def voter_names(self) -> list[str]:
-        """The control machines."""
+        """The names of the control machines."""
         return [f"c{number}" for number in range(self.voters)]
 
     def hollow_names(self) -> list[str]:
-        """The hollow routers."""
-        return [f"r{number:04}" for number in range(self.hollow)]
+        """The names of the hollow routers."""
+        return [f"r{number:04}" for number in range(self.hollow_count)]
 
     def full_names(self) -> list[str]:
-        """The full ones."""
+        """The names of the full routers."""
         return [f"f{number:04}" for number in range(self.full)]
 
     def region(self, name: str) -> int:
-        """Where a router or control machine stands."""
+        """The region of a router or control machine."""
         return int(name[1:]) % self.regions
 
     def zone(self, name: str) -> str:
-        """Likewise, its zone."""
-        half = int(name[1:]) // self.regions % ZONES
+        """The zone of a router or control machine."""
+        half = int(name[1:]) // self.regions % ZONES_PER_REGION
         return f"{self.region(name)}{'ab'[half]}"
 
     def zones(self) -> list[str]:
-        """All zones."""
+        """The names of all zones."""
         return [f"{region}{half}" for region in range(self.regions) for half in "ab"]
 
-    def spread(self) -> list[list[str]]:
-        """The hollow routers of each process."""
+    def routers_by_process(self) -> list[list[str]]:
+        """The names of the hollow routers in each process."""
         names, count = self.hollow_names(), self.hollow_processes
         return [names[start::count] for start in range(count)]
 
     def restarted(self) -> list[str]:
-        """The routers that restart in the phase `some`."""
+        """The routers that restart in the `some` phase."""
         names = self.hollow_names()
         count = 100 if len(names) >= 900 else max(len(names) // 10, 1)
         return sorted(random.Random(f"{self.seed} some").sample(names, count))
 
-    def listed(self) -> list[dict[str, Any]]:
-        """The servers that discovery tells of; nothing is sent to them."""
+    def endpoint_entries(self) -> list[dict[str, Any]]:
+        """The servers that discovery lists; no request is sent to them."""
         return [
             {
                 "instanceId": f"server-{number:03}",
@@ -149,51 +149,53 @@
         ]
 
     def victim(self) -> str:
-        """The control machine that dies."""
+        """The control machine that the `voter` phase kills."""
         return random.Random(f"{self.seed} voter").choice(self.voter_names())
 
     def cut_zones(self, phase: str) -> list[str]:
-        """The zones that a phase cuts off: those of the last region, or one of them."""
+        """The zones that a phase disconnects: those of the last region, or the first of them."""
         last = [zone for zone in self.zones() if zone[:-1] == str(self.regions - 1)]
         return last if phase == "cut" else last[:1]
 
     def memory_needed_mb(self) -> float:
-        """What the run is expected to take; it is watched all the same."""
+        """The memory that the run is expected to use; the actual use is still monitored."""
         members = self.routers + self.voters
         router = ROUTER_MB + members * MEMBER_MB * VERSIONS
         processes = self.hollow_processes + self.voters + 1 + 2 * self.full
         return processes * PROCESS_MB + (self.routers + self.voters) * router
 
     def descriptors(self) -> int:
-        """The most that one process needs."""
-        lists = "discovery" in self.phases
-        hollow = max(len(names) for names in self.spread()) * (1 + self.voters + lists)
-        relay = 2 * self.routers * self.voters + 2 * ZONES * self.regions * self.voters
+        """The largest number of descriptors that one process needs."""
+        watches = "discovery" in self.phases
+        hollow = max(len(names) for names in self.routers_by_process()) * (1 + self.voters + watches)
+        relay = 2 * self.routers * self.voters + 2 * ZONES_PER_REGION * self.regions * self.voters
         voter = self.routers + 2 * self.voters
-        own = (relay if self.relayed else 0) + (self.hollow if lists else 0)
+        own = (relay if self.relayed else 0) + (self.hollow_count if watches else 0)
         return max(hollow, voter, own) + OWN_DESCRIPTORS
 
 
-def checked(plan: Plan, descriptors: int) -> Plan:
-    """The plan, if it can be run with so many descriptors; raises PlanError."""
-    if not 1 <= plan.routers <= MOST_ROUTERS:
-        raise PlanError(f"--routers: expected 1 to {MOST_ROUTERS}, got {plan.routers}")
+def validate_plan(plan: Plan, descriptors: int) -> Plan:
+    """Return the plan if it can run within this descriptor limit; raises PlanError otherwise."""
+    if not 1 <= plan.routers <= MAX_ROUTERS:
+        raise PlanError(f"--routers: expected 1 to {MAX_ROUTERS}, got {plan.routers}")
     if plan.voters not in (1, 3, 5, 7):
         raise PlanError(f"--voters: expected 1, 3, 5 or 7, got {plan.voters}")
     if not 0 <= plan.full < plan.routers:
         raise PlanError(f"--full: expected 0 to {plan.routers - 1}, got {plan.full}")
     unknown = [phase for phase in plan.phases if phase not in PHASES]
     if unknown:
-        raise PlanError(f"--phase: no phase {unknown[0]!r}; there are {', '.join(PHASES)}")
+        raise PlanError(f"--phase: unknown phase {unknown[0]!r}; expected one of {', '.join(PHASES)}")
     if plan.regions < 1 or (plan.regions <= plan.voters and any(phase in CUTS for phase in plan.phases)):
-        raise PlanError(f"--regions: a cut region holds no control machine: more than {plan.voters}")
-    if not 1 <= plan.hollow_processes <= MOST_PROCESSES:
-        raise PlanError(f"--processes: {plan.hollow_processes} are more than {MOST_PROCESSES}")
+        raise PlanError(
+            f"--regions: expected more than {plan.voters}, as a cut region holds no control machine"
+        )
+    if not 1 <= plan.hollow_processes <= MAX_PROCESSES:
+        raise PlanError(f"--processes: expected at most {MAX_PROCESSES}, got {plan.hollow_processes}")
     needed = plan.memory_needed_mb()
     if needed > plan.memory_mb:
         raise PlanError(
-            f"memory: {plan.routers} routers need some {needed:.0f} MB, and {plan.memory_mb} may be taken"
+            f"memory: {plan.routers} routers need about {needed:.0f} MB, and the limit is {plan.memory_mb}"
         )
     if plan.descriptors() > descriptors:
-        raise PlanError(f"descriptors: a process needs {plan.descriptors()}, and {descriptors} may be open")
+        raise PlanError(f"descriptors: a process needs {plan.descriptors()}, and the limit is {descriptors}")
     return plan
--- a/pebblepass/scale/run.py
+++ b/pebblepass/scale/run.py
@@ -1,4 +1,4 @@
-"""A run of hollow routers: processes, phases, a watch on the memory, and what is read of them."""
+"""Runs hollow routers: starts processes, plays phases, limits memory and collects figures."""
 
 from __future__ import annotations
 
@@ -23,34 +23,34 @@
 from pebblepass.emulators.registry import RegistryAgent
 from pebblepass.fault_injection.relay import LOOPBACK, Relays
 from pebblepass.scale.figures import Snapshot, change_figures, figures_by_role
-from pebblepass.scale.hollow import Order, Place, Report, Specification
+from pebblepass.scale.hollow import Order, Placement, Report, Specification
 from pebblepass.scale.plan import OUTAGE_S, SETTINGS, Plan, PlanError
 
 FLEET = "scale"
-WATCH_S = 0.5
-END_S = 10.0  # in which processes end by themselves
-SETTLE_S = 1.0  # after a change, in which all tell that they hold it
-LINE = 1 << 24  # bytes of the longest one that a process tells
+MEMORY_CHECK_INTERVAL_S = 0.5
+EXIT_TIMEOUT_S = 10.0  # for processes to exit by themselves before they are killed
+SETTLE_S = 1.0  # pause after a change, in which all routers report that they hold it
+MAX_LINE_BYTES = 1 << 24  # the longest line that a process may write
 PAGE_MB = os.sysconf("SC_PAGE_SIZE") / 1e6
 
 encode = msgspec.json.Encoder().encode
 
 
 class RunError(Exception):
-    """A run came to no end that could be measured; the text is one plain line."""
+    """A run could not be completed; the message is one line."""
 
 
 def cpu_s(pid: int) -> float:
-    """Seconds of CPU that a process has had so far."""
-    spent = 0
+    """CPU seconds that a process has used so far."""
+    used_ns = 0
     for task in Path(f"/proc/{pid}/task").iterdir():
         with contextlib.suppress(OSError):
-            spent += int((task / "schedstat").read_text().split()[0])
-    return spent / 1e9
+            used_ns += int((task / "schedstat").read_text().split()[0])
+    return used_ns / 1e9
 
 
 def memory_mb(pid: int) -> float:
-    """Its resident memory; 0: it is over."""
+    """The resident memory of a process in MB; 0 if it has exited."""
     try:
         return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_MB
     except (OSError, IndexError):
@@ -58,21 +58,21 @@
 
 
 class CountingAgent(RegistryAgent):
-    """Discovery, with a count of its calls: when each came, and whether it asks for the whole list."""
+    """A discovery agent that records the time of each call and whether it asks for the whole list."""
 
-    def __init__(self, *given: Any) -> None:
-        super().__init__(*given)
+    def __init__(self, *arguments: Any) -> None:
+        super().__init__(*arguments)
         self.calls: list[tuple[float, bool]] = []
 
     def handle_request(self, target: str, connection: EmulatorConnection) -> None:
-        """Take a request."""
+        """Record a request and answer it."""
         self.calls.append((time.monotonic(), "index=" not in target))
         super().handle_request(target, connection)
 
-    def since(self, at: float) -> dict[str, float]:
-        """The calls since a time: how many, whole ones, and the most in a second."""
-        later = [(when, whole) for when, whole in self.calls if when >= at]
-        seconds = Counter(int(when - at) for when, _ in later)
+    def since(self, start: float) -> dict[str, float]:
+        """The calls since a time: all, those for the whole list, and the most in one second."""
+        later = [(time_s, whole) for time_s, whole in self.calls if time_s >= start]
+        seconds = Counter(int(time_s - start) for time_s, _ in later)
         return {
             "calls": len(later),
             "whole": sum(whole for _, whole in later),
@@ -85,31 +85,32 @@
 
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
         self.name, self.process = name, process
-        self.spent = 0.0
-        """Of CPU, by processes of this name that are over."""
+        self.earlier_cpu_s = 0.0
+        """CPU seconds of earlier processes of this name."""
         self.figures: asyncio.Future[dict[str, Any]] | None = None
         self.last = ""
-        """The last line that it wrote to its log."""
-        self.wanted = True
-        """Whether its end would be a fault."""
+        """The last line of its log."""
+        self.expected = True
+        """Whether it is expected to run, so that its exit is an error."""
 
     async def order(self, order: Order) -> None:
-        """Send it a line."""
+        """Send it an order."""
         assert self.process.stdin is not None
         self.process.stdin.write(encode(order) + b"\n")
         await self.process.stdin.drain()
 
 
 class Run:
-    """One run; `play` gives its figures."""
+    """One run; `figures` holds the results after `play`."""
 
-    def __init__(self, plan: Plan, folder: Path, say: Callable[[str], None]) -> None:
-        self._plan, self._folder, self._say = plan, folder, say
+    def __init__(self, plan: Plan, folder: Path, print_progress: Callable[[str], None]) -> None:
+        self._plan, self._folder, self._print_progress = plan, folder, print_progress
         self._children: dict[str, Child] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._held: dict[str, tuple[int, int]] = {}  # router: the version that it took last, and when
-        self._listed: dict[str, tuple[int, int]] = {}  # likewise, of the list of servers
-        self._news = asyncio.Event()
+        # By router: its last policy version or endpoint list, and when it accepted it.
+        self._held_versions: dict[str, tuple[int, int]] = {}
+        self._held_lists: dict[str, tuple[int, int]] = {}
+        self._state_changed = asyncio.Event()
         self._ready: set[str] = set()
         self._verdicts: list[Report] = []
         self._proposed: list[Report] = []
@@ -117,20 +118,20 @@
         self._main: asyncio.Task[Any] | None = None
         self._relays: Relays | None = None
         self._agent: RegistryAgent | None = None
-        self._lists: CountingAgent | None = None
-        self._peak = 0.0
-        self._where = "start"
+        self._listing_agent: CountingAgent | None = None
+        self._peak_memory_mb = 0.0
+        self._phase_name = "start"
         self._version = 0
         self.figures: dict[str, Any] = {"plan": msgspec.to_builtins(plan), "phases": {}}
 
     # Addresses
 
-    def _lay_out(self) -> None:
+    def _assign_addresses(self) -> None:
         plan = self._plan
         self._ports = {name: take_port() for name in plan.voter_names()}
         port = take_port()
         routers = [*plan.hollow_names(), *plan.full_names()]
-        # One address of the loopback network each: as long as a real one, and no port is used up.
+        # Each router gets a loopback address of its own: it is as long as a real one, and all share one port.
         self._members = {name: f"{LOOPBACK}:{port}" for name, port in self._ports.items()}
         for number, name in enumerate(routers):
             self._members[name] = f"127.1.{number >> 8}.{number & 255}:{port}"
@@ -141,18 +142,18 @@
                 for name in far:
                     relays.delay(plan.delay_ms / 1000, (zone, name), (name, zone))
 
-    def _reached(self, name: str) -> dict[str, str]:
+    def _relayed_addresses(self, name: str) -> dict[str, str]:
         relays, zone = self._relays, self._plan.zone(name)
         if relays is None:
             return {}
         return {voter: f"{LOOPBACK}:{relays.port(zone, voter)}" for voter in self._ports if voter != name}
 
-    def _place(self, name: str) -> Place:
+    def _placement(self, name: str) -> Placement:
         directory = self._folder / f"disk-{name}"
         if name in self._ports:
             directory.mkdir(exist_ok=True)
-        kept = str(directory) if name in self._ports else ""
-        return Place(name, self._members[name], kept, self._reached(name))
+        log_directory = str(directory) if name in self._ports else ""
+        return Placement(name, self._members[name], log_directory, self._relayed_addresses(name))
 
     # Processes
 
@@ -165,14 +166,14 @@
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
             env={**os.environ, **(environ or {})},
-            limit=LINE,
+            limit=MAX_LINE_BYTES,
         )
         child = Child(name, process)
         if name in self._children:
-            child.spent = self._children[name].spent
+            child.earlier_cpu_s = self._children[name].earlier_cpu_s
         self._children[name] = child
-        for read in (self._read_reports(child), self._read_log(child)):
-            task = asyncio.create_task(read)
+        for reader in (self._read_reports(child), self._read_log(child)):
+            task = asyncio.create_task(reader)
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
@@ -183,7 +184,7 @@
             SETTINGS,
             self._members,
             tuple(plan.voter_names()),
-            tuple(self._place(name) for name in names),
+            tuple(self._placement(name) for name in names),
             plan.lease_ms,
             plan.seed,
             plan.pace_ms / 1000 * plan.hollow_processes,
@@ -197,7 +198,7 @@
     async def _spawn_full(self, process: str, name: str, in_fleet: bool) -> None:
         assert self._agent is not None
         host, port = self._agent.address
-        told = {
+        settings = {
             "name": name,
             "listen": f"{LOOPBACK}:{take_port()}",
             "ops": f"{LOOPBACK}:{take_port()}",
@@ -205,11 +206,11 @@
             "settings": SETTINGS,
         }
         config = self._folder / f"{process}.json"
-        config.write_bytes(encode(told))
+        config.write_bytes(encode(settings))
         environ = {"LB_CONFIG": str(config)}
         lines = ["[log]", "lines_per_second = 1000"]
         if in_fleet:
-            members = {**self._members, **self._reached(name)}
+            members = {**self._members, **self._relayed_addresses(name)}
             section = {
                 "id": FLEET,
                 "listen": self._members[name],
@@ -218,7 +219,10 @@
                 "alone_after_s": 3600,
             }
             lines += ["[fleet]", *(f"{key} = {json.dumps(value)}" for key, value in section.items())]
-            lines += ["[fleet.members]", *(f"{key} = {json.dumps(each)}" for key, each in members.items())]
+            lines += [
+                "[fleet.members]",
+                *(f"{key} = {json.dumps(address)}" for key, address in members.items()),
+            ]
         operator = self._folder / f"{process}.toml"
         operator.write_text("\n".join(lines))
         environ["PEBBLEPASS_OPERATOR"] = str(operator)
@@ -230,9 +234,9 @@
             report = msgspec.json.decode(line, type=Report)
             match report.what:
                 case "held":
-                    self._held[report.name] = (report.version, report.at)
+                    self._held_versions[report.name] = (report.version, report.at)
                 case "listed":
-                    self._listed[report.name] = (report.version, report.at)
+                    self._held_lists[report.name] = (report.version, report.at)
                 case "ready":
                     self._ready.add(child.name)
                 case "proposed":
@@ -241,22 +245,24 @@
                     self._verdicts.append(report)
                 case "figures" if child.figures is not None and not child.figures.done():
                     child.figures.set_result(report.figures)
-            self._news.set()
-        if child.wanted:
+            self._state_changed.set()
+        if child.expected:
             await child.process.wait()
-            self._fail(RunError(f"{child.name} ended in {self._where}: {child.last or 'without a word'}"))
+            self._fail(
+                RunError(f"{child.name} exited in phase {self._phase_name}: {child.last or 'no log output'}")
+            )
 
     async def _read_log(self, child: Child) -> None:
-        """A full router tells in its log when it holds a lease."""
+        """Read a process's log; a full router logs when it holds a lease."""
         assert child.process.stderr is not None
         while line := await child.process.stderr.readline():
             text = line.decode("utf-8", "replace").strip()
             child.last = text or child.last
-            _, found, told = text.partition("fleet: {")
-            if found and '"event":"in force"' in told:
-                step = msgspec.json.decode("{" + told)
-                self._held[child.name] = (step["version"], time.monotonic_ns())
-                self._news.set()
+            _, found, event = text.partition("fleet: {")
+            if found and '"event":"in force"' in event:
+                fields = msgspec.json.decode("{" + event)
+                self._held_versions[child.name] = (fields["version"], time.monotonic_ns())
+                self._state_changed.set()
 
     def _fail(self, error: Exception) -> None:
         if self._failure is None:
@@ -264,46 +270,52 @@
             if self._main is not None:
                 self._main.cancel()
 
-    async def _watch(self) -> None:
-        """Ends the run before it takes more memory than it may."""
+    async def _limit_memory(self) -> None:
+        """End the run once its processes use more memory than the limit."""
         while True:
             alive = [child.process.pid for child in self._children.values()]
             sum_mb = sum(memory_mb(pid) for pid in [*alive, os.getpid()])
-            self._peak = max(self._peak, sum_mb)
+            self._peak_memory_mb = max(self._peak_memory_mb, sum_mb)
             if sum_mb > self._plan.memory_mb:
-                most = self._plan.memory_mb
-                self._fail(PlanError(f"memory: {sum_mb:.0f} MB in {self._where}, and {most} may be taken"))
+                limit = self._plan.memory_mb
+                self._fail(
+                    PlanError(
+                        f"memory: {sum_mb:.0f} MB in phase {self._phase_name}, and the limit is {limit}"
+                    )
+                )
                 return
-            await asyncio.sleep(WATCH_S)
+            await asyncio.sleep(MEMORY_CHECK_INTERVAL_S)
 
     # Waiting
 
-    async def _until(self, check: Callable[[], bool], what: str) -> None:
+    async def _wait_until(self, check: Callable[[], bool], awaited: str) -> None:
         try:
             async with asyncio.timeout(self._plan.patience_s):
                 while not check():
-                    self._news.clear()
-                    await self._news.wait()
+                    self._state_changed.clear()
+                    await self._state_changed.wait()
         except TimeoutError:
-            raise RunError(f"{self._where}: never came within {self._plan.patience_s:g} s: {what}") from None
+            raise RunError(
+                f"{self._phase_name}: timed out after {self._plan.patience_s:g} s, waiting for {awaited}"
+            ) from None
 
     async def _all_hold(self, names: Iterable[str], version: int, since: int) -> int:
-        """Wait until these routers have taken a version after a time; returns when the last one did."""
-        left = set(names)
+        """Wait until these routers have accepted a version since a time; returns when the last one did."""
+        missing = set(names)
 
         def none_left() -> bool:
-            for name in list(left):
-                held, at = self._held.get(name, (0, 0))
+            for name in list(missing):
+                held, at = self._held_versions.get(name, (0, 0))
                 if held >= version and at >= since:
-                    left.discard(name)
-            return not left
+                    missing.discard(name)
+            return not missing
 
         try:
-            await self._until(none_left, f"a lease on version {version}")
+            await self._wait_until(none_left, f"a lease on version {version}")
         except RunError as error:
-            some = ", ".join(sorted(left)[:5])
-            raise RunError(f"{error}; {len(left)} without it, {some} among them") from None
-        return max((self._held[name][1] for name in names), default=since)
+            examples = ", ".join(sorted(missing)[:5])
+            raise RunError(f"{error}; missing at {len(missing)} routers, among them {examples}") from None
+        return max((self._held_versions[name][1] for name in names), default=since)
 
     def _routers(self) -> list[str]:
         return [*self._plan.hollow_names(), *self._plan.full_names()]
@@ -316,20 +328,20 @@
             async with asyncio.timeout(self._plan.patience_s):
                 return await child.figures
         except TimeoutError:
-            raise RunError(f"{self._where}: {name} told no figures") from None
+            raise RunError(f"{self._phase_name}: {name} reported no figures") from None
 
-    async def _look(self) -> Snapshot:
-        told = {}
+    async def _snapshot(self) -> Snapshot:
+        counters = {}
         for name in self._plan.voter_names():
             child = self._children[name]
-            if child.wanted:
-                told[name] = {**await self._ask_figures(name), "pid": child.process.pid}
+            if child.expected:
+                counters[name] = {**await self._ask_figures(name), "pid": child.process.pid}
         cpu, memory = {}, {}
         for name, child in self._children.items():
             with contextlib.suppress(OSError):
-                cpu[name] = child.spent + cpu_s(child.process.pid)
+                cpu[name] = child.earlier_cpu_s + cpu_s(child.process.pid)
                 memory[name] = memory_mb(child.process.pid)
-        return Snapshot(time.monotonic(), cpu, memory, told)
+        return Snapshot(time.monotonic(), cpu, memory, counters)
 
     async def _holding(self) -> set[str]:
         """The hollow routers that hold a lease at this moment."""
@@ -341,10 +353,10 @@
     # Phases
 
     async def play(self) -> None:
-        """Play all; raises RunError or PlanError. The figures so far stand in either case."""
+        """Play all phases; raises RunError or PlanError, and keeps the figures of completed phases."""
         self._main = asyncio.current_task()
-        watch = asyncio.create_task(self._watch())
-        begun = time.monotonic()
+        memory_task = asyncio.create_task(self._limit_memory())
+        start = time.monotonic()
         self.figures["load_before"] = os.getloadavg()
         try:
             await self._start()
@@ -355,50 +367,54 @@
                 raise
             raise self._failure from None
         finally:
-            watch.cancel()
+            memory_task.cancel()
             self.figures["processes"] = len(self._children)
-            self.figures["memory_peak_mb"] = self._peak
-            self.figures["run_s"] = time.monotonic() - begun
+            self.figures["memory_peak_mb"] = self._peak_memory_mb
+            self.figures["run_s"] = time.monotonic() - start
             self.figures["load_after"] = os.getloadavg()
-            await self._end()
+            await self._stop_all()
 
-    async def _causes(self) -> dict[str, int]:
-        """Links that control machines have closed so far, by cause."""
+    async def _links_closed(self) -> dict[str, int]:
+        """The number of links that control machines have closed so far, by cause."""
         sums: Counter[str] = Counter()
         for name in self._plan.voter_names():
-            if self._children[name].wanted:
+            if self._children[name].expected:
                 sums.update((await self._ask_figures(name))["closed"])
         return dict(sums)
 
     async def _phase(self, name: str, play: Callable[[], Awaitable[dict[str, Any]]]) -> None:
-        self._where = name
-        self._say(f"{name} ...")
-        before = await self._look()
+        self._phase_name = name
+        self._print_progress(f"{name} ...")
+        before = await self._snapshot()
         try:
             extra = await play()
         except RunError as error:
             self.figures["failed"] = {"phase": name, "why": str(error)}
             with contextlib.suppress(RunError):
                 self.figures["failed"] |= {
-                    **figures_by_role(self._plan, before, await self._look()),
-                    "links_closed": await self._causes(),
+                    **figures_by_role(self._plan, before, await self._snapshot()),
+                    "links_closed": await self._links_closed(),
                 }
             raise
-        after = await self._look()
-        closed = {"links_closed": await self._causes()}
+        after = await self._snapshot()
+        closed = {"links_closed": await self._links_closed()}
         self.figures["phases"][name] = {**figures_by_role(self._plan, before, after), **closed, **extra}
 
     async def _start(self) -> None:
         plan, loop = self._plan, asyncio.get_running_loop()
-        self._lay_out()
-        self._say(f"{plan.routers} routers, {plan.hollow_processes} processes of hollow ones ...")
+        self._assign_addresses()
+        self._print_progress(
+            f"{plan.routers} routers, {plan.hollow_processes} processes of hollow routers ..."
+        )
         for name in plan.voter_names():
             await self._spawn_hollow(name, [name], counted=True)
-        for number, names in enumerate(plan.spread()):
+        for number, names in enumerate(plan.routers_by_process()):
             await self._spawn_hollow(f"hollow{number}", names)
         await self._spawn_hollow("empty", [])
-        own = [f"hollow{number}" for number in range(plan.hollow_processes)]
-        await self._until(lambda: self._ready >= {*plan.voter_names(), *own, "empty"}, "all processes")
+        processes = [f"hollow{number}" for number in range(plan.hollow_processes)]
+        await self._wait_until(
+            lambda: self._ready >= {*plan.voter_names(), *processes, "empty"}, "all processes to be ready"
+        )
         for name in plan.voter_names():
             await self._children[name].order(Order("start"))
         await self._all_hold(plan.voter_names(), 1, 0)
@@ -408,18 +424,18 @@
             await self._agent.start()
 
         async def join() -> dict[str, Any]:
-            begun = time.monotonic_ns()
-            for name in own:
+            start = time.monotonic_ns()
+            for name in processes:
                 await self._children[name].order(Order("start"))
-            last = await self._all_hold(plan.hollow_names(), 1, begun)
-            return {"all_joined_s": (last - begun) / 1e9}
+            last = await self._all_hold(plan.hollow_names(), 1, start)
+            return {"all_joined_s": (last - start) / 1e9}
 
         await self._phase("join", join)
         for number, name in enumerate(plan.full_names()):
             await self._spawn_full(f"lone{number}", name, in_fleet=False)
             await self._spawn_full(name, name, in_fleet=True)
         await self._all_hold(plan.full_names(), 1, 0)
-        # Whoever dialled while it was crowded, dials again within two seconds; then it is quiet.
+        # Connections that failed while all routers joined are retried within two seconds.
         await asyncio.sleep(min(plan.lease_ms / 1000, 6.0))
 
     async def _idle(self) -> dict[str, Any]:
@@ -428,97 +444,101 @@
         return {"holding": len(holding)}
 
     async def _change(self) -> dict[str, Any]:
-        plan, took, told_open = self._plan, [], 0
-        before = await self._look()
+        plan, durations, told_open = self._plan, [], 0
+        before = await self._snapshot()
         for number in range(plan.changes):
-            seen, said = len(self._proposed), len(self._verdicts)
+            proposals, verdicts = len(self._proposed), len(self._verdicts)
             order = Order("propose", change=f"{plan.seed}.{number}", rate=1000.0 + number)
             proposer = plan.voter_names()[number % plan.voters]
             await self._children[proposer].order(order)
-            await self._until(lambda seen=seen: len(self._proposed) > seen, "a proposal")  # type: ignore[misc]
-            begun = self._proposed[-1].at
-            await self._until(lambda said=said: len(self._verdicts) > said, "a verdict")  # type: ignore[misc]
+            await self._wait_until(lambda proposals=proposals: len(self._proposed) > proposals, "a proposal")  # type: ignore[misc]
+            start = self._proposed[-1].at
+            await self._wait_until(lambda verdicts=verdicts: len(self._verdicts) > verdicts, "a verdict")  # type: ignore[misc]
             verdict = self._verdicts[-1]
-            told_open += verdict.state == "open"  # it ends by itself, and is waited for
+            told_open += verdict.state == "open"  # an open change is still decided, and waited for below
             if verdict.state == "refused":
                 raise RunError(f"change {number}: {verdict.state}, version {verdict.version}")
             self._version = verdict.version
-            await self._all_hold(self._routers(), self._version, begun)
-            took.append([(self._held[name][1] - begun) / 1e9 for name in self._routers()])
+            await self._all_hold(self._routers(), self._version, start)
+            durations.append([(self._held_versions[name][1] - start) / 1e9 for name in self._routers()])
             await asyncio.sleep(SETTLE_S)
-        after = await self._look()
+        after = await self._snapshot()
         idle = self.figures["phases"].get("idle")
-        value = max(each["value_bytes"] for each in after.told.values())
-        told = {"value_bytes": value, "told_open": told_open}
-        return {**change_figures(plan, before, after, took, idle), **told}
+        value = max(counters["value_bytes"] for counters in after.counters.values())
+        extra = {"value_bytes": value, "told_open": told_open}
+        return {**change_figures(plan, before, after, durations, idle), **extra}
 
     async def _all_listed(self, generation: int, since: int) -> float:
-        """Wait until all have a list; returns the seconds that it took."""
+        """Wait until all hollow routers have an endpoint list; returns the seconds since `since`."""
         names = self._plan.hollow_names()
 
-        def has(name: str) -> bool:
-            told, at = self._listed.get(name, (0, 0))
-            return told >= generation and at >= since
+        def has_list(name: str) -> bool:
+            listed, at = self._held_lists.get(name, (0, 0))
+            return listed >= generation and at >= since
 
-        await self._until(lambda: all(has(name) for name in names), f"list {generation} at all")
-        return (max(self._listed[name][1] for name in names) - since) / 1e9
+        await self._wait_until(
+            lambda: all(has_list(name) for name in names), f"endpoint list {generation} at all routers"
+        )
+        return (max(self._held_lists[name][1] for name in names) - since) / 1e9
 
     async def _discovery(self) -> dict[str, Any]:
-        plan, entries = self._plan, self._plan.listed()
-        agent = self._lists = CountingAgent(asyncio.get_running_loop(), "scale", entries, NullObserver())
+        plan, entries = self._plan, self._plan.endpoint_entries()
+        agent = self._listing_agent = CountingAgent(
+            asyncio.get_running_loop(), "scale", entries, NullObserver()
+        )
         await agent.start()
-        begun = time.monotonic_ns()
+        start = time.monotonic_ns()
         for number in range(plan.hollow_processes):
             order = Order("follow", discovery="{}:{}".format(*agent.address))
             await self._children[f"hollow{number}"].order(order)
-        told: dict[str, Any] = {"servers": len(entries), "list_bytes": len(encode(agent.listing()))}
-        told["all_listed_s"] = await self._all_listed(1, begun)
-        told["start"] = agent.since(begun / 1e9)
+        figures: dict[str, Any] = {"servers": len(entries), "list_bytes": len(encode(agent.listing()))}
+        figures["all_listed_s"] = await self._all_listed(1, start)
+        figures["start"] = agent.since(start / 1e9)
         quiet, quiet_cpu = time.monotonic(), time.process_time()
         await asyncio.sleep(plan.window_s)
         calls = agent.since(quiet)["calls"]
-        told["calls_per_router_s"] = calls / plan.hollow / (time.monotonic() - quiet)
-        told["cpu_per_call_s"] = (time.process_time() - quiet_cpu) / max(calls, 1)
-        begun = time.monotonic_ns()
+        figures["calls_per_router_s"] = calls / plan.hollow_count / (time.monotonic() - quiet)
+        figures["cpu_per_call_s"] = (time.process_time() - quiet_cpu) / max(calls, 1)
+        start = time.monotonic_ns()
         agent.apply_change({**entries[0], "lifecycle": "draining"})
-        told["change_s"] = await self._all_listed(agent.generation, begun)
+        figures["change_s"] = await self._all_listed(agent.generation, start)
         agent.set_down(True)
         await asyncio.sleep(OUTAGE_S)
         agent.apply_change({**entries[1], "lifecycle": "draining"})
-        begun = time.monotonic_ns()
+        start = time.monotonic_ns()
         agent.set_down(False)
-        told["after_outage_s"] = await self._all_listed(agent.generation, begun)
-        told["after_outage"] = agent.since(begun / 1e9)
-        return told
+        figures["after_outage_s"] = await self._all_listed(agent.generation, start)
+        figures["after_outage"] = agent.since(start / 1e9)
+        return figures
 
     async def _kill(self, name: str) -> None:
         child = self._children[name]
-        child.wanted = False
-        child.spent += cpu_s(child.process.pid)
+        child.expected = False
+        child.earlier_cpu_s += cpu_s(child.process.pid)
         child.process.kill()
         await child.process.wait()
 
     async def _restart_voters(self, names: list[str]) -> int:
-        """Start these control machines again; returns when all are back and begin."""
+        """Restart these control machines; returns the time at which they are told to start."""
         for name in names:
             await self._spawn_hollow(name, [name], counted=True)
-        await self._until(lambda: self._ready >= set(names), "control machines")
-        begun = time.monotonic_ns()
+        await self._wait_until(lambda: self._ready >= set(names), "control machines")
+        start = time.monotonic_ns()
         for name in names:
             await self._children[name].order(Order("start"))
-        return begun
+        return start
 
     async def _voter(self) -> dict[str, Any]:
         victim, lease = self._plan.victim(), self._plan.lease_ms / 1000
         await self._kill(victim)
         await asyncio.sleep(2 * lease)
         holding = await self._holding()
-        begun = await self._restart_voters([victim])
-        last = await self._all_hold([victim], self._version, begun)
+        start = await self._restart_voters([victim])
+        last = await self._all_hold([victim], self._version, start)
         return {
             "victim": victim,
             "holding_without_it": len(holding),
-            "back_s": (last - begun) / 1e9,
+            "back_s": (last - start) / 1e9,
         }
 
     async def _cut_off(self, phase: str) -> dict[str, Any]:
@@ -533,15 +553,15 @@
         await asyncio.sleep(2 * plan.lease_ms / 1000)
         holding = await self._holding()
         relays.mend()
-        begun = time.monotonic_ns()
-        last = await self._all_hold(inside, self._version, begun)
+        start = time.monotonic_ns()
+        last = await self._all_hold(inside, self._version, start)
         return {
             "zones": zones,
             "inside": len(inside),
             "inside_holding": len(holding & set(inside)),
             "outside": len(outside),
             "outside_holding": len(holding & set(outside)),
-            "all_joined_s": (last - begun) / 1e9,
+            "all_joined_s": (last - start) / 1e9,
         }
 
     async def _cut(self) -> dict[str, Any]:
@@ -551,41 +571,41 @@
         return await self._cut_off("zone")
 
     async def _restart(self, names: list[str]) -> None:
-        wanted = set(names)
-        for number, own in enumerate(self._plan.spread()):
-            here = tuple(name for name in own if name in wanted)
-            if here:
-                await self._children[f"hollow{number}"].order(Order("restart", names=here))
+        selected = set(names)
+        for number, routers in enumerate(self._plan.routers_by_process()):
+            restarting = tuple(name for name in routers if name in selected)
+            if restarting:
+                await self._children[f"hollow{number}"].order(Order("restart", names=restarting))
 
     async def _some(self) -> dict[str, Any]:
-        names, begun = self._plan.restarted(), time.monotonic_ns()
+        names, start = self._plan.restarted(), time.monotonic_ns()
         await self._restart(names)
-        last = await self._all_hold(names, self._version, begun)
-        return {"restarted": len(names), "all_joined_s": (last - begun) / 1e9}
+        last = await self._all_hold(names, self._version, start)
+        return {"restarted": len(names), "all_joined_s": (last - start) / 1e9}
 
     async def _all(self) -> dict[str, Any]:
-        names, begun = self._plan.hollow_names(), time.monotonic_ns()
+        names, start = self._plan.hollow_names(), time.monotonic_ns()
         for name in self._plan.voter_names():
             await self._kill(name)
         await self._restart(names)
-        back = await self._restart_voters(self._plan.voter_names())
-        last = await self._all_hold(names, self._version, begun)
+        voters_restarted = await self._restart_voters(self._plan.voter_names())
+        last = await self._all_hold(names, self._version, start)
         return {
             "restarted": len(names),
-            "voters_back_s": (back - begun) / 1e9,
-            "after_voters_s": (last - back) / 1e9,
-            "all_joined_s": (last - begun) / 1e9,
+            "voters_back_s": (voters_restarted - start) / 1e9,
+            "after_voters_s": (last - voters_restarted) / 1e9,
+            "all_joined_s": (last - start) / 1e9,
         }
 
-    async def _end(self) -> None:
-        """Nothing is left behind, whatever came."""
+    async def _stop_all(self) -> None:
+        """Stop all processes and servers, also after a failure."""
         for child in self._children.values():
-            child.wanted = False
+            child.expected = False
             if child.process.stdin is not None:
                 child.process.stdin.close()
         waiting = [child.process.wait() for child in self._children.values()]
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(END_S):
+            async with asyncio.timeout(EXIT_TIMEOUT_S):
                 await asyncio.gather(*waiting)
         for child in self._children.values():
             if child.process.returncode is None:
@@ -597,30 +617,30 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         if self._relays is not None:
             self._relays.close()
-        for agent in (self._agent, self._lists):
+        for agent in (self._agent, self._listing_agent):
             if agent is not None:
                 agent.close()
 
 
-def most_descriptors() -> int:
-    """How many this process may open; its own limit goes up to what it may."""
+def raise_descriptor_limit() -> int:
+    """Raise this process's descriptor limit to the hard limit, and return it."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     return hard
 
 
-def play(plan: Plan, out: Path, say: Callable[[str], None]) -> dict[str, Any]:
-    """Play a run and write its figures; raises RunError, PlanError or KeyboardInterrupt."""
+def play(plan: Plan, out: Path, print_progress: Callable[[str], None]) -> dict[str, Any]:
+    """Play a run and write figures.json; raises RunError, PlanError or KeyboardInterrupt."""
     with tempfile.TemporaryDirectory(prefix="pebblepass-scale-") as folder:
         run: Run | None = None
 
-        async def whole() -> None:
+        async def play_run() -> None:
             nonlocal run
-            run = Run(plan, Path(folder), say)
+            run = Run(plan, Path(folder), print_progress)
             await run.play()
 
         try:
-            asyncio.run(whole())
+            asyncio.run(play_run())
         finally:
             if run is not None:
                 (out / "figures.json").write_bytes(msgspec.json.format(encode(run.figures)) + b"\n")
--- a/tests/scale/test_commands.py
+++ b/tests/scale/test_commands.py
@@ -53,8 +53,11 @@
     ("words", "message"),
     [
         (["run", "--routers", "0", "--out", "{}"], "--routers: expected 1 to 5000, got 0"),
-        (["run", "--routers", "9", "--out", "{}", "--phase", "x"], "--phase: no phase 'x'; there are "),
-        (["run", "--routers", "930", "--out", "{}", "--memory-mb", "64"], "memory: 930 routers need some "),
+        (
+            ["run", "--routers", "9", "--out", "{}", "--phase", "x"],
+            "--phase: unknown phase 'x'; expected one of ",
+        ),
+        (["run", "--routers", "930", "--out", "{}", "--memory-mb", "64"], "memory: 930 routers need about "),
         (["run", "--routers", "9", "--out", "/dev/null/x"], "/dev/null/x: Not a directory"),
         (["fit", "/nowhere"], "/nowhere: No such file or directory"),
         (["fit", "{}/other"], "{}/other: not the figures of a scale run: "),
