--- a/pebblepass/scale/__init__.py
+++ b/pebblepass/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Figures of a large fleet from small ones: hollow routers, slopes, and what they predict."""
+"""Estimates the costs of large fleets by running and fitting small fleets of hollow routers."""
--- a/pebblepass/scale/full.py
+++ b/pebblepass/scale/full.py
@@ -1,4 +1,6 @@
-"""The daemon as a run of hollow routers starts it: its own in all, but that it ends with its standard input.
+"""The daemon, unchanged except that it exits when its standard input ends.
+
+A scale run starts it as a full router, so that no process outlives a run that was killed.
 
 LB_CONFIG=FILE [PEBBLEPASS_OPERATOR=FILE] python -m pebblepass.scale.full
 """
@@ -12,12 +14,12 @@
 from pebblepass.daemon.__main__ import main
 
 
-def _end_with_input() -> None:
+def _exit_at_end_of_input() -> None:
     while os.read(0, 1 << 12):
         pass
     os._exit(0)
 
 
 if __name__ == "__main__":
-    threading.Thread(target=_end_with_input, daemon=True).start()
+    threading.Thread(target=_exit_at_end_of_input, daemon=True).start()
     sys.exit(main())
