--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -1,9 +1,9 @@
-"""How long a change of policy takes, from its proposal until it is in force at all; processes on loopback.
+"""Measures how long a policy change takes from its proposal until it is in force; processes on loopback.
 
     .venv/bin/python benchmarks/agreement.py [--routers 7] [--voters 7] [--changes 100] [--down 0]
 
-Side by side in the same run: what one sync of a small file takes on the same disk, of which a change needs
-three behind one another. With --down the last voters are killed before each ten changes and started again.
+The same run measures an fsync of a small file on the same disk; a change needs three of them in sequence.
+With --down, that many of the last voters are killed before every tenth change and restarted after it.
 """
 
 from __future__ import annotations
@@ -23,51 +23,53 @@
 
 
 def sync_ms(folder: Path, times: int) -> list[float]:
-    """Milliseconds of so many appends of 300 bytes, each with its sync."""
-    took = []
-    held = os.open(folder / "sync", os.O_CREAT | os.O_WRONLY | os.O_APPEND, 0o600)
+    """Milliseconds of each of several appends of 300 bytes with an fsync."""
+    durations = []
+    file = os.open(folder / "sync", os.O_CREAT | os.O_WRONLY | os.O_APPEND, 0o600)
     for _ in range(times):
-        begun = time.perf_counter()
-        os.write(held, b"x" * 300)
-        os.fsync(held)
-        took.append((time.perf_counter() - begun) * 1e3)
-    os.close(held)
-    return took
+        start = time.perf_counter()
+        os.write(file, b"x" * 300)
+        os.fsync(file)
+        durations.append((time.perf_counter() - start) * 1e3)
+    os.close(file)
+    return durations
 
 
-def told(name: str, values: list[float]) -> None:
-    """One row."""
+def print_row(name: str, values: list[float]) -> None:
+    """Print the median, the 99th percentile and the maximum of a row."""
     values = sorted(values)
     p50, p99 = statistics.median(values), values[min(len(values) * 99 // 100, len(values) - 1)]
     print(f"{name:>28} {p50:9.1f} {p99:9.1f} {values[-1]:9.1f}")
 
 
 def main() -> None:
-    """Play and print."""
+    """Measure, and print the rows."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--routers", type=int, default=7)
     parser.add_argument("--voters", type=int, default=7)
     parser.add_argument("--changes", type=int, default=100)
     parser.add_argument("--down", type=int, default=0)
-    chosen = parser.parse_args()
+    options = parser.parse_args()
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        site = Site(folder, chosen.routers, chosen.voters, "")
+        site = Site(folder, options.routers, options.voters, "")
         try:
             for router in site.names:
                 site.start(router)
             site.wait(1)
-            took: dict[str, list[float]] = {"in force at all heard": [], "first after a kill": []}
-            version, down = 1, site.voters[chosen.voters - chosen.down :]
-            for number in range(chosen.changes):
+            durations: dict[str, list[float]] = {"in force at all heard": [], "first after a kill": []}
+            version, down = 1, site.voters[options.voters - options.down :]
+            for number in range(options.changes):
                 killed = bool(down) and number % 10 == 0
                 for router in down if killed else ():
                     site.signal(router, signal.SIGKILL)
                 text = f"[store]\nrate_per_s = {300 + number % 2}\n"
-                begun = time.perf_counter()
-                verdict = site.propose(site.names[number % (chosen.voters - chosen.down)], f"c{number}", text)
+                start = time.perf_counter()
+                verdict = site.propose(
+                    site.names[number % (options.voters - options.down)], f"c{number}", text
+                )
                 row = "first after a kill" if killed else "in force at all heard"
-                took[row].append((time.perf_counter() - begun) * 1e3)
+                durations[row].append((time.perf_counter() - start) * 1e3)
                 assert verdict["state"] == "in force", verdict
                 version += 1
                 for router in down if killed else ():
@@ -77,12 +79,12 @@
             syncs = sync_ms(folder, 300)
         finally:
             site.close()
-    print(f"{chosen.routers} routers, {chosen.voters} voters, {chosen.changes} changes; milliseconds")
+    print(f"{options.routers} routers, {options.voters} voters, {options.changes} changes; milliseconds")
     print(f"{'':>28} {'p50':>9} {'p99':>9} {'most':>9}")
-    for row, values in took.items():
+    for row, values in durations.items():
         if values:
-            told(row, values)
-    told("one sync of the disk", syncs)
+            print_row(row, values)
+    print_row("one sync of the disk", syncs)
 
 
 if __name__ == "__main__":
--- a/benchmarks/cold_starts.py
+++ b/benchmarks/cold_starts.py
@@ -1,9 +1,9 @@
-"""What cold servers are sent by all routers together, against N + 2 x root of N + 2: many drawn starts.
+"""Simulates the load of cold servers from all routers, against the bound N + 2 x square root of N + 2.
 
     python benchmarks/cold_starts.py SITE.toml ... [--starts 10000] [--servers 120] [--cold 1] [--out FILE]
 
-`--cold 1`: one of the servers starts; 40: so many at once; as many as there are servers: all of them.
-docs/design/cold-servers.md says what is drawn, and what is taken from the module as it is.
+`--cold` is the number of servers that start at the same time, up to all of them. docs/design/cold-servers.md
+describes what is random, and which parts of the decision module are used unchanged.
 """
 
 from __future__ import annotations
@@ -31,51 +31,56 @@
 from tests.decisions.cold_start_bounds import ColdRules, WindowLoad, heaviest_window
 
 ROUTERS = (1, 4, 30, 200, 930)
-LOADS = (1.1,)  # of all servers' capacity, when warm
-UNEVEN = 5  # times the others' traffic, at one of the routers
-RESENT = 1 / 8  # of the requests come from a server that failed them
-APART_S = 1.0  # by how much routers' clocks may be off
-KEYS, SINGLE = 320_000_000, 3000  # keys in all; drawn one by one, the rest evenly over the slots
-BASES = 500  # starts beside the same warm servers
-HIGH = 2  # scores that are kept of a slot's ranking
+LOADS = (1.1,)  # as a fraction of the capacity of all servers when warm
+UNEVEN = 5  # one router's traffic, as a multiple of the others'
+RESENT = 1 / 8  # requests resent after another server failed them, as a fraction of the others
+CLOCK_ERROR_S = 1.0  # the largest error of a router's clock
+# All keys; the most popular ones are hashed one by one, and the others are spread evenly over the slots.
+KEYS, HASHED_KEYS = 320_000_000, 3000
+STARTS_PER_BASE = 500  # starts simulated with the same warm servers
+SCORES_PER_SLOT = 2  # highest scores kept per slot
 
 
 class Site(NamedTuple):
-    """What a site file says of its cache servers and its traffic, where there is a choice the harder end."""
+    """A site file's data; of ranges where it matters, the end that loads cold servers more."""
 
     name: str
     rules: ColdRules
     capacity: float
-    """Requests of mean work a second of a usual server."""
+    """Requests of mean work per second of a typical server."""
     speed_cv: float
     handshake: float
     """The work of a new connection, in requests of mean work."""
     popular: list[float]
-    """The share of the requests that each slot has."""
+    """Each slot's fraction of the requests."""
 
 
-def most(value: Any) -> float:
-    """The upper end of a range, or the one value."""
+def upper(value: Any) -> float:
+    """The upper end of a range, or the single value."""
     return max(value) if isinstance(value, list) else value
 
 
-def least(value: Any) -> float:
-    """The lower end of a range, or the one value."""
+def lower(value: Any) -> float:
+    """The lower end of a range, or the single value."""
     return min(value) if isinstance(value, list) else value
 
 
-def middle(value: Any) -> float:
-    """The middle of a range, or the one value."""
-    return (most(value) + least(value)) / 2
+def midpoint(value: Any) -> float:
+    """The middle of a range, or the single value."""
+    return (upper(value) + lower(value)) / 2
 
 
 def popularity(zipf: float, offset: float) -> list[float]:
-    """Each slot's share of the requests, keys hashed as the module hashes them."""
+    """Each slot's fraction of the requests, with keys hashed as in the decision module."""
     slots = [0.0] * SLOTS
-    for i in range(SINGLE):
+    for i in range(HASHED_KEYS):
         slots[crc32(b"key/%d" % i) % SLOTS] += (i + 1 + offset) ** -zipf
-    near, far = SINGLE + 0.5 + offset, KEYS + 0.5 + offset
-    rest = math.log(far / near) if zipf == 1.0 else (far ** (1 - zipf) - near ** (1 - zipf)) / (1 - zipf)
+    lower_rank, upper_rank = HASHED_KEYS + 0.5 + offset, KEYS + 0.5 + offset
+    rest = (
+        math.log(upper_rank / lower_rank)
+        if zipf == 1.0
+        else (upper_rank ** (1 - zipf) - lower_rank ** (1 - zipf)) / (1 - zipf)
+    )
     total = sum(slots) + rest
     return [(slot + rest / SLOTS) / total for slot in slots]
 
@@ -85,74 +90,82 @@
     facts = tomllib.loads(path.read_text())
     [tier], kinds = facts["tier"], facts["tier"][0]["kind"]
     classes = facts["class"]
-    shares = [middle(each["share"]) for each in classes]
-    work = sum(share * middle(each["work_ms"]) for share, each in zip(shares, classes, strict=True))
+    shares = [midpoint(cls["share"]) for cls in classes]
+    work = sum(share * midpoint(cls["work_ms"]) for share, cls in zip(shares, classes, strict=True))
     work /= sum(shares) * 1000
-    parts = [middle(kind["share"]) for kind in kinds]
-    speed = sum(p * k["cores"] * middle(k["speed"]) for p, k in zip(parts, kinds, strict=True)) / sum(parts)
+    kind_shares = [midpoint(kind["share"]) for kind in kinds]
+    speed = sum(p * k["cores"] * midpoint(k["speed"]) for p, k in zip(kind_shares, kinds, strict=True)) / sum(
+        kind_shares
+    )
     rules = ColdRules(
         facts["rules"]["fall_multiple"],
         facts["rules"]["fall_ms"] / 1000,
-        min(least(kind["cold_from"]) for kind in kinds),
-        max(most(kind["cold_s"]) for kind in kinds),
+        min(lower(kind["cold_from"]) for kind in kinds),
+        max(upper(kind["cold_s"]) for kind in kinds),
     )
     return Site(
         facts["name"],
         rules,
         speed / work,
-        max(most(kind["speed_cv"]) for kind in kinds),
-        most(tier["conn"]["handshake_us"]) / 1e6 / work,
-        popularity(most(facts["fam"]["zipf"]), least(facts["fam"]["offset"])),
+        max(upper(kind["speed_cv"]) for kind in kinds),
+        upper(tier["conn"]["handshake_us"]) / 1e6 / work,
+        popularity(upper(facts["fam"]["zipf"]), lower(facts["fam"]["offset"])),
     )
 
 
-class Held(NamedTuple):
-    """A slot that a cold server may hold: its own score, the warm ones' and the other cold ones'."""
+class OwnedSlot(NamedTuple):
+    """A slot that a cold server may own: its score, and those of warm and other cold servers."""
 
     slot: int
     score: float
     warm: list[float]
     cold: list[float]
 
-    def asked_first(self, warmth: float) -> bool:
-        """Whether the server is the slot's best at this warmth, as `SlotTable.rank` has it."""
-        beaten = not self.warm or self.score * warmth > self.warm[0]
+    def ranks_first(self, warm_up: float) -> bool:
+        """Whether the server ranks first for the slot at this warm-up fraction, as in `SlotTable.rank`."""
+        beaten = not self.warm or self.score * warm_up > self.warm[0]
         return beaten and (not self.cold or self.score > self.cold[0])
 
-    def chance(self, warmth: float, owners: int) -> float:
-        """The best one's chance to be asked as one of several owners: by warmth, as if the others were warm.
+    def chance(self, warm_up: float, owners: int) -> float:
+        """The probability that the first of several owners is selected, by warm-up if the others are warm.
 
-        `ServerSelection._expected_wait` gives it less: nothing under a warmth of 0.6 while one of the others
-        is idle and warm.
+        This is an upper estimate: `ServerSelection._expected_wait` never selects it below a warm-up fraction
+        of 0.6 while one of the other owners is idle and warm.
         """
-        return warmth / (warmth + owners - 1) if self.warm else 1 / owners
+        return warm_up / (warm_up + owners - 1) if self.warm else 1 / owners
 
 
-def placements(settings: Settings, servers: int, cold: int, starts: int) -> Iterator[list[Held]]:
-    """For each start the slots that its server may hold, by the real table's scores."""
-    table, drawn = SlotTable(settings), 0
-    while drawn < starts:
-        base = [Node(Server(f"warm{drawn}/{i}"), weighted=False) for i in range(servers - cold)]
+def placements(settings: Settings, servers: int, cold: int, starts: int) -> Iterator[list[OwnedSlot]]:
+    """Yield the slots that the cold server of each start may own, by scores of the real slot table."""
+    table, started = SlotTable(settings), 0
+    while started < starts:
+        base = [Node(Server(f"warm{started}/{i}"), weighted=False) for i in range(servers - cold)]
         warm = [
-            sorted((table._score(slot, node) for node in base), reverse=True)[:HIGH] for slot in range(SLOTS)
+            sorted((table._score(slot, node) for node in base), reverse=True)[:SCORES_PER_SLOT]
+            for slot in range(SLOTS)
         ]
-        until = min(drawn + max(BASES, cold), starts)
-        while drawn < until:
-            new = [Node(Server(f"new{drawn + i}", started=1), weighted=False) for i in range(cold)]
+        until = min(started + max(STARTS_PER_BASE, cold), starts)
+        while started < until:
+            new = [Node(Server(f"new{started + i}", started=1), weighted=False) for i in range(cold)]
             scores = [[table._score(slot, node) for slot in range(SLOTS)] for node in new]
-            rivals = [sorted(each, reverse=True)[:HIGH] for each in zip(*scores, strict=True)]
-            if drawn == 0:
-                _check(settings, base, new, warm, scores, rivals)
-            for mine in scores[: until - drawn]:
-                yield list(_held(mine, warm, rivals))
-            drawn += cold
-
-
-def _held(mine: list[float], warm: list[list[float]], rivals: list[list[float]]) -> Iterator[Held]:
-    """The slots that one cold server comes to be the best of."""
-    for slot, score in enumerate(mine):
-        if score >= rivals[slot][0] and (not warm[slot] or score > warm[slot][0]):
-            yield Held(slot, score, warm[slot], rivals[slot][1:])
+            cold_scores = [
+                sorted(slot_scores, reverse=True)[:SCORES_PER_SLOT]
+                for slot_scores in zip(*scores, strict=True)
+            ]
+            if started == 0:
+                _check(settings, base, new, warm, scores, cold_scores)
+            for own_scores in scores[: until - started]:
+                yield list(_owned_slots(own_scores, warm, cold_scores))
+            started += cold
+
+
+def _owned_slots(
+    own_scores: list[float], warm: list[list[float]], cold_scores: list[list[float]]
+) -> Iterator[OwnedSlot]:
+    """The slots for which one cold server ranks first once it is warm."""
+    for slot, score in enumerate(own_scores):
+        if score >= cold_scores[slot][0] and (not warm[slot] or score > warm[slot][0]):
+            yield OwnedSlot(slot, score, warm[slot], cold_scores[slot][1:])
 
 
 def _check(
@@ -161,9 +174,9 @@
     new: list[Node],
     warm: list[list[float]],
     scores: list[list[float]],
-    rivals: list[list[float]],
+    cold_scores: list[list[float]],
 ) -> None:
-    """Hold the scores against `SlotTable.rank` itself, at three ages, for every slot."""
+    """Check the scores against `SlotTable.rank`, at three ages, for every slot."""
     table = SlotTable(settings)
     table.update([node.entry for node in (*base, *new)], [])
     names = {node.entry.id: i for i, node in enumerate(new)}
@@ -171,22 +184,22 @@
         for slot in range(SLOTS):
             first = table.rank(slot, now)[0]
             holder = names.get(first.entry.id)
-            for i, mine in enumerate(scores):
-                without = [other for other in rivals[slot] if other != mine[slot]]
-                each = Held(slot, mine[slot], warm[slot], without)
-                assert each.asked_first(table.warm_up_fraction(new[i], now)) == (holder == i), (slot, now, i)
+            for i, own_scores in enumerate(scores):
+                without = [other for other in cold_scores[slot] if other != own_scores[slot]]
+                owned = OwnedSlot(slot, own_scores[slot], warm[slot], without)
+                assert owned.ranks_first(table.warm_up_fraction(new[i], now)) == (holder == i), (slot, now, i)
 
 
 def estimates(popular: list[float], hot: set[int]) -> dict[int, list[float]]:
-    """What a settled router takes a hot slot's share to be: the real counts, over many requests."""
-    heat, rng, told = Popularity(), random.Random(3), dict[int, list[float]]()
+    """The shares that a long-running router estimates for hot slots, sampled over many requests."""
+    heat, rng, samples = Popularity(), random.Random(3), dict[int, list[float]]()
     cumulated = list(accumulate(popular))
     for i in range(60 * COUNT_LIMIT):
         slot = min(bisect(cumulated, rng.random() * cumulated[-1]), SLOTS - 1)
         share = heat.add(slot)
         if slot in hot and i > 2 * COUNT_LIMIT:
-            told.setdefault(slot, []).append(share)
-    return told
+            samples.setdefault(slot, []).append(share)
+    return samples
 
 
 class Cell(NamedTuple):
@@ -197,20 +210,21 @@
     routers: int
     uneven: bool
     know: str
-    """What routers know: `settled`: what is hot; `apart`: so, with clocks that differ; `fresh`: nothing,
-    they start when the server does; `careful`: the same, and they pass cold servers over as the module does.
+    """The state of the routers. `settled`: they know the hot slots. `apart`: also, but their clocks differ.
+    `fresh`: they start together with the server and know nothing. `careful`: also, but they skip cold servers
+    as the module does.
     """
 
 
 class Sums:
-    """What the starts of one cell came to: by the capacity at a window's end, and at its beginning."""
+    """Totals of the starts of one cell; the strictest use the capacity at the beginning of a window."""
 
     def __init__(self) -> None:
         self.starts = self.over = self.over_strictest = 0
         self.part, self.excess, self.excess_strictest = 0.0, -math.inf, -math.inf
 
     def add(self, start: WindowLoad) -> None:
-        """Count one start."""
+        """Add one start."""
         self.starts += 1
         self.over += start.excess > 0
         self.over_strictest += start.strict_excess > 0
@@ -218,109 +232,115 @@
         self.excess_strictest = max(self.excess_strictest, start.strict_excess)
 
 
-class Came(NamedTuple):
-    """A request that may come to the cold server; the last three are draws from 0 to 1."""
+class Arrival(NamedTuple):
+    """A request that may reach the cold server; the last three are random numbers from 0 to 1."""
 
     age: float
-    held: Held
+    owned: OwnedSlot
     work: float
     who: float
     which: float
     chance: float
 
 
-class Draws:
-    """The requests of one site that may come to a cold server."""
+class StartSimulation:
+    """Simulates the requests of one site that may reach a cold server."""
 
     def __init__(self, site: Site, servers: int, seed: int) -> None:
         self.site, self.servers, self._rng = site, servers, random.Random(seed)
         self.hot = {
             slot for slot, share in enumerate(site.popular) if share > HOT_LOAD_FRACTION / servers / 2
         }
-        self.told = estimates(site.popular, self.hot)
+        self.share_samples = estimates(site.popular, self.hot)
 
-    def start(self, held: list[Held], load: float, cells: list[Cell], sums: dict[Cell, Sums]) -> None:
-        """Draw one start, for all cells with the same requests."""
+    def start(self, owned: list[OwnedSlot], load: float, cells: list[Cell], totals: dict[Cell, Sums]) -> None:
+        """Simulate one start, with the same requests for all cells."""
         rng, site = self._rng, self.site
         rate = load * self.servers * site.capacity * (1 + RESENT)
-        cumulated = list(accumulate(site.popular[each.slot] for each in held))
-        # A speed of its own; N goes with it, what it is sent does not.
+        cumulated = list(accumulate(site.popular[owned_slot.slot] for owned_slot in owned))
+        # Random speed of the server: N depends on it, the requests sent to it do not.
         spread = math.sqrt(math.log(1 + site.speed_cv**2))
         capacity = site.capacity * math.exp(rng.gauss(-(spread**2) / 2, spread))
-        plain, hot = list[Came](), list[Came]()
-        age = rng.expovariate(rate * cumulated[-1]) if held else math.inf
+        plain, hot = list[Arrival](), list[Arrival]()
+        age = rng.expovariate(rate * cumulated[-1]) if owned else math.inf
         while age < site.rules.time:
-            each = held[min(bisect(cumulated, rng.random() * cumulated[-1]), len(held) - 1)]
-            came = Came(age, each, rng.expovariate(1.0), rng.random(), rng.random(), rng.random())
-            if each.slot in self.hot:
-                hot.append(came)
-            elif each.asked_first(site.rules.capacity_fraction(age + APART_S)):
-                plain.append(came)
+            owned_slot = owned[min(bisect(cumulated, rng.random() * cumulated[-1]), len(owned) - 1)]
+            arrival = Arrival(age, owned_slot, rng.expovariate(1.0), rng.random(), rng.random(), rng.random())
+            if owned_slot.slot in self.hot:
+                hot.append(arrival)
+            elif owned_slot.ranks_first(site.rules.capacity_fraction(age + CLOCK_ERROR_S)):
+                plain.append(arrival)
             age += rng.expovariate(rate * cumulated[-1])
-        usual = [came for came in plain if came.held.asked_first(site.rules.capacity_fraction(came.age))]
+        usual = [
+            arrival
+            for arrival in plain
+            if arrival.owned.ranks_first(site.rules.capacity_fraction(arrival.age))
+        ]
         for cell in cells:
-            asked = self._asked(cell, rate, plain if cell.know == "apart" else usual, hot)
-            sums[cell].add(heaviest_window(site.rules, capacity, self._works(cell, asked)))
+            sent = self._sent_requests(cell, rate, plain if cell.know == "apart" else usual, hot)
+            totals[cell].add(heaviest_window(site.rules, capacity, self._works(cell, sent)))
 
-    def _works(self, cell: Cell, asked: list[Came]) -> Iterator[tuple[float, float]]:
-        """Ages and works, with a new connection's at each router's first."""
+    def _works(self, cell: Cell, sent: list[Arrival]) -> Iterator[tuple[float, float]]:
+        """Age and work of the requests; each router's first includes the work of a new connection."""
         connected = set[int]()
-        for came in asked:
-            router = self._router(cell, came)
-            yield came.age, came.work + (0.0 if router in connected else self.site.handshake)
+        for arrival in sent:
+            router = self._router(cell, arrival)
+            yield arrival.age, arrival.work + (0.0 if router in connected else self.site.handshake)
             connected.add(router)
 
-    def _router(self, cell: Cell, came: Came) -> int:
+    def _router(self, cell: Cell, arrival: Arrival) -> int:
         more = UNEVEN - 1 if cell.uneven else 0
-        return max(int(came.who * (cell.routers + more)) - more, 0)
+        return max(int(arrival.who * (cell.routers + more)) - more, 0)
 
-    def _seen(self, cell: Cell, rate: float, came: Came) -> float:
-        """How many requests a fresh router has seen so far."""
+    def _seen(self, cell: Cell, rate: float, arrival: Arrival) -> float:
+        """How many requests a router has seen since it started."""
         more = UNEVEN - 1 if cell.uneven else 0
-        mine = 1 + more if self._router(cell, came) == 0 else 1
-        return rate / (1 + RESENT) * mine / (cell.routers + more) * came.age
-
-    def _asked(self, cell: Cell, rate: float, plain: list[Came], hot: list[Came]) -> list[Came]:
-        """The requests for which this server is asked."""
-        asked = list[Came]()
+        own_scores = 1 + more if self._router(cell, arrival) == 0 else 1
+        return rate / (1 + RESENT) * own_scores / (cell.routers + more) * arrival.age
+
+    def _sent_requests(
+        self, cell: Cell, rate: float, plain: list[Arrival], hot: list[Arrival]
+    ) -> list[Arrival]:
+        """The requests that are sent to the cold server."""
+        sent = list[Arrival]()
         if cell.know == "apart":
-            asked += [came for came in plain if came.held.asked_first(self._warmth(cell, came))]
+            sent += [arrival for arrival in plain if arrival.owned.ranks_first(self._warm_up(cell, arrival))]
         elif cell.know == "careful":
-            asked += [came for came in plain if self._known(cell, rate, came)]
+            sent += [arrival for arrival in plain if self._may_use_cold(cell, rate, arrival)]
         else:
-            asked += plain
-        for came in hot:
-            share = self._share(cell, rate, came)
+            sent += plain
+        for arrival in hot:
+            share = self._share(cell, rate, arrival)
             owners = min(math.ceil(share * self.servers / HOT_LOAD_FRACTION), self.servers)
-            warmth = self._warmth(cell, came)
-            if not came.held.asked_first(warmth):
+            warm_up = self._warm_up(cell, arrival)
+            if not arrival.owned.ranks_first(warm_up):
                 continue
             if owners > 1:
-                if came.chance < came.held.chance(warmth, owners):
-                    asked.append(came)
-            elif cell.know != "careful" or self._known(cell, rate, came):
-                asked.append(came)
+                if arrival.chance < arrival.owned.chance(warm_up, owners):
+                    sent.append(arrival)
+            elif cell.know != "careful" or self._may_use_cold(cell, rate, arrival):
+                sent.append(arrival)
         if hot:
-            asked.sort(key=lambda came: came.age)
-        return asked
+            sent.sort(key=lambda arrival: arrival.age)
+        return sent
 
-    def _warmth(self, cell: Cell, came: Came) -> float:
-        off = (2 * came.which - 1) * APART_S if cell.know == "apart" else 0.0
-        return self.site.rules.capacity_fraction(came.age + off)
+    def _warm_up(self, cell: Cell, arrival: Arrival) -> float:
+        off = (2 * arrival.which - 1) * CLOCK_ERROR_S if cell.know == "apart" else 0.0
+        return self.site.rules.capacity_fraction(arrival.age + off)
 
-    def _known(self, cell: Cell, rate: float, came: Came) -> bool:
-        """Whether a router asks a cold server, by the requests it has seen (`ServerSelection.candidates`)."""
-        if not came.held.warm:
+    def _may_use_cold(self, cell: Cell, rate: float, arrival: Arrival) -> bool:
+        """Whether a router uses a cold server, by the requests it has seen (`ServerSelection.candidates`)."""
+        if not arrival.owned.warm:
             return True
-        spare = (self.site.rules.multiple - 1) * self.site.rules.capacity_fraction(came.age)
-        return came.chance * self.servers < self._seen(cell, rate, came) * spare
+        spare = (self.site.rules.multiple - 1) * self.site.rules.capacity_fraction(arrival.age)
+        return arrival.chance * self.servers < self._seen(cell, rate, arrival) * spare
 
-    def _share(self, cell: Cell, rate: float, came: Came) -> float:
-        """The share that the router takes the slot to have."""
-        told, before = self.told.get(came.held.slot), self._seen(cell, rate, came)
+    def _share(self, cell: Cell, rate: float, arrival: Arrival) -> float:
+        """The router's estimate of the slot's share."""
+        samples, before = self.share_samples.get(arrival.owned.slot), self._seen(cell, rate, arrival)
         if cell.know in ("settled", "apart") or before >= COUNT_LIMIT:
-            return told[int(came.which * len(told))] if told else 0.0
-        seen = self._poisson(before * self.site.popular[came.held.slot])
+            return samples[int(arrival.which * len(samples))] if samples else 0.0
+        seen = self._poisson(before * self.site.popular[arrival.owned.slot])
         return seen / before if before > 1.0 else float(seen)
 
     def _poisson(self, mean: float) -> int:
@@ -335,64 +355,64 @@
 
 
 def main() -> None:
-    """Draw and tell."""
-    options = argparse.ArgumentParser(description=__doc__)
-    options.add_argument("sites", nargs="+", type=Path)
-    options.add_argument("--starts", type=int, default=10_000)
-    options.add_argument("--servers", type=int, default=120)
-    options.add_argument("--cold", type=int, default=1)
-    options.add_argument(
-        "--minutes", type=float, default=math.inf, help="end after so long, with fewer starts"
+    """Simulate all starts, and print the totals."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("sites", nargs="+", type=Path)
+    parser.add_argument("--starts", type=int, default=10_000)
+    parser.add_argument("--servers", type=int, default=120)
+    parser.add_argument("--cold", type=int, default=1)
+    parser.add_argument(
+        "--minutes", type=float, default=math.inf, help="stop after this time, with fewer starts"
     )
-    options.add_argument("--out", type=Path)
-    chosen = options.parse_args()
-    begun = time.perf_counter()
-    draws = [Draws(read_site(path), chosen.servers, seed) for seed, path in enumerate(chosen.sites)]
+    parser.add_argument("--out", type=Path)
+    options = parser.parse_args()
+    start_time = time.perf_counter()
+    simulations = [
+        StartSimulation(read_site(path), options.servers, seed) for seed, path in enumerate(options.sites)
+    ]
     cells: dict[tuple[str, float], list[Cell]] = {
-        (each.site.name, load): [
-            Cell(each.site.name, load, routers, uneven, know)
+        (run.site.name, load): [
+            Cell(run.site.name, load, routers, uneven, know)
             for routers in ROUTERS
             for uneven in (False, True)
             for know in ("settled", "apart", "fresh", "careful")
             if not (uneven and routers == 1) and (know != "apart" or (routers == ROUTERS[-1] and not uneven))
         ]
-        for each in draws
+        for run in simulations
         for load in LOADS
     }
-    sums = {cell: Sums() for some in cells.values() for cell in some}
-    for each in draws:
-        rules = each.site.rules
-        n = rules.allowed_requests(0.0, each.site.capacity)
-        print(
-            f"{each.site.name}: {each.site.capacity:.1f} a second when warm, N at the start {n:.0f}; {rules}"
-        )
-        print(f"  a hot slot has {max(each.site.popular):.4f} of the requests; {len(each.hot)} may be spread")
-    shared: dict[tuple[float, float], list[Draws]] = {}
-    for each in draws:
-        shared.setdefault((each.site.rules.share, each.site.rules.time), []).append(each)
+    totals = {cell: Sums() for some in cells.values() for cell in some}
+    for run in simulations:
+        rules = run.site.rules
+        n = rules.allowed_requests(0.0, run.site.capacity)
+        print(f"{run.site.name}: {run.site.capacity:.1f} a second when warm, N at the start {n:.0f}; {rules}")
+        print(f"  a hot slot has {max(run.site.popular):.4f} of the requests; {len(run.hot)} may be spread")
+    shared: dict[tuple[float, float], list[StartSimulation]] = {}
+    for run in simulations:
+        shared.setdefault((run.site.rules.share, run.site.rules.time), []).append(run)
     for (share, cold_time), group in shared.items():
         cls = RequestClass("read", latency_target=1, deadline=1)
         settings = Settings((cls,), cold_capacity=share, warm_up_time=int(cold_time * 1e9))
-        for held in placements(settings, chosen.servers, chosen.cold, chosen.starts):
-            if time.perf_counter() - begun > chosen.minutes * 60:
+        for owned in placements(settings, options.servers, options.cold, options.starts):
+            if time.perf_counter() - start_time > options.minutes * 60:
                 break
-            for each in group:
+            for run in group:
                 for load in LOADS:
-                    each.start(held, load, cells[each.site.name, load], sums)
-    print(f"{chosen.servers} servers, {chosen.cold} cold at once; {time.perf_counter() - begun:.0f} s")
-    for cell, sum_ in sums.items():
+                    run.start(owned, load, cells[run.site.name, load], totals)
+    print(f"{options.servers} servers, {options.cold} cold at once; {time.perf_counter() - start_time:.0f} s")
+    for cell, total in totals.items():
         traffic = "one x5" if cell.uneven else "even"
         where = f"{cell.site:18} {cell.load:4} R={cell.routers:<4}{traffic:7}{cell.know:8}"
-        over, strictest = sum_.over / sum_.starts, sum_.over_strictest / sum_.starts
+        over, strictest = total.over / total.starts, total.over_strictest / total.starts
         print(
-            f"{where} {sum_.starts} over {over:.4f} ({sum_.excess:+.0f}, {sum_.part:.2f} of the bound),",
+            f"{where} {total.starts} over {over:.4f} ({total.excess:+.0f}, {total.part:.2f} of the bound),",
             end="",
         )
-        print(f" strictest {strictest:.4f} ({sum_.excess_strictest:+.0f})")
-    if chosen.out:
-        rows = [{**cell._asdict(), **vars(sum_)} for cell, sum_ in sums.items()]
-        told = {"servers": chosen.servers, "cold": chosen.cold, "rows": rows}
-        chosen.out.write_text(json.dumps(told, indent=1) + "\n")
+        print(f" strictest {strictest:.4f} ({total.excess_strictest:+.0f})")
+    if options.out:
+        rows = [{**cell._asdict(), **vars(total)} for cell, total in totals.items()]
+        content = {"servers": options.servers, "cold": options.cold, "rows": rows}
+        options.out.write_text(json.dumps(content, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/request_path.py
+++ b/benchmarks/request_path.py
@@ -1,15 +1,16 @@
-"""What a request costs the router, beside a bare relay in the same run.
+"""Measures the router's CPU per request, compared with a bare relay in the same run.
 
     .venv/bin/python benchmarks/request_path.py [--requests 4000] [--json FILE] [--only WORDS]
     .venv/bin/python benchmarks/request_path.py --soak 200000
     .venv/bin/python benchmarks/request_path.py --sizes [--rounds 7] [--requests 2000]
 
-The daemon as deployed, pinned to one core; nodes and store that answer at once, in another process; clients
-in this one. The relay (uvloop, hiredis, a hash of the key, one connection a node, no decisions) is pinned to
-the same core and asked in turn with the router. CPU is the process's own, read from the scheduler.
+The daemon runs as deployed, pinned to one core. Nodes and store answer at once in another process; the
+clients run in this one. The relay (uvloop, hiredis, a hash of the key, one connection per node, no decisions)
+is pinned to the same core and takes turns with the router. CPU is that of the process, read from the
+scheduler.
 
-`--sizes`: instead of the usual cases, by the answer's size, by servers, by clients' connections and with keys
-that are ever new; all routers side by side, asked in turn, round by round: medians and their spread.
+`--sizes` measures other cases: by size of the answer, number of servers, number of client connections, and
+with keys that are read once. All routers run at the same time and take turns; it prints medians and ranges.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
 from pebblepass.emulators.ports import take_port
 from pebblepass.wire.resp import command
 
-WARM = 1500
+WARM_UP_REQUESTS = 1500
 
 CASES = (
     Case("hits"),
@@ -51,7 +52,7 @@
     Case("writes", kind="write", weight=0.5),
 )
 
-# 4.9 Tbit/s over 850,000 requests a second are 720 KB an answer.
+# 4.9 Tbit/s at 850,000 requests per second is 720 KB per answer.
 SIZED = (
     Case("hits of 1 KB"),
     Case("hits of 16 KB", value=16_000, weight=0.5),
@@ -73,13 +74,13 @@
 
 
 def relay(listen: int, ports: list[int]) -> None:
-    """Pass commands on by their key's hash, and answers back in order, with no decision and no timer."""
+    """Forward commands by hash of the key, and answers in order, without decisions or timers."""
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        ups: list[Up] = []
+        node_connections: list[NodeConnection] = []
 
-        class Up(asyncio.Protocol):
+        class NodeConnection(asyncio.Protocol):
             def connection_made(self, transport: asyncio.BaseTransport) -> None:
                 self.transport = cast(asyncio.Transport, transport)
                 self.reader = hiredis.Reader()
@@ -91,7 +92,7 @@
                     value = answer[0]
                     self.waiting.popleft().write(b"$%d\r\n%b\r\n" % (len(value), value))
 
-        class Down(asyncio.Protocol):
+        class ClientConnection(asyncio.Protocol):
             def connection_made(self, transport: asyncio.BaseTransport) -> None:
                 self.transport = cast(asyncio.Transport, transport)
                 self.reader = hiredis.Reader()
@@ -102,14 +103,14 @@
                     if len(words) == 1:
                         self.transport.write(b"+PONG\r\n")
                         continue
-                    up = ups[crc32(words[1]) % len(ups)]
-                    up.waiting.append(self.transport)
-                    up.transport.write(command(*words))
+                    node_connection = node_connections[crc32(words[1]) % len(node_connections)]
+                    node_connection.waiting.append(self.transport)
+                    node_connection.transport.write(command(*words))
 
         for port in ports:
-            _, up = await loop.create_connection(Up, "127.0.0.1", port)
-            ups.append(up)
-        await loop.create_server(Down, "127.0.0.1", listen, backlog=1024)
+            _, node_connection = await loop.create_connection(NodeConnection, "127.0.0.1", port)
+            node_connections.append(node_connection)
+        await loop.create_server(ClientConnection, "127.0.0.1", listen, backlog=1024)
         await loop.create_future()
 
     uvloop.run(main())
@@ -122,46 +123,46 @@
     return await site.pinned(subprocess.Popen(words, cwd=ROOT), port)
 
 
-async def ask(site: Site, process: Process, case: Case, requests: int) -> dict[str, float]:
-    """Ask one process; returns its figures: microseconds of CPU a request, times in milliseconds."""
-    load, nodes, cpu, begun = Load(case, requests), site.asked(), process.cpu(), time.perf_counter()
+async def measure_process(site: Site, process: Process, case: Case, requests: int) -> dict[str, float]:
+    """Send requests to one process; returns CPU microseconds per request, times in ms, and counts."""
+    load, nodes, cpu, start = Load(case, requests), site.node_requests(), process.cpu(), time.perf_counter()
     await load.run(process.port)
-    took, cpu = time.perf_counter() - begun, process.cpu() - cpu
+    duration, cpu = time.perf_counter() - start, process.cpu() - cpu
     times = sorted(load.times) or [0.0]
     return {
         "cpu_us": cpu / requests * 1e6,
-        "a_second": requests / took,
+        "a_second": requests / duration,
         **{
             f"p{share:g}_ms": times[min(int(len(times) * share / 100), len(times) - 1)] * 1e3
             for share in (50, 99, 99.9)
         },
         "refused": load.refused,
         "failed": load.failed,
-        "node_attempts": (site.asked() - nodes) / requests,
+        "node_attempts": (site.node_requests() - nodes) / requests,
         "peak_mb": process.memory_mb("VmHWM"),
     }
 
 
 async def play(site: Site, case: Case, requests: int) -> dict[str, Any]:
-    """Play one case: router and relay in turn, twice each; the cheaper time of each counts."""
+    """Play one case: router and relay in turn, twice each; the run with the lower CPU counts."""
     router = await site.router(case)
     relay = await start_relay(site, case.nodes) if case.kind == "hit" else None
     count = max(int(requests * case.weight), case.connections * case.depth)
-    both = [router] if relay is None else [router, relay]
-    found: dict[Process, list[dict[str, float]]] = {process: [] for process in both}
+    processes = [router] if relay is None else [router, relay]
+    results: dict[Process, list[dict[str, float]]] = {process: [] for process in processes}
     try:
-        for process in both:
-            await ask(site, process, case, min(WARM, count))
+        for process in processes:
+            await measure_process(site, process, case, min(WARM_UP_REQUESTS, count))
         for _ in range(2):
-            for process in both:
-                found[process].append(await ask(site, process, case, count))
+            for process in processes:
+                results[process].append(await measure_process(site, process, case, count))
     finally:
-        for process in both:
+        for process in processes:
             process.end()
-    best = {process: min(rows, key=lambda row: row["cpu_us"]) for process, rows in found.items()}
+    best = {process: min(rows, key=lambda row: row["cpu_us"]) for process, rows in results.items()}
     row: dict[str, Any] = {"case": case.name, **best[router]}
     for key in ("refused", "failed"):
-        row[key] = sum(part[key] for part in found[router])
+        row[key] = sum(part[key] for part in results[router])
     if relay is not None:
         row["relay_cpu_us"] = best[relay]["cpu_us"]
         row["ratio"] = row["cpu_us"] / row["relay_cpu_us"]
@@ -169,35 +170,35 @@
 
 
 async def sizes(site: Site, requests: int, rounds: int, only: str) -> list[dict[str, Any]]:
-    """Ask one router for each sized case in turn, round by round."""
+    """Start one router per sized case, and measure them in turn, round by round."""
     cases = [case for case in SIZED if only in case.name]
     routers = [await site.router(case) for case in cases]
     counts = [max(int(requests * case.weight), case.connections * case.depth) for case in cases]
-    found: list[list[dict[str, float]]] = [[] for _ in cases]
+    results: list[list[dict[str, float]]] = [[] for _ in cases]
     try:
         for case, router, count in zip(cases, routers, counts, strict=True):
-            await ask(site, router, case, count)
+            await measure_process(site, router, case, count)
         for _ in range(rounds):
-            for case, router, count, rows in zip(cases, routers, counts, found, strict=True):
-                rows.append(await ask(site, router, case, count))
+            for case, router, count, rows in zip(cases, routers, counts, results, strict=True):
+                rows.append(await measure_process(site, router, case, count))
     finally:
         for router in routers:
             router.end()
-    return [sized(case, rows) for case, rows in zip(cases, found, strict=True)]
+    return [sized(case, rows) for case, rows in zip(cases, results, strict=True)]
 
 
 def sized(case: Case, rows: list[dict[str, float]]) -> dict[str, Any]:
-    """One case's medians, with the lowest and the highest round."""
+    """The median of one case, with its lowest and highest round."""
     cpu = sorted(row["cpu_us"] for row in rows)
-    middle = statistics.median(cpu)
+    median = statistics.median(cpu)
     return {
         "case": case.name,
         "value": case.value,
-        "cpu_us": middle,
+        "cpu_us": median,
         "cpu_us_least": cpu[0],
         "cpu_us_most": cpu[-1],
-        "a_second_of_a_core": 1e6 / middle,
-        "mb_a_second_of_a_core": case.value / middle,
+        "a_second_of_a_core": 1e6 / median,
+        "mb_a_second_of_a_core": case.value / median,
         "refused": sum(row["refused"] for row in rows),
         "failed": sum(row["failed"] for row in rows),
         "peak_mb": max(row["peak_mb"] for row in rows),
@@ -206,7 +207,7 @@
 
 
 def sized_table(rows: list[dict[str, Any]]) -> str:
-    """The rows of the sized cases as text."""
+    """Format the rows of the sized cases as text."""
     lines = []
     for row in rows:
         spread = f"{row['cpu_us_least']:.1f} to {row['cpu_us_most']:.1f}"
@@ -219,13 +220,13 @@
 
 
 def decide(nodes: int, requests: int = 20_000) -> float:
-    """Microseconds that the decision module takes for one read that hits, by itself."""
+    """Microseconds that the decision module alone takes for one read that hits."""
     router = Router(read_settings(settings(("public",))), 7)
     servers = [Server(f"s{number}", kind="std") for number in range(nodes)]
     router.handle(ServersChanged(ListKind.FULL, (*servers, Server("store", kind="origin"))), 0)
     best = float("inf")
     for repeat in range(3):
-        begun = time.perf_counter()
+        start = time.perf_counter()
         for number in range(requests):
             now = (repeat * requests + number) * 100_000
             name = f"{number:016x}"
@@ -233,13 +234,13 @@
             send = router.handle(arrived, now)[0]
             assert isinstance(send, Send)
             router.handle(AttemptEnded(name, 0, send.server, Outcome.OK, True, 1_500_000), now + 1_500_000)
-        best = min(best, (time.perf_counter() - begun) / requests)
+        best = min(best, (time.perf_counter() - start) / requests)
     return best * 1e6
 
 
 def table(rows: list[dict[str, Any]]) -> str:
-    """The rows as text."""
-    heads = (
+    """Format the rows as text."""
+    headers = (
         "case",
         "cpu_us",
         "ratio",
@@ -252,16 +253,16 @@
         "node_attempts",
         "peak_mb",
     )
-    lines = ["  ".join(f"{head:>24}" if head == "case" else f"{head:>9}" for head in heads)]
+    lines = ["  ".join(f"{header:>24}" if header == "case" else f"{header:>9}" for header in headers)]
     for row in rows:
         cells = [f"{row['case']:>24}"]
-        cells += [f"{row[head]:9.4g}" if head in row else " " * 9 for head in heads[1:]]
+        cells += [f"{row[header]:9.4g}" if header in row else " " * 9 for header in headers[1:]]
         lines.append("  ".join(cells))
     return "\n".join(lines)
 
 
 async def measure(site: Site, requests: int, only: str, soak: int) -> dict[str, Any]:
-    """Run everything."""
+    """Run all cases, or the soak."""
     if soak:
         rows = [await play(site, Case("soak, hits"), soak // 2)]
         return {"rows": rows}
@@ -273,27 +274,27 @@
     """Measure, and print the table."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--requests", type=int, default=4_000)
-    parser.add_argument("--only", default="", help="cases whose name holds this")
-    parser.add_argument("--soak", type=int, default=0, help="so many hits instead, on a healthy fleet")
+    parser.add_argument("--only", default="", help="only cases whose name contains this")
+    parser.add_argument("--soak", type=int, default=0, help="play only this many hits")
     parser.add_argument("--sizes", action="store_true", help="by size, servers, connections, new keys")
-    parser.add_argument("--rounds", type=int, default=7, help="of --sizes")
+    parser.add_argument("--rounds", type=int, default=7, help="number of rounds of --sizes")
     parser.add_argument("--json", type=Path)
     parser.add_argument("--relay", nargs="+", type=int, help=argparse.SUPPRESS)
-    told = parser.parse_args()
-    if told.relay:
-        relay(told.relay[0], told.relay[1:])
+    options = parser.parse_args()
+    if options.relay:
+        relay(options.relay[0], options.relay[1:])
         return
     with stand.site() as site:
-        if told.sizes:
-            found = {"sizes": uvloop.run(sizes(site, told.requests, told.rounds, told.only))}
+        if options.sizes:
+            results = {"sizes": uvloop.run(sizes(site, options.requests, options.rounds, options.only))}
         else:
-            found = uvloop.run(measure(site, told.requests, told.only, told.soak))
-    print(sized_table(found["sizes"]) if told.sizes else table(found["rows"]))
-    if "decide_us" in found:
-        shown = ", ".join(f"{nodes} nodes {us:.1f}" for nodes, us in found["decide_us"].items())
+            results = uvloop.run(measure(site, options.requests, options.only, options.soak))
+    print(sized_table(results["sizes"]) if options.sizes else table(results["rows"]))
+    if "decide_us" in results:
+        shown = ", ".join(f"{nodes} nodes {us:.1f}" for nodes, us in results["decide_us"].items())
         print(f"the decision module alone, us a read that hits: {shown}")
-    if told.json:
-        told.json.write_text(json.dumps(found, indent=1) + "\n")
+    if options.json:
+        options.json.write_text(json.dumps(results, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/stand.py
+++ b/benchmarks/stand.py
@@ -1,6 +1,6 @@
-"""What the benchmarks share: a router as deployed, nodes and a store that answer at once, and who asks.
+"""Shared parts of the benchmarks: a router as deployed, nodes and a store that answer at once, and clients.
 
-Nodes and store run in a process of their own, routers on a core of their own, clients where the benchmark is.
+Nodes and store run in a separate process, routers on a separate core, and clients in the benchmark's process.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 def settings(namespaces: tuple[str, ...]) -> dict[str, Any]:
-    """A router's settings, with these namespaces in equal portions."""
+    """A router's settings, with equal portions for these namespaces."""
     return {
         "balancers": 1,
         "ceilings": {
@@ -70,50 +70,53 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One load."""
+    """The parameters of one load."""
 
     name: str
     nodes: int = 8
     connections: int = 64
     depth: int = 1
-    """Requests of a connection that are under way at once."""
+    """Requests in flight per connection."""
     value: int = 1000
-    """Bytes of a value; a key's name tells the nodes."""
+    """Bytes of a value; the nodes read this from the key's name."""
     kind: str = "hit"
-    """hit, miss or write."""
+    """The kind of request: hit, miss or write."""
     namespaces: tuple[str, ...] = ("public",)
     weight: float = 1.0
-    """The share of the usual number of requests that is asked."""
+    """Number of requests sent, as a fraction of the usual number."""
     keys: int = KEYS
-    """Different keys that are asked for, in turn; 0: each key once."""
+    """Number of different keys, requested in turn; 0: each key is requested once."""
     sockets: int = 1024
-    """The router's descriptors."""
+    """The router's descriptor limit."""
 
 
 # Nodes and store
 
 
 class Node(asyncio.Protocol):
-    """Answers at once: a key that begins with `m` misses, and its digits tell the value's length."""
+    """A cache server that answers at once.
 
-    asked = 0
+    A key that begins with `m` misses; for any other, the number after the slash is the value's length.
+    """
+
+    requests = 0
     values: ClassVar[dict[bytes, bytes]] = {}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Keep the transport."""
         self._transport = cast(asyncio.Transport, transport)
         self._reader = hiredis.Reader()
 
     def data_received(self, data: bytes) -> None:
-        """Take what came."""
+        """Parse the data and handle what is complete."""
         self._reader.feed(data)
         while (words := self._reader.gets()) is not False:
             if words[0] == b"KV.MGET":
                 keys = words[2:-2]
-                Node.asked += len(keys)
+                Node.requests += len(keys)
                 self._transport.write(b"*%d\r\n%b" % (len(keys), b"".join(map(self._answer, keys))))
                 continue
-            Node.asked += 1
+            Node.requests += 1
             self._transport.write(self._answer(words[1]))
 
     def _answer(self, key: bytes) -> bytes:
@@ -129,15 +132,15 @@
 
 
 class Store(asyncio.Protocol):
-    """Serves every fetch, and takes every write."""
+    """A store that serves every fetch and accepts every write."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Keep the transport."""
         self._transport = cast(asyncio.Transport, transport)
         self._parser = httptools.HttpRequestParser(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take what came."""
+        """Parse the data and handle what is complete."""
         self._parser.feed_data(data)
 
     def on_message_complete(self) -> None:
@@ -148,66 +151,66 @@
 
 
 def serve(pipe: Connection) -> None:
-    """The nodes' process: tells its ports, and how often nodes were asked whenever that is wanted."""
+    """Run the nodes and the store; sends their ports, and on request the number of requests to nodes."""
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        makes: list[Callable[[], asyncio.Protocol]] = [Node] * MOST_NODES + [Store]
-        servers = [await loop.create_server(make, "127.0.0.1", 0) for make in makes]
+        factories: list[Callable[[], asyncio.Protocol]] = [Node] * MOST_NODES + [Store]
+        servers = [await loop.create_server(factory, "127.0.0.1", 0) for factory in factories]
         pipe.send([server.sockets[0].getsockname()[1] for server in servers])
-        over = loop.create_future()
+        finished = loop.create_future()
 
-        def wanted() -> None:
+        def handle_message() -> None:
             if pipe.recv() == "end":
-                over.set_result(None)
+                finished.set_result(None)
             else:
-                pipe.send(Node.asked)
+                pipe.send(Node.requests)
 
-        loop.add_reader(pipe.fileno(), wanted)
-        await over
+        loop.add_reader(pipe.fileno(), handle_message)
+        await finished
 
     uvloop.run(main())
 
 
-# The side that asks
+# Clients
 
 
-class Asker(asyncio.Protocol):
-    """One connection that keeps `depth` requests under way."""
+class LoadConnection(asyncio.Protocol):
+    """One client connection that keeps `depth` requests in flight."""
 
     def __init__(self, load: Load) -> None:
         self._load = load
         self._reader = hiredis.Reader()
-        self._asked: deque[float] = deque()
+        self._sent_at: deque[float] = deque()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Keep the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Take the end."""
-        self._load.lost(len(self._asked))
+        """Count the unanswered requests as failed."""
+        self._load.lost(len(self._sent_at))
 
-    def ask(self, count: int) -> None:
-        """Ask so many, in one write."""
+    def send_requests(self, count: int) -> None:
+        """Send this many requests in one write."""
         words = [self._load.next() for _ in range(count)]
         data = b"".join(word for word in words if word)
-        self._asked.extend(time.perf_counter() for word in words if word)
+        self._sent_at.extend(time.perf_counter() for word in words if word)
         if data:
             self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
-        """Take what came."""
+        """Parse the data and handle what is complete."""
         self._reader.feed(data)
         answered = 0
         while (answer := self._reader.gets()) is not False:
-            self._load.answered(answer, time.perf_counter() - self._asked.popleft())
+            self._load.answered(answer, time.perf_counter() - self._sent_at.popleft())
             answered += 1
-        self.ask(answered)
+        self.send_requests(answered)
 
 
 class Load:
-    """So many requests of one case, and what became of them."""
+    """A number of requests of one case, and their results."""
 
     numbers = 0
 
@@ -238,19 +241,19 @@
         key = b"m/%d" % number if case.kind == "miss" else b"k%d/%d" % (which, case.value)
         return command(b"KV.GET", key, b"%016x" % number, b"c=fetch,t=%b,d=3000" % name)
 
-    def answered(self, answer: object, took: float) -> None:
-        """Take an answer."""
+    def answered(self, answer: object, duration: float) -> None:
+        """Record an answer."""
         self._open -= 1
         if isinstance(answer, hiredis.ReplyError):
             refused = str(answer).startswith("BUSY")
             self.refused += refused
             self.failed += not refused
         else:
-            self.times.append(took)
+            self.times.append(duration)
         self._check()
 
     def lost(self, count: int) -> None:
-        """Take the end of a connection."""
+        """Record requests that a closed connection left unanswered."""
         self.failed += count
         self._open -= count
         self._check()
@@ -260,16 +263,16 @@
             self.done.set_result(None)
 
     async def run(self, port: int) -> None:
-        """Ask all."""
+        """Send all requests, and wait for their answers."""
         loop = asyncio.get_running_loop()
-        made = [
-            await loop.create_connection(lambda: Asker(self), "127.0.0.1", port)
+        connections = [
+            await loop.create_connection(lambda: LoadConnection(self), "127.0.0.1", port)
             for _ in range(self._case.connections)
         ]
-        for _, asker in made:
-            asker.ask(self._case.depth)
+        for _, connection in connections:
+            connection.send_requests(self._case.depth)
         await self.done
-        for transport, _ in made:
+        for transport, _ in connections:
             transport.abort()
 
 
@@ -280,11 +283,11 @@
         self.process, self.port, self._agent = process, port, agent
 
     def cpu(self) -> float:
-        """Seconds of CPU used."""
+        """CPU seconds used so far."""
         return int(Path(f"/proc/{self.process.pid}/schedstat").read_text().split()[0]) / 1e9
 
     def memory_mb(self, which: str = "VmRSS") -> float:
-        """The memory held; with `VmHWM` the most that was."""
+        """Resident memory in MB; with `VmHWM` its peak."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         return int(status.split(f"{which}:")[1].split()[0]) / 1024
 
@@ -303,7 +306,7 @@
             await asyncio.sleep(0.02)
 
     def end(self) -> None:
-        """End it."""
+        """Terminate the process, and close its discovery agent."""
         self.process.terminate()
         self.process.wait()
         if self._agent is not None:
@@ -311,23 +314,23 @@
 
 
 class Site:
-    """All that one run of the benchmark starts."""
+    """The environment of one benchmark run."""
 
     def __init__(self, folder: Path, pipe: Connection, core: int) -> None:
         self.folder, self.pipe, self.core = folder, pipe, core
         self.ports: list[int] = pipe.recv()
 
-    def asked(self) -> int:
-        """How often nodes were asked so far."""
+    def node_requests(self) -> int:
+        """The number of requests that nodes have received so far."""
         self.pipe.send("asked")
         return int(self.pipe.recv())
 
     async def router(self, case: Case, operator: str = "", checkout: Path = ROOT) -> Process:
         """Start the daemon of a checkout against the case's nodes and the store.
 
-        `operator`: the text of its operator's file.
+        `operator`: the text of its operator configuration.
         """
-        places = [(f"s{number}", "std", port) for number, port in enumerate(self.ports[: case.nodes])]
+        endpoints = [(f"s{number}", "std", port) for number, port in enumerate(self.ports[: case.nodes])]
         entries = [
             {
                 "instanceId": name,
@@ -339,20 +342,20 @@
                 "weight": 1.0,
                 "startedAtMs": 0,
             }
-            for name, kind, port in [*places, ("store", "origin", self.ports[-1])]
+            for name, kind, port in [*endpoints, ("store", "origin", self.ports[-1])]
         ]
         agent = RegistryAgent(asyncio.get_running_loop(), "r0", entries, NullObserver())
         await agent.start()
         port = take_port()
         config = self.folder / f"{port}.json"
-        told = {
+        content = {
             "name": "r0",
             "listen": f"127.0.0.1:{port}",
             "discovery": f"127.0.0.1:{agent.address[1]}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": case.sockets},
             "settings": settings(case.namespaces),
         }
-        config.write_text(json.dumps(told))
+        config.write_text(json.dumps(content))
         environ = {k: v for k, v in os.environ.items() if not k.startswith(("LB_", "PEBBLEPASS_"))}
         environ["LB_CONFIG"] = str(config)
         if operator:
@@ -365,7 +368,7 @@
     async def pinned(
         self, started: subprocess.Popen[bytes], port: int, agent: RegistryAgent | None = None
     ) -> Process:
-        """Pin a process to the measured core, and wait until it is ready."""
+        """Pin a process to the measured core, and wait until it answers."""
         process = Process(started, port, agent)
         os.sched_setaffinity(started.pid, {self.core})
         await asyncio.wait_for(process.ready(), READY_S)
@@ -374,7 +377,7 @@
 
 @contextmanager
 def site() -> Iterator[Site]:
-    """The nodes' process, a folder, and a core that is left to what is measured."""
+    """Start the nodes' process, make a folder, and reserve a core for the measured processes."""
     core = max(os.sched_getaffinity(0))
     os.sched_setaffinity(0, (os.sched_getaffinity(0) - {core}) or {core})
     here, there = multiprocessing.Pipe()
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -1,11 +1,11 @@
-"""Whether two versions of the program work together, as processes on loopback.
+"""Checks that two versions of the program work together, as processes on loopback.
 
     .venv/bin/python benchmarks/versions.py OTHER_CHECKOUT
 
-Three kinds of cases, each in both directions: a voter's folder that one version has written is opened by the
-other; a fleet with routers of both versions decides changes of policy; and clients keep their connections
-while a process of one version is replaced by one of the other. Prints a line for each case; exits with 1 if
-one has failed. It measures no times, and needs no quiet machine.
+There are three kinds of cases, each in both directions: one version opens a voter's folder that the other
+has written; a fleet with routers of both versions decides policy changes; and clients keep their connections
+while a process of one version is replaced by one of the other. It prints a line for each case, and exits with
+1 if a case has failed. It measures no times, so other load on the machine does not matter.
 """
 
 from __future__ import annotations
@@ -36,35 +36,35 @@
 CACHES = 4
 SOCKETS = 1024  # a router's descriptors: two processes share them, each with a connection for every request
 PIPELINED = 2  # requests of one connection that are under way at once
-PAUSE_S = 0.02  # between a connection's answers and its next requests
-PHASE_S = 0.5  # for which clients go on before, between and after the upgrades
-QUIET_S = 0.2  # in which no further answer may come after the last one
-REFUSED_LINKS = "can't be read"  # what a router logs of a message that it can't decode
-HANDOVER_FAULT = "handover:"  # how a line begins that tells of a failed upgrade
+PAUSE_S = 0.02  # between the answers on a connection and its next requests
+PHASE_S = 0.5  # how long clients send requests before, between and after the upgrades
+NO_ANSWER_S = 0.2  # after the last answer, in which no further answer may arrive
+UNREADABLE_MESSAGE = "can't be read"  # what a router logs of a message that it can't decode
+HANDOVER_FAULT = "handover:"  # the beginning of a log line about a failed upgrade
 
 CHANGES = (
     'who = "ana"\nwhy = "a lower rate"\n[store]\nrate_per_s = 150\nhard_factor = 1.25\nwindow_s = 2\n',
     'who = "ben"\nwhy = "quota leases"\nheld_out = ["s9"]\n[store]\nrate_per_s = 140\nshares = true\n',
     'who = "cleo"\nwhy = "a quota"\n[store]\nshares = true\n[namespaces.acme]\nquota_per_s = 120\n',
 )
-"""Policies that are proposed one after another."""
+"""Policies, proposed one after another."""
 
 
 class CaseError(Exception):
-    """A case has failed; the text says in one line why."""
+    """A case has failed; the message is one line that says why."""
 
 
-def expect(holds: bool, what: str) -> None:
-    """Raise CaseError unless this holds."""
-    if not holds:
-        raise CaseError(what)
+def expect(condition: bool, message: str) -> None:
+    """Raise CaseError unless the condition is true."""
+    if not condition:
+        raise CaseError(message)
 
 
-def wait_for(check: Callable[[], bool], what: str) -> None:
-    """Wait until this holds; raises CaseError."""
+def wait_for(check: Callable[[], bool], description: str) -> None:
+    """Wait until the check is true; raises CaseError on a timeout."""
     end = time.monotonic() + WAIT_TIMEOUT_S
     while not check():
-        expect(time.monotonic() < end, f"never came: {what}")
+        expect(time.monotonic() < end, f"timed out waiting for {description}")
         time.sleep(0.02)
 
 
@@ -73,7 +73,7 @@
 
 @contextmanager
 def fleet(folder: Path, checkouts: Sequence[Path]) -> Iterator[Site]:
-    """A fleet that has formed, each router of its own checkout, under load."""
+    """Start a fleet with one checkout per router, wait until it has formed, and put load on it."""
     made = Site(folder, ROUTERS, ROUTERS, "")
     try:
         for name, checkout in zip(made.names, checkouts, strict=True):
@@ -87,22 +87,22 @@
 
 
 def start(running: Site, name: str, checkout: Path) -> None:
-    """Start a router of this checkout."""
+    """Start a router from a checkout."""
     running.checkouts[name] = checkout
     running.start(name)
 
 
 def check_logs(running: Site) -> None:
-    """Check that no router has failed, and that each could read what the others have sent."""
+    """Check that no router has failed, and that each could decode all messages."""
     for name, file in running.logs.items():
         log = file.read_text()
-        for fault in ("Traceback", REFUSED_LINKS):
+        for fault in ("Traceback", UNREADABLE_MESSAGE):
             lines = [line for line in log.splitlines() if fault in line]
             expect(not lines, f"{name}: {lines[:1]}")
 
 
 def propose(running: Site, name: str, number: int) -> int:
-    """Propose a change at a router, and wait until all hold it; returns its version."""
+    """Propose a change at a router, and wait until all routers have it; returns its version."""
     verdict = running.propose(name, f"change-{number}", CHANGES[number])
     expect(verdict is not None and verdict["state"] == "in force", f"proposed at {name}: {verdict}")
     version = int(verdict["version"])
@@ -110,47 +110,47 @@
     return version
 
 
-def histories(running: Site) -> list[Any]:
-    """What each router holds as decided."""
+def decided_histories(running: Site) -> list[Any]:
+    """The history of decided versions at each router."""
     return [running.ask(name, "GET", "history") for name in running.names]
 
 
 def check_same_history(running: Site, version: int) -> None:
-    """Check that all routers hold the same versions, up to this one."""
-    found = histories(running)
-    expect(found[0][0]["version"] == version, f"version {found[0][0]['version']}, not {version}")
-    expect(all(each == found[0] for each in found), f"histories differ: {found}")
+    """Check that all routers have the same history, which ends with this version."""
+    histories = decided_histories(running)
+    expect(histories[0][0]["version"] == version, f"version {histories[0][0]['version']}, expected {version}")
+    expect(all(history == histories[0] for history in histories), f"histories differ: {histories}")
 
 
 def wait_for_quota_leases(running: Site) -> None:
-    """Wait until every router holds a part of the quota from every voter."""
+    """Wait until every router has a quota lease from every voter."""
 
     def granted(name: str) -> bool:
-        told = running.ask(name, "GET", "status")["shares"]
-        return bool(told["on"]) and set(told["of"]) == set(running.voters) and not told["why"]
+        leases = running.ask(name, "GET", "status")["shares"]
+        return bool(leases["on"]) and set(leases["of"]) == set(running.voters) and not leases["why"]
 
     for name in running.names:
         wait_for(lambda name=name: granted(name), f"quota leases at {name}")  # type: ignore[misc]
 
 
 def open_folder(folder: Path, writer: Path, reader: Path) -> str:
-    """Let the routers of one checkout write their logs, kill them, and start the other checkout's on them."""
+    """Run routers of one checkout, kill them, and start those of the other checkout on the same folders."""
     with fleet(folder, [writer] * ROUTERS) as running:
         for number in range(len(CHANGES)):
             version = propose(running, running.names[number % ROUTERS], number)
-        before = histories(running)
+        before = decided_histories(running)
         for name in running.names:
             running.signal(name, signal.SIGKILL)
         for name in running.names:
             start(running, name, reader)
         running.wait(version)
-        expect(histories(running) == before, "the history is another one")
+        expect(decided_histories(running) == before, "the history has changed")
         check_same_history(running, version)
     return f"version {version} in force again, {len(before[0])} versions in the history of each voter"
 
 
 def decide_together(folder: Path, checkouts: Sequence[Path]) -> str:
-    """Propose at a router of each version in a fleet of both."""
+    """Propose changes at routers of both versions in a mixed fleet."""
     with fleet(folder, checkouts) as running:
         for number, name in enumerate((*running.names[:2], running.names[0])):
             version = propose(running, name, number)
@@ -162,7 +162,7 @@
 
 
 def restart_one_by_one(folder: Path, before: Path, after: Path) -> str:
-    """Replace each router of a fleet by one of the other version, and propose in between."""
+    """Replace the routers of a fleet one by one by the other version, and propose a change after each."""
     with fleet(folder, [before] * ROUTERS) as running:
         for number, name in enumerate(running.names):
             running.signal(name, signal.SIGTERM)
@@ -176,7 +176,7 @@
 
 
 class SteadyClient(threading.Thread):
-    """One connection that asks again and again; every answer has to be the key that it has asked for."""
+    """A client that sends requests repeatedly; every answer has to be the requested key."""
 
     def __init__(self, port: int, number: int, stop: threading.Event) -> None:
         super().__init__(daemon=True)
@@ -185,10 +185,10 @@
         self.fault = ""
 
     def run(self) -> None:
-        """Ask until told to stop."""
+        """Send requests until stopped."""
         try:
             while not self._stopped.is_set() and not self.fault:
-                self._ask_batch()
+                self._send_batch()
                 self._stopped.wait(PAUSE_S)
             if not self.fault:
                 self._check_quiet()
@@ -197,9 +197,9 @@
         finally:
             self._client.close()
 
-    def _ask_batch(self) -> None:
-        """Send some requests at once, and read as many answers."""
-        keys = [f"k{self._number}.{self.answered + place}" for place in range(PIPELINED)]
+    def _send_batch(self) -> None:
+        """Send some requests at once, and read their answers."""
+        keys = [f"k{self._number}.{self.answered + offset}" for offset in range(PIPELINED)]
         self._client.send(b"".join(get(f"q{key}", key) for key in keys))
         for key in keys:
             answer = self._client.answer()
@@ -209,18 +209,22 @@
             self.answered += 1
 
     def _check_quiet(self) -> None:
-        """Check that the connection stands, and that no request is answered twice."""
-        self._client.socket.settimeout(QUIET_S)
+        """Check that the connection is open, and that no request is answered twice."""
+        self._client.socket.settimeout(NO_ANSWER_S)
         try:
-            rest = self._client.socket.recv(100)
+            unexpected = self._client.socket.recv(100)
         except TimeoutError:
             return
-        self.fault = f"after the last answer came {rest!r}" if rest else "the connection was closed"
+        self.fault = (
+            f"unexpected data after the last answer: {unexpected!r}"
+            if unexpected
+            else "the connection was closed"
+        )
 
 
 @contextmanager
 def steady_clients(port: int) -> Iterator[list[SteadyClient]]:
-    """Clients that ask until the end of the block; none of them may have seen a fault then."""
+    """Run clients until the end of the block, and check that none has seen a fault."""
     stop = threading.Event()
     clients = [SteadyClient(port, number, stop) for number in range(CONNECTIONS)]
     try:
@@ -235,7 +239,7 @@
 
 
 def upgrade(folder: Path, checkouts: Sequence[Path]) -> str:
-    """Replace a process by those of further checkouts, one after another, while clients ask."""
+    """Replace a process by those of further checkouts, one after another, while clients send requests."""
     caches = {f"s{number}": Peer(lambda _, words: hit(words[1])) for number in range(CACHES)}
     with upgrade_site(folder, caches, SOCKETS) as made:
         process, _ = made.start(checkouts[0])
@@ -257,41 +261,41 @@
 
 
 def check_clients(clients: Sequence[SteadyClient], before: Sequence[int]) -> None:
-    """Check that no client has seen a fault, and that each was answered since these counts."""
+    """Check that no client has seen a fault, and that each has more answers than in `before`."""
     faults = [client.fault for client in clients if client.fault]
     expect(not faults, f"{len(faults)} of {len(clients)} clients: {faults[:1]}")
     silent = sum(client.answered <= count for client, count in zip(clients, before, strict=True))
-    expect(not silent, f"{silent} of {len(clients)} clients are not answered any more")
+    expect(not silent, f"{silent} of {len(clients)} clients get no more answers")
 
 
 # The cases
 
 
-def cases(here: Path, there: Path) -> dict[str, Callable[[Path], str]]:
-    """What is played, by its name."""
+def cases(this: Path, other: Path) -> dict[str, Callable[[Path], str]]:
+    """The cases by name."""
     return {
-        "folder of the other version, opened by this one": lambda folder: open_folder(folder, there, here),
-        "folder of this version, opened by the other one": lambda folder: open_folder(folder, here, there),
-        "fleet of two old and one new": lambda folder: decide_together(folder, [there, here, there]),
-        "fleet of one old and two new": lambda folder: decide_together(folder, [here, there, here]),
-        "fleet upgraded one by one": lambda folder: restart_one_by_one(folder, there, here),
-        "fleet taken back one by one": lambda folder: restart_one_by_one(folder, here, there),
-        "upgrade and back": lambda folder: upgrade(folder, [there, here, there]),
-        "downgrade and back": lambda folder: upgrade(folder, [here, there, here]),
+        "folder of the other version, opened by this one": lambda folder: open_folder(folder, other, this),
+        "folder of this version, opened by the other one": lambda folder: open_folder(folder, this, other),
+        "fleet of two old and one new": lambda folder: decide_together(folder, [other, this, other]),
+        "fleet of one old and two new": lambda folder: decide_together(folder, [this, other, this]),
+        "fleet upgraded one by one": lambda folder: restart_one_by_one(folder, other, this),
+        "fleet taken back one by one": lambda folder: restart_one_by_one(folder, this, other),
+        "upgrade and back": lambda folder: upgrade(folder, [other, this, other]),
+        "downgrade and back": lambda folder: upgrade(folder, [this, other, this]),
     }
 
 
 def loaded_from(checkout: Path) -> Path:
-    """Where a process that is started in a checkout finds the program."""
+    """The package folder that a process started in a checkout imports."""
     code = "import pebblepass; print(pebblepass.__path__[0])"
-    told = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", code], cwd=checkout, capture_output=True, text=True, check=True
     )
-    return Path(told.stdout.strip()).resolve()
+    return Path(result.stdout.strip()).resolve()
 
 
-def play(name: str, case: Callable[[Path], str]) -> bool:
-    """Play a case and print its line; returns whether it has passed."""
+def run_case(name: str, case: Callable[[Path], str]) -> bool:
+    """Run a case and print its line; returns whether it has passed."""
     with tempfile.TemporaryDirectory(prefix="versions-") as folder:
         try:
             print(f"passed  {name}: {case(Path(folder))}", flush=True)
@@ -303,15 +307,15 @@
 
 
 def main() -> int:
-    """Play all cases."""
+    """Run all cases."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("other", type=Path, help="the other checkout's folder")
     other = parser.parse_args().other.resolve()
     for checkout in (ROOT, other):
         package = checkout / "pebblepass"
         if not (package / "daemon").is_dir() or loaded_from(checkout) != package:
-            parser.error(f"{checkout}: no checkout of this project")
-    passed = [play(name, case) for name, case in cases(ROOT, other).items()]
+            parser.error(f"{checkout}: not a checkout of this project")
+    passed = [run_case(name, case) for name, case in cases(ROOT, other).items()]
     return 0 if all(passed) else 1
 
 
