--- a/pebblepass/scale/decisions.py
+++ b/pebblepass/scale/decisions.py
@@ -305,24 +305,24 @@
         limit = min(send.timeout or left, left)
         bad = send.server == self.bad and self.fault_start <= now < self.fault_end
         self.extra += bool(number) and now >= self.fault_start
-        outcome, took = Outcome.OK, int(MS + self.rng.expovariate(1 / (3 * MS)))
+        outcome, duration = Outcome.OK, int(MS + self.rng.expovariate(1 / (3 * MS)))
         if send.server == ORIGIN.id:
-            took = FETCH_NS
+            duration = FETCH_NS
         elif number or self.rng.random() < MISS_FRACTION:
             outcome = Outcome.MISS
         if bad:
             self.attempts += 1
-            outcome, took = {
+            outcome, duration = {
                 Fault.SILENT: (Outcome.TIMEOUT, 2 * left),
                 Fault.FAILING: (Outcome.ERROR, 2 * MS),
                 Fault.SLOW: (Outcome.OK, 2 * AIM_NS),
                 Fault.FULL: (Outcome.OVERLOADED, MS),
                 Fault.GONE: (Outcome.CONNECT_FAILED, MS),
             }[self.fault]
-        if took > limit:
-            outcome, took = Outcome.TIMEOUT, limit
-        end = AttemptEnded(send.request, number, send.server, outcome, outcome is Outcome.OK, took)
-        heapq.heappush(self.due, (now + took, next(self.order), end))
+        if duration > limit:
+            outcome, duration = Outcome.TIMEOUT, limit
+        end = AttemptEnded(send.request, number, send.server, outcome, outcome is Outcome.OK, duration)
+        heapq.heappush(self.due, (now + duration, next(self.order), end))
 
 
 # Purges
@@ -437,9 +437,11 @@
             self.fetching[key] += fetch
             version = self.version[key] if fetch else self.copies[key].get(action.server)
             outcome = Outcome.MISS if version is None else Outcome.OK
-            took = FETCH_NS if fetch else MISS_NS
-            end = AttemptEnded(action.request, attempt, action.server, outcome, outcome is Outcome.OK, took)
-            heapq.heappush(self.due, (now + took, next(self.order), number, end, version or 0))
+            duration = FETCH_NS if fetch else MISS_NS
+            end = AttemptEnded(
+                action.request, attempt, action.server, outcome, outcome is Outcome.OK, duration
+            )
+            heapq.heappush(self.due, (now + duration, next(self.order), number, end, version or 0))
         return sent_requests
 
 
@@ -506,7 +508,7 @@
     for slot in range(SLOTS if every_slot else 0):
         router.caches.rank(slot, 0)
     for stop in keys:
-        begun, before = time.process_time(), number
+        start, before = time.process_time(), number
         while number < stop:
             now, name = number * gap, str(number)
             read = RequestArrived(name, "read", now + DEADLINE_NS, names[number % tenants], f"once/{number}")
@@ -520,7 +522,7 @@
             else:
                 router.handle(AttemptEnded(name, 0, server, Outcome.OK, True, MISS_NS), now)
             number += 1
-        took = (time.process_time() - begun) / max(number - before, 1) * 1e6
+        cpu_us = (time.process_time() - start) / max(number - before, 1) * 1e6
         slots = size_of([router.caches.scored_rankings, router.caches.steady_rankings])
         rows.append(
             GrowthRow(
@@ -533,7 +535,7 @@
                 size_of([router.open_requests, router.flights]),
                 size_of(router),
                 resident_bytes() / 2**20,
-                took,
+                cpu_us,
             )
         )
     return rows
@@ -566,22 +568,22 @@
     settings = Settings((READ,), origin_kind="origin")
     read, taken, change, most = (list[int]() for _ in range(4))
     for number in range(rounds):
-        begun = time.process_time_ns()
+        start = time.process_time_ns()
         listing = parse_endpoint_list(msgspec.json.decode(body), clock)
-        read.append(time.process_time_ns() - begun)
+        read.append(time.process_time_ns() - start)
         router = Router(settings, number)
-        begun = time.process_time_ns()
+        start = time.process_time_ns()
         router.handle(listing.change, 0)
-        taken.append(time.process_time_ns() - begun)
+        taken.append(time.process_time_ns() - start)
     for slot in range(slots):
         router.caches.rank(slot, 0)
     for number in range(2 * rounds):
         count = DEPTH if number % 2 else 1
         new = tuple(Server(f"new-{number}-{n}", kind="std") for n in range(count))
         gone = tuple(msgspec.structs.replace(server, state=ServerState.REMOVED) for server in new)
-        begun = time.process_time_ns()
+        start = time.process_time_ns()
         router.handle(ServersChanged(ListKind.DELTA, new), 0)
-        (most if number % 2 else change).append(time.process_time_ns() - begun)
+        (most if number % 2 else change).append(time.process_time_ns() - start)
         router.handle(ServersChanged(ListKind.DELTA, gone), 0)
         for slot in range(slots):
             router.caches.rank(slot, 0)
--- a/pebblepass/scale/run.py
+++ b/pebblepass/scale/run.py
@@ -138,8 +138,8 @@
         if plan.relayed:
             relays = self._relays = Relays(self._ports, plan.zones())
             for zone in plan.zones():
-                far = [name for name in self._ports if not zone.startswith(str(plan.region(name)))]
-                for name in far:
+                remote_voters = [name for name in self._ports if not zone.startswith(str(plan.region(name)))]
+                for name in remote_voters:
                     relays.delay(plan.delay_ms / 1000, (zone, name), (name, zone))
 
     def _relayed_addresses(self, name: str) -> dict[str, str]:
@@ -320,7 +320,7 @@
     def _routers(self) -> list[str]:
         return [*self._plan.hollow_names(), *self._plan.full_names()]
 
-    async def _ask_figures(self, name: str) -> dict[str, Any]:
+    async def _request_figures(self, name: str) -> dict[str, Any]:
         child = self._children[name]
         child.figures = asyncio.get_running_loop().create_future()
         await child.order(Order("figures"))
@@ -335,7 +335,7 @@
         for name in self._plan.voter_names():
             child = self._children[name]
             if child.expected:
-                counters[name] = {**await self._ask_figures(name), "pid": child.process.pid}
+                counters[name] = {**await self._request_figures(name), "pid": child.process.pid}
         cpu, memory = {}, {}
         for name, child in self._children.items():
             with contextlib.suppress(OSError):
@@ -345,10 +345,10 @@
 
     async def _holding(self) -> set[str]:
         """The hollow routers that hold a lease at this moment."""
-        found: set[str] = set()
+        holding: set[str] = set()
         for number in range(self._plan.hollow_processes):
-            found.update((await self._ask_figures(f"hollow{number}"))["holding"])
-        return found
+            holding.update((await self._request_figures(f"hollow{number}"))["holding"])
+        return holding
 
     # Phases
 
@@ -379,7 +379,7 @@
         sums: Counter[str] = Counter()
         for name in self._plan.voter_names():
             if self._children[name].expected:
-                sums.update((await self._ask_figures(name))["closed"])
+                sums.update((await self._request_figures(name))["closed"])
         return dict(sums)
 
     async def _phase(self, name: str, play: Callable[[], Awaitable[dict[str, Any]]]) -> None:
@@ -444,7 +444,7 @@
         return {"holding": len(holding)}
 
     async def _change(self) -> dict[str, Any]:
-        plan, durations, told_open = self._plan, [], 0
+        plan, durations, open_verdicts = self._plan, [], 0
         before = await self._snapshot()
         for number in range(plan.changes):
             proposals, verdicts = len(self._proposed), len(self._verdicts)
@@ -455,7 +455,7 @@
             start = self._proposed[-1].at
             await self._wait_until(lambda verdicts=verdicts: len(self._verdicts) > verdicts, "a verdict")  # type: ignore[misc]
             verdict = self._verdicts[-1]
-            told_open += verdict.state == "open"  # an open change is still decided, and waited for below
+            open_verdicts += verdict.state == "open"  # an open change is still decided, and waited for below
             if verdict.state == "refused":
                 raise RunError(f"change {number}: {verdict.state}, version {verdict.version}")
             self._version = verdict.version
@@ -465,7 +465,7 @@
         after = await self._snapshot()
         idle = self.figures["phases"].get("idle")
         value = max(counters["value_bytes"] for counters in after.counters.values())
-        extra = {"value_bytes": value, "told_open": told_open}
+        extra = {"value_bytes": value, "told_open": open_verdicts}
         return {**change_figures(plan, before, after, durations, idle), **extra}
 
     async def _all_listed(self, generation: int, since: int) -> float:
@@ -494,11 +494,11 @@
         figures: dict[str, Any] = {"servers": len(entries), "list_bytes": len(encode(agent.listing()))}
         figures["all_listed_s"] = await self._all_listed(1, start)
         figures["start"] = agent.since(start / 1e9)
-        quiet, quiet_cpu = time.monotonic(), time.process_time()
+        idle_start, idle_start_cpu = time.monotonic(), time.process_time()
         await asyncio.sleep(plan.window_s)
-        calls = agent.since(quiet)["calls"]
-        figures["calls_per_router_s"] = calls / plan.hollow_count / (time.monotonic() - quiet)
-        figures["cpu_per_call_s"] = (time.process_time() - quiet_cpu) / max(calls, 1)
+        calls = agent.since(idle_start)["calls"]
+        figures["calls_per_router_s"] = calls / plan.hollow_count / (time.monotonic() - idle_start)
+        figures["cpu_per_call_s"] = (time.process_time() - idle_start_cpu) / max(calls, 1)
         start = time.monotonic_ns()
         agent.apply_change({**entries[0], "lifecycle": "draining"})
         figures["change_s"] = await self._all_listed(agent.generation, start)
