--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -74,7 +74,7 @@
     spent: dict[str, float] = {}
     for (file, _, _), (_, _, own, _, _) in pstats.Stats(profile).stats.items():  # type: ignore[attr-defined]
         package = next((package for package in PACKAGES if f"/pebblepass/{package}/" in file), "")
-        if file.endswith("rehearsal/clock.py"):
+        if file.endswith("simulation/clock.py"):
             package = "virtual clock"
         elif not package:
             package = "asyncio" if "/asyncio/" in file else "built in (sockets among it)"
