--- a/tests/fault_injection/test_processes.py
+++ b/tests/fault_injection/test_processes.py
@@ -234,6 +234,8 @@
         site.relays.cut(
             *((a, b) for a in minority for b in majority), *((b, a) for a in minority for b in majority)
         )
+        for name in majority[1:]:  # a quorum is all four, and r0 may not have reconnected to r3 yet
+            site.wait_for_state("r0", name, "alive")
         assert site.propose("r0", "other", rate(3))["state"] == "in force"
         site.relays.restore()
         site.wait_for_version(3)
