--- a/pebblepass/accounting/__init__.py
+++ b/pebblepass/accounting/__init__.py
@@ -1,4 +1,4 @@
-"""The ledger of a router: every request in exactly one account, audited by the router itself.
+"""Request accounting: a ledger of every request, which the router audits, exports and saves.
 
 Off unless the operator's file has the section `[figures]`.
 """
--- a/pebblepass/accounting/fleet.py
+++ b/pebblepass/accounting/fleet.py
@@ -1,8 +1,8 @@
-"""Sums the accounts of many routers over a period, and checks that they balance. No I/O.
+"""Sums the accounts of many routers over a period, and checks that the sums balance. No I/O.
 
-A cut holds the documents (`/figures`, or snapshots) of all routers at one moment. Within one epoch of a
-router the flow between two cuts is their difference. In a new epoch the counts begin at zero, and the outcome
-of requests that were open in the cut before is unknown.
+A cut holds the documents (`/figures`, or snapshots) of all routers at one moment. Within an epoch of a router
+the flow between two cuts is the difference of their counts. In a new epoch the counts start at zero, and the
+outcome of the requests that were open in the previous cut is unknown.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class RouterDocument(msgspec.Struct, frozen=True):
-    """One router's document in a cut; other keys of it are ignored."""
+    """One router's document in a cut; its other keys are ignored."""
 
     router: str
     epoch: str
@@ -37,12 +37,12 @@
     unix_ns: int
     routers: list[RouterDocument]
     unreached: list[str] = []
-    """Those that did not answer."""
+    """An error line for each router that gave no document."""
 
 
 @dataclass(slots=True)
 class ReportLine:
-    """One namespace and class over the period: open before, closed by outcome, open after."""
+    """The counts of one namespace and class over the period."""
 
     namespace: str
     request_class: str
@@ -57,8 +57,8 @@
     open_after: int = 0
 
     @property
-    def closes(self) -> bool:
-        """Whether the line balances."""
+    def balances(self) -> bool:
+        """Whether the requests open before and taken are those closed and open after."""
         closed = self.served_in_aim + self.served_late + self.refused + self.failed + self.gone + self.unknown
         return self.open_before + self.taken == closed + self.open_after
 
@@ -69,7 +69,7 @@
 
 
 def read_cuts(lines: Iterable[bytes], begin_ns: int = 0, end_ns: int | None = None) -> list[Cut]:
-    """Return the cuts within the period from lines of JSON; raises ValueError in one line."""
+    """Return the cuts within the period from lines of JSON; raises ValueError with a one-line message."""
     cuts = []
     for number, line in enumerate(lines, 1):
         try:
@@ -82,7 +82,7 @@
 
 
 def sum_cuts(cuts: Sequence[Cut]) -> list[ReportLine]:
-    """Sum all routers, a line for each namespace and class; the last line is the total."""
+    """Return the sums over all routers: a line for each namespace and class, then the total."""
     lines: dict[tuple[str, str], ReportLine] = {}
     last: dict[str, RouterDocument] = {}
     for cut in cuts:
@@ -106,7 +106,7 @@
 def _add_flows(
     lines: dict[tuple[str, str], ReportLine], before: RouterDocument | None, document: RouterDocument
 ) -> None:
-    """Add the flow at one router from one cut to the next."""
+    """Add the counts of one router between two consecutive cuts to the report lines."""
     earlier_rows: dict[tuple[str, str], Row] = {}
     if before is None:
         for row in document.figures:
@@ -125,14 +125,14 @@
 
 
 def taken_over_time(cuts: Sequence[Cut]) -> dict[str, list[tuple[int, int]]]:
-    """Return by namespace the Unix time of each cut and the requests taken since the one before."""
+    """Return for each namespace the time of each cut (Unix, ns) and the requests taken since the previous."""
     series: dict[str, list[tuple[int, int]]] = defaultdict(list)
-    for one, two in pairwise(cuts):
+    for earlier, later in pairwise(cuts):
         taken: dict[str, int] = defaultdict(int)
-        for line in sum_cuts((one, two))[:-1]:
+        for line in sum_cuts((earlier, later))[:-1]:
             taken[line.namespace] += line.taken
         for namespace, count in taken.items():
-            series[namespace].append((two.unix_ns, count))
+            series[namespace].append((later.unix_ns, count))
     return dict(series)
 
 
@@ -140,9 +140,9 @@
 
 
 def table_cells(line: ReportLine) -> tuple[str, ...]:
-    """Return a line's cells for a table."""
+    """Return the table cells of a line."""
     numbers = (str(getattr(line, name)) for name in COUNT_FIELDS)
-    return line.namespace, line.request_class, *numbers, "yes" if line.closes else "NO"
+    return line.namespace, line.request_class, *numbers, "yes" if line.balances else "NO"
 
 
 def as_csv(lines: Sequence[ReportLine]) -> str:
@@ -154,25 +154,28 @@
 
 def as_html(lines: Sequence[ReportLine], series: dict[str, list[tuple[int, int]]], title: str) -> str:
     """Return the table as an HTML page with a plot of the requests taken."""
-    heads = "".join(f"<th>{escape(head)}</th>" for head in COLUMNS)
+    header_cells = "".join(f"<th>{escape(column)}</th>" for column in COLUMNS)
     rows = "".join(
         "<tr>" + "".join(f"<td>{escape(cell)}</td>" for cell in table_cells(line)) + "</tr>" for line in lines
     )
-    times = [at for row in series.values() for at, _ in row]
-    most = max((count for row in series.values() for _, count in row), default=1) or 1
+    times = [unix_ns for points in series.values() for unix_ns, _ in points]
+    max_count = max((count for points in series.values() for _, count in points), default=1) or 1
     begin, span = min(times, default=0), max(max(times, default=1) - min(times, default=0), 1)
     colours = ("#1f5fa8", "#c2571a", "#2c8a4b", "#8a3fa0")
     plots = "".join(
         f'<polyline fill="none" stroke="{colours[number % len(colours)]}" points="'
-        + " ".join(f"{(at - begin) / span * 800:.1f},{160 - count / most * 150:.1f}" for at, count in row)
+        + " ".join(
+            f"{(unix_ns - begin) / span * 800:.1f},{160 - count / max_count * 150:.1f}"
+            for unix_ns, count in points
+        )
         + f'"><title>{escape(namespace)}</title></polyline>'
         f'<text x="{8 + 120 * number}" y="176" fill="{colours[number % len(colours)]}">'
         f"{escape(namespace)}</text>"
-        for number, (namespace, row) in enumerate(sorted(series.items()))
+        for number, (namespace, points) in enumerate(sorted(series.items()))
     )
     style = "body{font:15px system-ui;margin:2em}td,th{padding:2px 10px;text-align:right}"
     return (
         f"<!doctype html><html lang='en'><head><meta charset='utf-8'><title>{escape(title)}</title>"
-        f"<style>{style}</style></head><body><h1>{escape(title)}</h1><table><tr>{heads}</tr>{rows}</table>"
+        f"<style>{style}</style></head><body><h1>{escape(title)}</h1><table><tr>{header_cells}</tr>{rows}</table>"
         f'<h2>Taken over time</h2><svg viewBox="0 0 810 180" width="100%">{plots}</svg></body></html>\n'
     )
--- a/pebblepass/accounting/listener.py
+++ b/pebblepass/accounting/listener.py
@@ -1,7 +1,8 @@
-"""The operator's listener: the ledger over HTTP/1.1, and breaches as a stream of server-sent events.
+"""The accounting listener for operators: the ledger and its breaches over HTTP/1.1.
 
-`GET /figures` JSON; `GET /metrics` OpenMetrics; `GET /breaches` the stream (WHATWG HTML, Server-sent events);
-`POST /breaches/acknowledge?through=N` acknowledges breaches. The contents come from `AccountingPages`.
+`GET /figures` returns JSON and `GET /metrics` OpenMetrics. `GET /breaches` streams breaches as server-sent
+events (WHATWG HTML). `POST /breaches/acknowledge?through=N` acknowledges breaches up to number N.
+`AccountingPages` provides the contents.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 MAX_CONNECTIONS = 32
 MAX_HEAD_BYTES = 16 << 10
-MAX_UNREAD_BYTES = 64 << 10  # a subscriber that takes no more than this is dropped
+MAX_UNREAD_BYTES = 64 << 10  # a subscriber with more unsent data is dropped
 LIMITS = ServerLimits(
     connections=MAX_CONNECTIONS,
     head_bytes=MAX_HEAD_BYTES,
@@ -32,18 +33,18 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountingPages:
-    """Where the pages come from."""
+    """The functions that provide the contents of the pages."""
 
     figures: Callable[[], Awaitable[bytes]]
     metrics: Callable[[], Awaitable[Page]]
     acknowledge: Callable[[int], int]
-    """Acknowledges breaches up to a number; returns how many."""
+    """Acknowledges breaches up to a number, and returns how many were pending."""
     pending: Callable[[], list[bytes]]
-    """The events of unacknowledged breaches."""
+    """Returns an event for each unacknowledged breach."""
 
 
 class AccountingServer:
-    """The accounting pages over HTTP, and the subscribers of breaches."""
+    """Serves the accounting pages and streams breaches to subscribers."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, pages: AccountingPages) -> None:
         self.pages = pages
@@ -55,7 +56,7 @@
         return await self._server.listen(address)
 
     def publish(self, event: bytes) -> None:
-        """Send an event to every subscriber; one that does not read is dropped, and delays nobody."""
+        """Queue an event for every subscriber without waiting; one that does not read is dropped."""
         for subscriber in list(self.subscribers):
             subscriber.push(event, MAX_UNREAD_BYTES)
 
--- a/pebblepass/accounting/service.py
+++ b/pebblepass/accounting/service.py
@@ -21,8 +21,8 @@
 from pebblepass.operator_config import AccountingSection
 from pebblepass.wire.address import Address, parse_address
 
-AUDIT_INTERVAL_S = 0.08  # breaches are reported within 0.1 s
-DEADLINE_SLACK_NS = 120_000_000  # after its deadline a request may still be answered for so long
+AUDIT_INTERVAL_S = 0.08  # so that breaches are reported within 0.1 s
+DEADLINE_SLACK_NS = 120_000_000  # time after its deadline in which a request may still be closed
 
 T = TypeVar("T")
 
@@ -30,13 +30,13 @@
 
 
 def make_ledger(settings: Settings, on_breach: Callable[[Breach], None] | None = None) -> Ledger:
-    """Return a ledger with the settings' classes and namespaces."""
-    aims = {cls.name: cls.latency_target for cls in settings.classes}
-    return Ledger(aims, (tenant.name for tenant in settings.tenants), on_breach)
+    """Return a ledger for the classes and namespaces of the settings."""
+    latency_targets = {cls.name: cls.latency_target for cls in settings.classes}
+    return Ledger(latency_targets, (tenant.name for tenant in settings.tenants), on_breach)
 
 
 class AccountingService:
-    """Owns the ledger of a router; its own work never delays a request."""
+    """Owns the ledger of a router; encoding and disk writes run in threads, so that they delay no request."""
 
     def __init__(
         self,
@@ -47,9 +47,9 @@
         unix_ns: Callable[[], int],
         fresh_epoch: str,
     ) -> None:
-        """Open the ledger, with the closing balance of a predecessor where there is one.
+        """Open the ledger, continuing a predecessor's closing snapshot if there is one.
 
-        Raises SnapshotError where a snapshot lies there that can't be used, ValueError on an address.
+        Raises SnapshotError if the snapshot can't be used, ValueError if an address is invalid.
         """
         self._loop, self._section, self._router = loop, section, router
         self._unix_ns = unix_ns
@@ -70,12 +70,12 @@
                 self._export_page, self._metrics_page, self.ledger.acknowledge, self._pending_events
             ),
         )
-        self._webhook = _webhook(loop, section.webhook) if section.webhook else None
-        # One for the disk, which may hang, and one for the pages; a thread begins with its first work.
+        self._webhook = _make_webhook(loop, section.webhook) if section.webhook else None
+        # One thread for the disk, which may hang, and one for the pages; each starts with its first task.
         self._workers = ThreadPoolExecutor(2)
-        self._writing: asyncio.Future[None] | None = None
+        self._pending_write: asyncio.Future[None] | None = None
         self._timers: dict[str, asyncio.TimerHandle] = {}
-        self._open: Callable[[], Collection[str]] = tuple
+        self._open_requests: Callable[[], Collection[str]] = tuple
         self._now: Callable[[], int] = lambda: 0
 
     async def start(
@@ -85,18 +85,18 @@
 
         `open_requests` returns the ids of requests without a final answer.
         """
-        self._now, self._open = now, open_requests
+        self._now, self._open_requests = now, open_requests
         bound = await self._listener.listen(self._address) if self._address is not None else None
         self._audit()
         if self._file is not None:
-            self._write_regularly()
+            self._write_periodically()
         return bound
 
     def stop(self, closing: bool) -> None:
-        """Stop; `closing`: write a closing balance, so that a successor can continue it."""
+        """Stop, and write a last snapshot; `closing` lets a successor continue it."""
         for timer in self._timers.values():
             timer.cancel()
-        # Danger: a snapshot that is still under way must not come after the closing one.
+        # Warning: waits for a snapshot that is being written, so that it can't overwrite the closing one.
         self._workers.shutdown(wait=True)
         if self._file is not None:
             self._snapshot(closing)()
@@ -105,23 +105,23 @@
         self._listener.close()
 
     def summary_line(self) -> str:
-        """Return the totals in one line, for operators without a listener."""
+        """Return the totals as one log line, for operators without a listener."""
         total: dict[str, int] = {}
         for row in self.ledger.export_rows():
             for name in ("taken", "served", "refused", "failed", "gone", "open"):
                 total[name] = total.get(name, 0) + row[name]
-        told = " ".join(f"{name} {count}" for name, count in total.items())
-        return f"figures: {told or 'nothing taken'}; breaches {self.ledger.breach_count}"
+        counts = " ".join(f"{name} {count}" for name, count in total.items())
+        return f"figures: {counts or 'nothing taken'}; breaches {self.ledger.breach_count}"
 
     # Checks
 
     def _audit(self) -> None:
         self._timers["audit"] = self._loop.call_later(AUDIT_INTERVAL_S, self._audit)
-        self.ledger.audit(self._now(), DEADLINE_SLACK_NS, self._open())
+        self.ledger.audit(self._now(), DEADLINE_SLACK_NS, self._open_requests())
 
     def _report_breach(self, breach: Breach) -> None:
         log.error("breach %d: %s: %s %s", breach.number, breach.kind.value, breach.request, breach.path)
-        self._listener.publish(_event(breach))
+        self._listener.publish(_encode_event(breach))
         if self._webhook is not None:
             self._webhook.send(msgspec.json.encode({"router": self._router, **breach.as_dict()}))
 
@@ -129,7 +129,7 @@
 
     async def _export_page(self) -> bytes:
         cut = self.ledger.cut()
-        facts: dict[str, Any] = {
+        header: dict[str, Any] = {
             "router": self._router,
             "epoch": self.epoch,
             "unix_ns": self._unix_ns(),
@@ -139,35 +139,38 @@
         }
 
         def encode() -> bytes:
-            return msgspec.json.encode({**facts, "figures": cut.export_rows()}) + b"\n"
+            return msgspec.json.encode({**header, "figures": cut.export_rows()}) + b"\n"
 
         return await self._run_in_worker(encode)
 
     async def _metrics_page(self) -> Page:
-        from pebblepass.accounting.metrics import CONTENT_TYPE, exposition  # only who scrapes pays for it
+        from pebblepass.accounting.metrics import (
+            CONTENT_TYPE,
+            exposition,
+        )  # a slow import, needed only for scrapes
 
         cut = self.ledger.cut()
         text = await self._run_in_worker(lambda: exposition(cut))
         return Page(200, text, CONTENT_TYPE)
 
-    def _run_in_worker(self, work: Callable[[], T]) -> asyncio.Future[T]:
-        """Run work on a cut or the disk in another thread, beside the requests."""
-        return self._loop.run_in_executor(self._workers, work)
+    def _run_in_worker(self, task: Callable[[], T]) -> asyncio.Future[T]:
+        """Run a task in a worker thread, so that it does not block requests."""
+        return self._loop.run_in_executor(self._workers, task)
 
     def _pending_events(self) -> list[bytes]:
-        return [_event(breach) for breach in self.ledger.breaches]
+        return [_encode_event(breach) for breach in self.ledger.breaches]
 
     # Snapshots
 
-    def _write_regularly(self) -> None:
-        due = self._section.snapshot_every_s
-        self._timers["snapshot"] = self._loop.call_later(due, self._write_regularly)
-        # Guards against a disk that hangs: its snapshots are left out, and don't pile up.
-        if self._writing is None or self._writing.done():
-            self._writing = self._run_in_worker(self._snapshot(closing=False))
+    def _write_periodically(self) -> None:
+        interval_s = self._section.snapshot_every_s
+        self._timers["snapshot"] = self._loop.call_later(interval_s, self._write_periodically)
+        # While the disk hangs, snapshots are skipped so that they don't queue up.
+        if self._pending_write is None or self._pending_write.done():
+            self._pending_write = self._run_in_worker(self._snapshot(closing=False))
 
     def _snapshot(self, closing: bool) -> Callable[[], None]:
-        """Return a function that writes the ledger as it is now."""
+        """Return a function that writes the present state of the ledger."""
         file, cut, now = self._file, self.ledger.cut(), self._unix_ns()
         assert file is not None
 
@@ -178,16 +181,20 @@
                 )
                 snapshot.write_file(file, data)
             except OSError as error:
-                log.error("%s: writing the accounting snapshot failed: %s", file, error.strerror)
+                log.error(
+                    "%s: cannot write the accounting snapshot; requests are still served and counted: %s",
+                    file,
+                    error.strerror,
+                )
 
         return write
 
 
-def _event(breach: Breach) -> bytes:
+def _encode_event(breach: Breach) -> bytes:
     return b"id: %d\nevent: breach\ndata: %b\n\n" % (breach.number, msgspec.json.encode(breach.as_dict()))
 
 
-def _webhook(loop: asyncio.AbstractEventLoop, url: str) -> Webhook:
+def _make_webhook(loop: asyncio.AbstractEventLoop, url: str) -> Webhook:
     parts = urlsplit(url)
     if parts.scheme != "http":
         raise ValueError(f"figures.webhook: expected http://HOST:PORT/PATH, got {url!r}")
--- a/pebblepass/accounting/snapshot.py
+++ b/pebblepass/accounting/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of the ledger as files: written whole or not at all, and read with mistrust."""
+"""Snapshots of the ledger as files: written atomically, and validated when read."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Row(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One account, as `Ledger.figures` gives it."""
+    """One account, in the form of `Ledger.export_rows`."""
 
     name: str = msgspec.field(name="class")
     namespace: str
@@ -40,16 +40,16 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A complete snapshot."""
+    """The contents of a snapshot file."""
 
     format: str
     version: int
     router: str
     epoch: str
-    """One series of counts without a gap: continued by a planned restart, a new one after a kill."""
+    """Identifies a gapless series of counts: a planned restart continues it, a kill starts a new one."""
     written_unix_ns: int
     closing: bool
-    """Written at a planned stop, without open requests: a successor may continue it."""
+    """Whether it was written at a planned stop; a successor continues it if no request is open."""
     breaches: int
     figures: list[Row]
 
@@ -67,7 +67,7 @@
 def encode(
     router: str, epoch: str, unix_ns: int, closing: bool, breaches: int, figures: list[dict[str, Any]]
 ) -> bytes:
-    """Return the bytes of a snapshot."""
+    """Encode a snapshot file."""
     document = {
         "format": FORMAT,
         "version": VERSION,
@@ -82,23 +82,23 @@
 
 
 def decode(data: bytes, router: str) -> Snapshot:
-    """Parse a snapshot of this router; raises SnapshotError if it is broken or another router's."""
+    """Decode and validate a snapshot of this router; raises SnapshotError if it can't be used."""
     try:
         snapshot = msgspec.json.decode(data, type=Snapshot)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise SnapshotError(f"half-written, or no snapshot: {' '.join(str(error).split())}") from None
+        raise SnapshotError(f"truncated, or not a snapshot: {' '.join(str(error).split())}") from None
     if snapshot.format != FORMAT or snapshot.version != VERSION:
-        raise SnapshotError(f"of another form: {snapshot.format} {snapshot.version}")
+        raise SnapshotError(f"unsupported format or version: {snapshot.format} {snapshot.version}")
     if snapshot.router != router:
-        raise SnapshotError(f"of another router: {snapshot.router}")
+        raise SnapshotError(f"belongs to another router: {snapshot.router}")
     for row in snapshot.figures:
         if row.taken != row.served + row.refused + row.failed + row.gone + row.open:
-            raise SnapshotError(f"does not add up: {row.name} in {row.namespace}")
+            raise SnapshotError(f"does not balance: class {row.name} in namespace {row.namespace}")
     return snapshot
 
 
 def load_initial_state(path: Path, router: str, fresh_epoch: str) -> InitialState:
-    """Return the state to start with, continuing the epoch of a closing balance.
+    """Return the state to start with; a closing snapshot without open requests is continued in its epoch.
 
     Raises SnapshotError if the file can't be used.
     """
--- a/pebblepass/accounting/webhook.py
+++ b/pebblepass/accounting/webhook.py
@@ -1,4 +1,4 @@
-"""Posts breaches to the operator's address: one at a time, with retries, without blocking requests."""
+"""Posts breaches to the operator's webhook, one at a time and with retries, without blocking requests."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from pebblepass.wire.http import HttpError, HttpReader, request
 
 MAX_QUEUED = 64
-POST_TIMEOUT_S = 2.0  # for one post, with its connection
+POST_TIMEOUT_S = 2.0  # for one post, including the connection setup
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.25, 30.0
 
 log = logging.getLogger("pebblepass")
 
 
 class Webhook:
-    """Posts each event; while the address does not answer, a full queue drops its oldest."""
+    """Posts each event, retrying with exponential backoff; a full queue drops its oldest event."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, path: str) -> None:
         self._loop, self._address, self._path = loop, address, path
@@ -28,18 +28,18 @@
         self.posted = self.dropped = 0
 
     def send(self, body: bytes) -> None:
-        """Queue a body (JSON) to be posted; return at once."""
+        """Queue a JSON body for posting, and return immediately."""
         self.dropped += len(self._queue) == MAX_QUEUED
         self._queue.append(body)
         if self._task is None or self._task.done():
-            self._task = self._loop.create_task(self._work())
+            self._task = self._loop.create_task(self._post_queue())
 
     def close(self) -> None:
-        """Stop posting; the queue is dropped."""
+        """Stop posting and discard the queue."""
         if self._task is not None:
             self._task.cancel()
 
-    async def _work(self) -> None:
+    async def _post_queue(self) -> None:
         backoff_s = MIN_BACKOFF_S
         while self._queue:
             body = self._queue[0]
@@ -47,11 +47,11 @@
                 async with asyncio.timeout(POST_TIMEOUT_S):
                     status = await self._post(body)
                 if status >= 300:
-                    raise HttpError(f"answered {status}")
+                    raise HttpError(f"expected an HTTP status below 300, got {status}")
             except (OSError, TimeoutError, HttpError, httptools.HttpParserError) as error:
                 if backoff_s == MIN_BACKOFF_S:
                     log.warning(
-                        "the webhook: posting a breach to %s:%d failed, it is retried: %s",
+                        "posting a breach to the webhook at %s:%d failed; retrying with backoff: %s",
                         *self._address,
                         str(error) or type(error).__name__,
                     )
@@ -60,12 +60,12 @@
                 continue
             backoff_s = MIN_BACKOFF_S
             self.posted += 1
-            # A full queue may have dropped it meanwhile.
+            # The queue may have dropped this event while it was posted.
             if self._queue and self._queue[0] is body:
                 self._queue.popleft()
 
     async def _post(self, body: bytes) -> int:
-        post = _Post(self._loop)
+        post = _PostConnection(self._loop)
         transport, _ = await self._loop.create_connection(lambda: post, *self._address)
         try:
             host = f"{self._address[0]}:{self._address[1]}"
@@ -75,8 +75,8 @@
             transport.abort()
 
 
-class _Post(asyncio.Protocol, HttpReader):
-    """One connection for one post."""
+class _PostConnection(asyncio.Protocol, HttpReader):
+    """The connection of one post."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         HttpReader.__init__(self)
@@ -84,15 +84,15 @@
 
     def data_received(self, data: bytes) -> None:
         try:
-            whole = self.read(data)
+            complete = self.read(data)
         except HttpError as error:
             self._fail(error)
             return
-        if whole and not self.status_received.done():
+        if complete and not self.status_received.done():
             self.status_received.set_result(self.status)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._fail(ConnectionResetError("closed without an answer"))
+        self._fail(ConnectionResetError("connection closed without a response"))
 
     def _fail(self, error: Exception) -> None:
         if not self.status_received.done():
--- a/tests/accounting/test_ledger.py
+++ b/tests/accounting/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger: moves that are legal, each illegal one as exactly one breach, and any interleaving of both."""
+"""The ledger: valid operations, one breach for each invalid one, and any interleaving of both."""
 
 from __future__ import annotations
 
@@ -20,231 +20,237 @@
     bucket_bounds,
 )
 
-MS = 1_000_000
-AIMS = {"fetch": 300 * MS, "publish": 500 * MS}
+NS_PER_MS = 1_000_000
+LATENCY_TARGETS = {"fetch": 300 * NS_PER_MS, "publish": 500 * NS_PER_MS}
 
 
-def ledger() -> tuple[Ledger, list[Breach]]:
-    told: list[Breach] = []
-    return Ledger(AIMS, ("public", "municipal"), told.append), told
+def make_ledger() -> tuple[Ledger, list[Breach]]:
+    reported: list[Breach] = []
+    return Ledger(LATENCY_TARGETS, ("public", "municipal"), reported.append), reported
 
 
-def take(made: Ledger, request: str = "q", cls: str = "fetch", namespace: str | None = "public") -> None:
-    made.open_request(request, cls, namespace, now=0, due=1000 * MS, size=100, path="RESP2 client")
+def take(ledger: Ledger, request: str = "q", cls: str = "fetch", namespace: str | None = "public") -> None:
+    ledger.open_request(
+        request, cls, namespace, now=0, deadline=1000 * NS_PER_MS, size=100, path="RESP2 client"
+    )
 
 
-def only(made: Ledger) -> dict[str, object]:
-    (row,) = made.export_rows()
+def only_row(ledger: Ledger) -> dict[str, object]:
+    (row,) = ledger.export_rows()
     return row
 
 
-def test_a_request_moves_from_open_to_one_account() -> None:
-    made, told = ledger()
-    take(made)
-    assert only(made)["open"] == 1
-    made.record_served("q", 20 * MS, 2000)
-    row = only(made)
+def test_served_request_moves_from_open_to_served() -> None:
+    ledger, reported = make_ledger()
+    take(ledger)
+    assert only_row(ledger)["open"] == 1
+    ledger.record_served("q", 20 * NS_PER_MS, 2000)
+    row = only_row(ledger)
     assert (row["taken"], row["served"], row["served_in_aim"], row["open"]) == (1, 1, 1, 0)
     assert (row["bytes_taken"], row["bytes_served"]) == (100, 2000)
-    made.audit(0, 0, ())
-    assert told == []
+    ledger.audit(0, 0, ())
+    assert reported == []
 
 
-def test_each_way_to_end_is_its_own_account() -> None:
-    made, told = ledger()
+def test_each_final_result_has_its_own_count() -> None:
+    ledger, reported = make_ledger()
     for name in "abcdef":
-        take(made, name)
-    made.record_served("a", 300 * MS, 1)
-    made.record_served("b", 301 * MS, 1)
-    made.record_rejected("c", MS, "shed")
-    made.record_rejected("d", MS, "limit")
-    made.record_failed("e", MS, "attempts")
-    made.record_disconnected("f", MS)
-    row = only(made)
+        take(ledger, name)
+    ledger.record_served("a", 300 * NS_PER_MS, 1)
+    ledger.record_served("b", 301 * NS_PER_MS, 1)
+    ledger.record_rejected("c", NS_PER_MS, "shed")
+    ledger.record_rejected("d", NS_PER_MS, "limit")
+    ledger.record_failed("e", NS_PER_MS, "attempts")
+    ledger.record_disconnected("f", NS_PER_MS)
+    row = only_row(ledger)
     assert (row["served_in_aim"], row["served_late"], row["gone"]) == (1, 1, 1)
     assert row["refused_by_reason"] == {"limit": 1, "shed": 1}
     assert row["failed_by_reason"] == {"attempts": 1}
-    made.audit(0, 0, ())
-    assert told == []
+    ledger.audit(0, 0, ())
+    assert reported == []
 
 
-def test_a_second_final_answer_is_one_breach_with_the_place() -> None:
-    made, told = ledger()
-    take(made)
-    made.record_rejected("q", MS, "shed")
-    made.record_served("q", 2 * MS, 1)
-    (breach,) = told
-    assert breach.kind is BreachKind.TWICE_CLOSED
+def test_second_final_answer_is_one_breach_that_names_the_path() -> None:
+    ledger, reported = make_ledger()
+    take(ledger)
+    ledger.record_rejected("q", NS_PER_MS, "shed")
+    ledger.record_served("q", 2 * NS_PER_MS, 1)
+    (breach,) = reported
+    assert breach.kind is BreachKind.CLOSED_TWICE
     assert breach.as_dict() == {
         "number": 1,
         "kind": "a second final answer",
-        "at_ns": 2 * MS,
+        "at_ns": 2 * NS_PER_MS,
         "request": "q",
         "class": "fetch",
         "namespace": "public",
         "path": "RESP2 client: served",
     }
-    assert only(made)["served"] == 0  # the entry moves once
+    assert only_row(ledger)["served"] == 0  # the second answer is not counted
 
 
-def test_an_answer_for_nothing_is_one_breach() -> None:
-    made, told = ledger()
-    made.record_failed("never-asked", MS, "attempts")
-    assert [breach.kind for breach in told] == [BreachKind.NEVER_TAKEN]
+def test_answer_to_unknown_request_is_one_breach() -> None:
+    ledger, reported = make_ledger()
+    ledger.record_failed("unknown", NS_PER_MS, "attempts")
+    assert [breach.kind for breach in reported] == [BreachKind.NEVER_OPENED]
 
 
-def test_a_request_taken_twice_is_one_breach() -> None:
-    made, told = ledger()
-    take(made)
-    take(made)
-    assert [breach.kind for breach in told] == [BreachKind.TWICE_TAKEN]
-    assert only(made)["taken"] == 1
+def test_request_opened_twice_is_one_breach() -> None:
+    ledger, reported = make_ledger()
+    take(ledger)
+    take(ledger)
+    assert [breach.kind for breach in reported] == [BreachKind.OPENED_TWICE]
+    assert only_row(ledger)["taken"] == 1
 
 
-def test_an_entry_that_is_never_closed_is_one_breach_however_often_it_is_looked_at() -> None:
-    made, told = ledger()
-    take(made)
-    made.audit(1050 * MS, 50 * MS, {"q"})
-    assert told == []
+def test_overdue_entry_is_one_breach_over_repeated_audits() -> None:
+    ledger, reported = make_ledger()
+    take(ledger)
+    ledger.audit(1050 * NS_PER_MS, 50 * NS_PER_MS, {"q"})
+    assert reported == []
     for _ in range(3):
-        made.audit(1051 * MS, 50 * MS, {"q"})
-    assert [(breach.kind, breach.path) for breach in told] == [
+        ledger.audit(1051 * NS_PER_MS, 50 * NS_PER_MS, {"q"})
+    assert [(breach.kind, breach.path) for breach in reported] == [
         (BreachKind.NEVER_CLOSED, "RESP2 client: overdue")
     ]
 
 
-def test_a_request_that_its_owner_has_forgotten_shows_at_once() -> None:
-    made, told = ledger()
-    take(made)
-    made.audit(MS, 50 * MS, ())
-    assert [(breach.kind, breach.path) for breach in told] == [
+def test_entry_forgotten_by_the_router_is_a_breach_at_the_next_audit() -> None:
+    ledger, reported = make_ledger()
+    take(ledger)
+    ledger.audit(NS_PER_MS, 50 * NS_PER_MS, ())
+    assert [(breach.kind, breach.path) for breach in reported] == [
         (BreachKind.NEVER_CLOSED, "RESP2 client: forgotten")
     ]
 
 
-def test_a_request_that_is_open_without_an_entry_shows() -> None:
-    made, told = ledger()
-    made.audit(MS, 0, {"q"})
-    made.audit(MS, 0, {"q"})
-    assert [breach.kind for breach in told] == [BreachKind.NOT_OPEN]
+def test_open_request_without_entry_is_one_breach() -> None:
+    ledger, reported = make_ledger()
+    ledger.audit(NS_PER_MS, 0, {"q"})
+    ledger.audit(NS_PER_MS, 0, {"q"})
+    assert [breach.kind for breach in reported] == [BreachKind.OPEN_WITHOUT_ENTRY]
 
 
-def test_a_figure_that_was_changed_behind_the_ledgers_back_does_not_add_up() -> None:
-    made, told = ledger()
-    take(made)
-    made.record_served("q", MS, 1)
-    made.accounts["fetch", "public"].served_in_aim += 1
-    made.audit(MS, 0, ())
-    made.audit(MS, 0, ())
-    assert [(b.kind, b.request_class, b.namespace) for b in told] == [
-        (BreachKind.NO_BALANCE, "fetch", "public")
+def test_count_changed_outside_the_ledger_is_one_breach() -> None:
+    ledger, reported = make_ledger()
+    take(ledger)
+    ledger.record_served("q", NS_PER_MS, 1)
+    ledger.accounts["fetch", "public"].served_in_aim += 1
+    ledger.audit(NS_PER_MS, 0, ())
+    ledger.audit(NS_PER_MS, 0, ())
+    assert [(breach.kind, breach.request_class, breach.namespace) for breach in reported] == [
+        (BreachKind.UNBALANCED, "fetch", "public")
     ]
 
 
-def test_namespaces_that_strangers_invent_go_to_one_account() -> None:
-    made, _ = ledger()
+def test_unconfigured_namespaces_share_one_account() -> None:
+    ledger, _ = make_ledger()
     for number in range(1000):
-        take(made, f"q{number}", namespace=f"invented-{number}")
-    take(made, "none", namespace=None)
-    row = only(made)
+        take(ledger, f"q{number}", namespace=f"unconfigured-{number}")
+    take(ledger, "none", namespace=None)
+    row = only_row(ledger)
     assert (row["namespace"], row["taken"]) == (OTHER, 1001)
-    assert len(made.accounts) == len(AIMS) * 3
+    assert len(ledger.accounts) == len(LATENCY_TARGETS) * 3
 
 
-def test_what_is_turned_away_is_taken_and_closed_in_one_move() -> None:
-    made, told = ledger()
-    made.record_unopened("fetch", "public", MS, 10, "RESP2 client", refused="connections")
-    made.record_unopened("fetch", "public", MS, 10, "RESP2 client", failed="duplicate id")
-    row = only(made)
+def test_request_rejected_before_opening_is_counted_as_taken_and_closed() -> None:
+    ledger, reported = make_ledger()
+    ledger.record_unopened("fetch", "public", NS_PER_MS, 10, "RESP2 client", refused="connections")
+    ledger.record_unopened("fetch", "public", NS_PER_MS, 10, "RESP2 client", failed="duplicate id")
+    row = only_row(ledger)
     assert (row["taken"], row["refused"], row["failed"], row["open"]) == (2, 1, 1, 0)
-    made.audit(MS, 0, ())
-    assert told == []
+    ledger.audit(NS_PER_MS, 0, ())
+    assert reported == []
 
 
-def test_an_attempt_that_ends_after_its_request_still_counts() -> None:
-    made, _ = ledger()
-    take(made)
-    made.record_disconnected("q", MS)
-    made.record_attempt("fetch", "public", "ok", to_origin=True)
-    made.record_attempt("fetch", "unheard-of", "ok", to_origin=True)
-    row = only(made)
+def test_attempt_that_ends_after_its_request_is_counted() -> None:
+    ledger, _ = make_ledger()
+    take(ledger)
+    ledger.record_disconnected("q", NS_PER_MS)
+    ledger.record_attempt("fetch", "public", "ok", to_origin=True)
+    ledger.record_attempt("fetch", "unconfigured", "ok", to_origin=True)
+    row = only_row(ledger)
     assert (row["attempts"], row["origin_fetches"]) == ({"ok": 1}, 1)
 
 
-def test_the_attempt_that_brought_the_answer_counts_with_it() -> None:
-    made, told = ledger()
+def test_record_served_counts_the_successful_attempt() -> None:
+    ledger, reported = make_ledger()
     for name, to_origin in (("a", None), ("b", False), ("c", True)):
-        take(made, name)
-        made.record_served(name, MS, 1, to_origin)
-    row = only(made)
-    assert (row["served"], row["attempts"], row["origin_fetches"], told) == (3, {"ok": 2}, 1, [])
+        take(ledger, name)
+        ledger.record_served(name, NS_PER_MS, 1, to_origin)
+    row = only_row(ledger)
+    assert (row["served"], row["attempts"], row["origin_fetches"], reported) == (3, {"ok": 2}, 1, [])
 
 
-def test_breaches_are_kept_until_they_are_acknowledged_and_the_list_is_bounded() -> None:
-    made, told = ledger()
+def test_pending_breaches_are_bounded_and_kept_until_acknowledged() -> None:
+    ledger, reported = make_ledger()
     for number in range(MAX_PENDING_BREACHES + 10):
-        made.record_disconnected(f"nobody-{number}", 0)
-    assert len(made.breaches) == MAX_PENDING_BREACHES
-    assert made.breach_count == len(told) == MAX_PENDING_BREACHES + 10
-    assert made.acknowledge(10) == 10
-    assert made.breaches[0].number == 11
-    assert made.acknowledge(made.breach_count) == MAX_PENDING_BREACHES - 10
-    assert made.breaches == []
+        ledger.record_disconnected(f"unknown-{number}", 0)
+    assert len(ledger.breaches) == MAX_PENDING_BREACHES
+    assert ledger.breach_count == len(reported) == MAX_PENDING_BREACHES + 10
+    assert ledger.acknowledge(10) == 10
+    assert ledger.breaches[0].number == 11
+    assert ledger.acknowledge(ledger.breach_count) == MAX_PENDING_BREACHES - 10
+    assert ledger.breaches == []
 
 
-def test_what_was_closed_is_remembered_only_so_long() -> None:
-    made, told = ledger()
+def test_closed_requests_are_remembered_for_a_bounded_time() -> None:
+    ledger, reported = make_ledger()
     for number in range(2 * CLOSED_HISTORY):
-        take(made, f"q{number}")
-        made.record_disconnected(f"q{number}", 0)
-    made.record_disconnected("q0", 0)
-    made.record_disconnected(f"q{CLOSED_HISTORY}", 0)
-    assert [breach.kind for breach in told] == [BreachKind.NEVER_TAKEN, BreachKind.TWICE_CLOSED]
+        take(ledger, f"q{number}")
+        ledger.record_disconnected(f"q{number}", 0)
+    ledger.record_disconnected("q0", 0)
+    ledger.record_disconnected(f"q{CLOSED_HISTORY}", 0)
+    assert [breach.kind for breach in reported] == [BreachKind.NEVER_OPENED, BreachKind.CLOSED_TWICE]
 
 
-@pytest.mark.parametrize("micros", [0, 1, 15, 16, 17, 31, 32, 33, 100, 999, 12_345, 1_200_000, 10**9])
-def test_a_latency_lies_within_its_bucket_which_is_a_sixteenth_wide_at_most(micros: int) -> None:
-    least, most = bucket_bounds(bucket(micros * 1000))
-    assert least <= micros < most
-    assert most - least <= max(1, least / 16)
+@pytest.mark.parametrize("latency_us", [0, 1, 15, 16, 17, 31, 32, 33, 100, 999, 12_345, 1_200_000, 10**9])
+def test_latency_lies_within_its_bucket_of_bounded_width(latency_us: int) -> None:
+    lower_us, upper_us = bucket_bounds(bucket(latency_us * 1000))
+    assert lower_us <= latency_us < upper_us
+    assert upper_us - lower_us <= max(1, lower_us / 16)
 
 
-def test_buckets_follow_one_another_without_a_gap() -> None:
+def test_buckets_are_contiguous() -> None:
     bounds = [bucket_bounds(number) for number in range(400)]
-    assert all(one[1] == two[0] for one, two in pairwise(bounds))
-    assert all(bucket(least * 1000) == number for number, (least, _) in enumerate(bounds))
+    assert all(lower[1] == upper[0] for lower, upper in pairwise(bounds))
+    assert all(bucket(lower_us * 1000) == number for number, (lower_us, _) in enumerate(bounds))
 
 
-class AnyInterleaving(RuleBasedStateMachine):
-    """Moves in any order, legal or not, against a model that keeps a list of what happened."""
+class LedgerStateMachine(RuleBasedStateMachine):
+    """Valid and invalid operations in any order, compared with a model that counts them."""
 
     @initialize()
     def begin(self) -> None:
-        self.told: list[Breach] = []
-        self.ledger = Ledger(AIMS, ("public",), self.told.append)
+        self.reported: list[Breach] = []
+        self.ledger = Ledger(LATENCY_TARGETS, ("public",), self.reported.append)
         self.now = 0
         self.open: dict[str, tuple[str, str]] = {}
-        self.ever: set[str] = set()
+        self.opened_ever: set[str] = set()
         self.model: Counter[tuple[tuple[str, str], str]] = Counter()
         self.breaches = 0
 
     names = strategies.sampled_from([f"q{number}" for number in range(6)])
 
-    @rule(name=names, cls=strategies.sampled_from(list(AIMS)), ns=strategies.sampled_from(["public", "x"]))
+    @rule(
+        name=names,
+        cls=strategies.sampled_from(list(LATENCY_TARGETS)),
+        ns=strategies.sampled_from(["public", "x"]),
+    )
     def take(self, name: str, cls: str, ns: str) -> None:
-        self.now += MS
-        self.ledger.open_request(name, cls, ns, self.now, self.now + 1000 * MS, 1, "test")
+        self.now += NS_PER_MS
+        self.ledger.open_request(name, cls, ns, self.now, self.now + 1000 * NS_PER_MS, 1, "test")
         if name in self.open:
             self.breaches += 1
             return
         self.open[name] = (cls, "public" if ns == "public" else OTHER)
-        self.ever.add(name)
+        self.opened_ever.add(name)
         self.model[self.open[name], "taken"] += 1
 
-    @rule(name=names, how=strategies.sampled_from(["served", "refused", "failed", "gone"]))
-    def close(self, name: str, how: str) -> None:
-        self.now += MS
-        match how:
+    @rule(name=names, result=strategies.sampled_from(["served", "refused", "failed", "gone"]))
+    def close(self, name: str, result: str) -> None:
+        self.now += NS_PER_MS
+        match result:
             case "served":
                 self.ledger.record_served(name, self.now, 1)
             case "refused":
@@ -257,25 +263,27 @@
         if key is None:
             self.breaches += 1
         else:
-            self.model[key, how] += 1
+            self.model[key, result] += 1
 
     @rule(name=names)
     def attempt(self, name: str) -> None:
         self.ledger.record_attempt("fetch", name, "ok", to_origin=False)
 
     @invariant()
-    def agrees(self) -> None:
+    def ledger_matches_model(self) -> None:
         if not hasattr(self, "ledger"):
             return
         self.ledger.audit(self.now, 10**12, self.open)
-        assert len(self.told) == self.breaches
+        assert len(self.reported) == self.breaches
         for row in self.ledger.export_rows():
             key = (str(row["class"]), str(row["namespace"]))
-            for how in ("taken", "served", "refused", "failed", "gone"):
-                assert row[how] == self.model[key, how]
-            assert row["open"] == sum(held == key for held in self.open.values())
-            assert row["taken"] == sum(row[how] for how in ("served", "refused", "failed", "gone", "open"))
+            for result in ("taken", "served", "refused", "failed", "gone"):
+                assert row[result] == self.model[key, result]
+            assert row["open"] == sum(account == key for account in self.open.values())
+            assert row["taken"] == sum(
+                row[result] for result in ("served", "refused", "failed", "gone", "open")
+            )
 
 
-TestAnyInterleaving = AnyInterleaving.TestCase
-TestAnyInterleaving.settings = settings(max_examples=80, deadline=None, derandomize=True)
+TestLedgerStateMachine = LedgerStateMachine.TestCase
+TestLedgerStateMachine.settings = settings(max_examples=80, deadline=None, derandomize=True)
--- a/tests/accounting/test_rehearsed.py
+++ b/tests/accounting/test_rehearsed.py
@@ -1,4 +1,4 @@
-"""The routers' own figures against the kit's count, and hosts that lose count on purpose."""
+"""Simulated routers: accounts against the simulator's counts, and hosts that miscount on purpose."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from pebblepass.simulation.runner import rehearse
 from pebblepass.simulation.scenario import Disturbance, Fault, Fleet, Range, Scenario, Traffic
 
-LEAVING = Scenario(
+CLIENTS_LEAVING = Scenario(
     title="clients killed at random",
     length_s=5,
     fleet=Fleet(routers=2, nodes=6),
@@ -37,7 +37,7 @@
 
 
 def check(seed: int) -> None:
-    report = rehearse(make_plan(LEAVING, seed))
+    report = rehearse(make_plan(CLIENTS_LEAVING, seed))
     assert verdict(report) == []
     assert report["figures"] == {"compared": ["r0", "r1"], "differences": []}
     assert sum(tally["gone"] for tally in report["routers"].values()) > 30
@@ -45,133 +45,137 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_clients_killed_at_random_under_load_and_the_figures_are_the_kits(seed: int) -> None:
+def test_accounts_match_the_simulator_when_clients_leave_under_load(seed: int) -> None:
     check(seed)
 
 
 @pytest.mark.long
 @pytest.mark.parametrize("seed", range(20, 1020))
-def test_a_thousand_more_seeds(seed: int) -> None:
+def test_accounts_match_the_simulator_for_a_thousand_more_seeds(seed: int) -> None:
     check(seed)
 
 
-def test_a_killed_routers_figures_are_not_known_and_not_taken_for_zero() -> None:
-    scenario = msgspec.structs.replace(LEAVING, faults=(Fault(kind="router-kill", at_s=2, place=0),))
+def test_accounts_of_a_killed_router_are_not_compared() -> None:
+    scenario = msgspec.structs.replace(CLIENTS_LEAVING, faults=(Fault(kind="router-kill", at_s=2, place=0),))
     report = rehearse(make_plan(scenario, 1))
     assert verdict(report) == []
     assert report["figures"] == {"compared": ["r1"], "differences": []}
 
 
-def test_figures_that_differ_fail_the_rehearsal(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_differing_accounts_fail_the_rehearsal(monkeypatch: pytest.MonkeyPatch) -> None:
     record_rejected = Ledger.record_rejected
 
-    def mistaken(self: Ledger, request: str, now: int, reason: str) -> None:
+    def count_limit_as_failed(self: Ledger, request: str, now: int, reason: str) -> None:
         if reason == "limit":
             self.record_failed(request, now, reason)
         else:
             record_rejected(self, request, now, reason)
 
-    monkeypatch.setattr(Ledger, "record_rejected", mistaken)
-    lines = verdict(rehearse(make_plan(LEAVING, 1)))
+    monkeypatch.setattr(Ledger, "record_rejected", count_limit_as_failed)
+    lines = verdict(rehearse(make_plan(CLIENTS_LEAVING, 1)))
     assert lines
     assert all(line.startswith("figures differ: r") for line in lines)
     assert any("refused" in line and "failed" in line for line in lines)
 
 
-# Hosts that lose count, once each: exactly one breach.
+# Each host miscounts one request, which must be exactly one breach.
 
 
-class AnswersTwice(RouterHost):
-    """Gives the first refusal twice."""
+class RecordsRejectionTwice(RouterHost):
+    """Records the first rejection twice."""
 
-    done = False
+    has_failed = False
 
     def _answer(self, request_id: str, data: bytes, refused: str = "", failed: str = "") -> None:
         super()._answer(request_id, data, refused, failed)
-        if not self.done and self.ledger is not None:
-            self.done = True
+        if not self.has_failed and self.ledger is not None:
+            self.has_failed = True
             self.ledger.record_rejected(request_id, self.now(), refused)
 
 
-class Forgets(RouterHost):
-    """Drops the first request that it should refuse, without an answer."""
+class ForgetsRequest(RouterHost):
+    """Drops the first request that it should reject, without an answer."""
 
-    done = False
+    has_failed = False
 
     def _answer(self, request_id: str, data: bytes, refused: str = "", failed: str = "") -> None:
-        if not self.done:
-            self.done = True
+        if not self.has_failed:
+            self.has_failed = True
             del self._requests[request_id]
             return
         super()._answer(request_id, data, refused, failed)
 
 
-class WrongAccount(RouterHost):
-    """Books the first answered read as one whose client has left."""
+class RecordsWrongResult(RouterHost):
+    """Records the first answered read as one whose client has disconnected."""
 
-    done = False
+    has_failed = False
 
     def forget_if_settled(self, request: OpenRequest) -> None:
-        if not self.done and request.closed and self.ledger is not None and not request.accounted:
-            self.done = True
+        if not self.has_failed and request.closed and self.ledger is not None and not request.accounted:
+            self.has_failed = True
             self.ledger.record_disconnected(request.id, self.now())
         super().forget_if_settled(request)
 
 
-class NeverTakes(RouterHost):
-    """Serves one request that it has not entered."""
+class RecordsUnopenedRequest(RouterHost):
+    """Records one served request that was never opened."""
 
-    done = False
+    has_failed = False
 
     def client_disconnected(self, reply: Any) -> None:
-        if not self.done and self.ledger is not None:
-            self.done = True
-            self.ledger.record_served("nothing", self.now(), 1)
+        if not self.has_failed and self.ledger is not None:
+            self.has_failed = True
+            self.ledger.record_served("unopened", self.now(), 1)
         super().client_disconnected(reply)
 
 
 @pytest.mark.parametrize(
     ("host", "kind"),
     [
-        (AnswersTwice, BreachKind.TWICE_CLOSED),
-        (Forgets, BreachKind.NEVER_CLOSED),
-        (WrongAccount, BreachKind.TWICE_CLOSED),
-        (NeverTakes, BreachKind.NEVER_TAKEN),
+        (RecordsRejectionTwice, BreachKind.CLOSED_TWICE),
+        (ForgetsRequest, BreachKind.NEVER_CLOSED),
+        (RecordsWrongResult, BreachKind.CLOSED_TWICE),
+        (RecordsUnopenedRequest, BreachKind.NEVER_OPENED),
     ],
 )
-def test_a_host_that_loses_count_once_is_exactly_one_breach(
+def test_one_miscounted_request_is_exactly_one_breach(
     monkeypatch: pytest.MonkeyPatch, host: type[RouterHost], kind: BreachKind
 ) -> None:
-    made: list[Ledger] = []
+    ledgers: list[Ledger] = []
     make_ledger = service.make_ledger
 
-    def kept(*words: Any) -> Ledger:
-        made.append(make_ledger(*words))
-        return made[-1]
+    def make_kept_ledger(*arguments: Any) -> Ledger:
+        ledgers.append(make_ledger(*arguments))
+        return ledgers[-1]
 
-    class Broken(Daemon):
+    class FaultyDaemon(Daemon):
         host_class = host
 
-    monkeypatch.setattr(service, "make_ledger", kept)
-    scenario = msgspec.structs.replace(LEAVING, fleet=Fleet(routers=1, nodes=6), faults=LEAVING.faults[:1])
-    report = rehearse(make_plan(scenario, 3), make=Broken)
-    breaches: list[Breach] = [breach for ledger in made for breach in ledger.breaches]
+    monkeypatch.setattr(service, "make_ledger", make_kept_ledger)
+    scenario = msgspec.structs.replace(
+        CLIENTS_LEAVING, fleet=Fleet(routers=1, nodes=6), faults=CLIENTS_LEAVING.faults[:1]
+    )
+    report = rehearse(make_plan(scenario, 3), make=FaultyDaemon)
+    breaches: list[Breach] = [breach for ledger in ledgers for breach in ledger.breaches]
     assert [breach.kind for breach in breaches] == [kind]
     assert any(line.startswith("crashed: r0: breach") for line in verdict(report))
 
 
-def test_the_ledger_knows_attempts_and_where_they_went() -> None:
-    held: list[tuple[str, bool]] = []
-    attempt = Ledger.record_attempt
+def test_ledger_records_attempts_with_outcome_and_destination() -> None:
+    attempts: list[tuple[str, bool]] = []
+    record_attempt = Ledger.record_attempt
 
-    def noted(self: Ledger, cls: str, namespace: str | None, outcome: str, to_origin: bool) -> None:
-        held.append((outcome, to_origin))
-        attempt(self, cls, namespace, outcome, to_origin)
+    def recorded(self: Ledger, cls: str, namespace: str | None, outcome: str, to_origin: bool) -> None:
+        attempts.append((outcome, to_origin))
+        record_attempt(self, cls, namespace, outcome, to_origin)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(Ledger, "record_attempt", noted)
-        report = rehearse(make_plan(LEAVING, 3))
+        patch.setattr(Ledger, "record_attempt", recorded)
+        report = rehearse(make_plan(CLIENTS_LEAVING, 3))
     assert verdict(report) == []
-    assert ("miss", False) in held
-    assert ("ok", True) in held
-    assert sum(outcome == "ok" and to_origin for outcome, to_origin in held) <= report["attempts"]["store"]
+    assert ("miss", False) in attempts
+    assert ("ok", True) in attempts
+    assert (
+        sum(outcome == "ok" and to_origin for outcome, to_origin in attempts) <= report["attempts"]["store"]
+    )
