--- a/pebblepass/accounting/ledger.py
+++ b/pebblepass/accounting/ledger.py
@@ -172,7 +172,7 @@
     def record_served(self, request: str, now: int, size: int, to_origin: bool | None = None) -> None:
         """Close a request as served.
 
-        Unless `to_origin` is None, also count the successful attempt: whether it went to the origin.
+        `to_origin`: whether the successful attempt went to the origin; None if it is not counted here.
         """
         if (entry := self._close(request, now, "served")) is not None:
             self._served.append((entry, now, size, to_origin))
--- a/pebblepass/adapter.py
+++ b/pebblepass/adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's wire (one JSON value a line) to the library's interface and back. No decisions."""
+"""Translates between the simulator's protocol (one JSON value per line) and the decision interface."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from pebblepass.decisions.router import Router
 from pebblepass.decisions.settings import Fields, WireError, read_settings, require_choice, require_type
 
-_OUTCOMES = {
+_OUTCOMES_BY_VERDICT = {
     "completed": api.Outcome.OK,
     "errored": api.Outcome.ERROR,
     "saturated": api.Outcome.OVERLOADED,
@@ -24,13 +24,13 @@
     "lookup_miss": api.Outcome.MISS,
 }
 _LIST_KINDS = (api.ListKind.DELTA, api.ListKind.FULL, api.ListKind.CACHED, api.ListKind.FAILED)
-_STATES = (api.ServerState.REMOVED, api.ServerState.READY, api.ServerState.DRAINING)
-_NOTES = {1: api.CacheNote.HIT, 2: api.CacheNote.MISS, 3: api.CacheNote.FETCH_SHARED}
+_SERVER_STATES = (api.ServerState.REMOVED, api.ServerState.READY, api.ServerState.DRAINING)
+_CACHE_NOTES = {1: api.CacheNote.HIT, 2: api.CacheNote.MISS, 3: api.CacheNote.FETCH_SHARED}
 
 
-def _indexed(where: str, table: tuple[Any, ...], value: Any) -> Any:
-    if not 0 <= require_type(where, value, int) < len(table):
-        raise WireError(f"{where}: unknown value {value!r}")
+def _lookup(field: str, table: tuple[Any, ...], value: Any) -> Any:
+    if not 0 <= require_type(field, value, int) < len(table):
+        raise WireError(f"{field}: unknown value {value!r}")
     return table[value]
 
 
@@ -38,7 +38,7 @@
     return api.Server(
         id=entry["server"],
         kind=entry.get("type") or "",
-        state=_indexed("lines.mode", _STATES, entry["mode"]),
+        state=_lookup("lines.mode", _SERVER_STATES, entry["mode"]),
         weight=1.0 if entry.get("weight") is None else entry["weight"],
         started=entry.get("bornNs") or 0,
         zone=entry.get("campus") or "",
@@ -47,15 +47,15 @@
 
 
 def _servers_changed(fields: Fields) -> api.ServersChanged:
-    kind = _indexed("backendsChanged.scope", _LIST_KINDS, fields["scope"])
+    kind = _lookup("backendsChanged.scope", _LIST_KINDS, fields["scope"])
     return api.ServersChanged(kind, tuple(_server(entry) for entry in fields.get("lines") or ()))
 
 
-def _load(row: list[float] | None) -> tuple[float, ...] | None:
+def _load_report(row: list[float] | None) -> tuple[float, ...] | None:
     return tuple(row) if row else None
 
 
-def _request(fields: Fields) -> api.RequestArrived:
+def _request_arrived(fields: Fields) -> api.RequestArrived:
     return api.RequestArrived(
         request=require_type("request.corr", fields["corr"], str),
         request_class=fields["category"],
@@ -67,36 +67,36 @@
     )
 
 
-def _reply(fields: Fields) -> api.AttemptEnded:
+def _attempt_ended(fields: Fields) -> api.AttemptEnded:
     return api.AttemptEnded(
         request=fields["corr"],
         attempt=fields["copy"],
         server=fields["server"],
-        outcome=require_choice("reply.verdict", _OUTCOMES, fields["verdict"]),
+        outcome=require_choice("reply.verdict", _OUTCOMES_BY_VERDICT, fields["verdict"]),
         answered=fields["terminal"],
         latency=fields["timeTakenNs"],
-        note=_NOTES.get(fields.get("note") or 0),
-        load_report=_load(fields.get("feedback")),
+        note=_CACHE_NOTES.get(fields.get("note") or 0),
+        load_report=_load_report(fields.get("feedback")),
     )
 
 
-def _echo(fields: Fields) -> api.HealthCheckEnded:
+def _health_check_ended(fields: Fields) -> api.HealthCheckEnded:
     return api.HealthCheckEnded(
         server=fields["server"],
-        outcome=require_choice("echo.verdict", _OUTCOMES, fields["verdict"]),
+        outcome=require_choice("echo.verdict", _OUTCOMES_BY_VERDICT, fields["verdict"]),
         latency=fields["timeTakenNs"],
-        load_report=_load(fields.get("feedback")),
+        load_report=_load_report(fields.get("feedback")),
     )
 
 
-_EVENTS: dict[str, Callable[[Fields], api.Event]] = {
+_EVENT_DECODERS: dict[str, Callable[[Fields], api.Event]] = {
     "backendsChanged": _servers_changed,
-    "request": _request,
+    "request": _request_arrived,
     "opened": lambda fields: api.StreamStarted(fields["corr"], fields["copy"]),
-    "reply": _reply,
+    "reply": _attempt_ended,
     "clientLeft": lambda fields: api.ClientDisconnected(fields["corr"]),
     "fired": lambda fields: api.TimerFired(fields["handle"]),
-    "echo": _echo,
+    "echo": _health_check_ended,
 }
 
 
@@ -104,24 +104,24 @@
     return {"transmit": {"corr": action.request, "server": action.server, "patienceNs": action.timeout}}
 
 
-_ACTIONS: dict[type, Callable[[Any], Fields]] = {
+_ACTION_ENCODERS: dict[type, Callable[[Any], Fields]] = {
     api.Send: _send,
-    api.Reject: lambda a: {"sayNo": {"corr": a.request, "backoffNs": a.retry_after}},
-    api.Fail: lambda a: {"finishError": {"corr": a.request}},
-    api.SetTimer: lambda a: {"setAlarm": {"fromNowNs": a.delay, "handle": a.token}},
-    api.Subscribe: lambda a: {"listen": {"want": True}},
-    api.HealthCheck: lambda a: {"healthCheck": {"server": a.server}},
+    api.Reject: lambda action: {"sayNo": {"corr": action.request, "backoffNs": action.retry_after}},
+    api.Fail: lambda action: {"finishError": {"corr": action.request}},
+    api.SetTimer: lambda action: {"setAlarm": {"fromNowNs": action.delay, "handle": action.token}},
+    api.Subscribe: lambda action: {"listen": {"want": True}},
+    api.HealthCheck: lambda action: {"healthCheck": {"server": action.server}},
 }
 
 
 class Adapter:
-    """Hosts router instances by number and answers batches of wire events."""
+    """Holds router instances by number, and answers batches of events with their actions."""
 
     def __init__(self) -> None:
         self._routers: dict[int, Router] = {}
 
     def answer(self, line: bytes) -> bytes:
-        """Answer one batch with one reply line; raises WireError on malformed input."""
+        """Answer a line with one batch of events with one reply line; raises WireError if it is malformed."""
         try:
             batch = require_type("batch", msgspec.json.decode(line), dict)
             now = require_type("batch.nowNs", batch["nowNs"], int)
@@ -145,12 +145,12 @@
         ((name, fields),) = message.items()
         require_type(name, fields, dict)
         if name == "create":
-            seed, facts = (
+            seed, settings = (
                 require_type("create.salt", fields["salt"], int),
                 require_type("facts", fields["facts"], dict),
             )
             try:
-                self._routers[number] = Router(read_settings(facts), seed)
+                self._routers[number] = Router(read_settings(settings), seed)
             except (TypeError, ValueError) as error:
                 raise WireError(f"create: {error}") from None
             return
@@ -160,26 +160,26 @@
         if name == "destroy":
             del self._routers[number]
             return
-        if name == "inbox":  # routers share nothing: a peer's message is no observation of one's own
+        if name == "inbox":  # ignored: a router decides by its own observations, not by a peer's
             return
         try:
-            event = _EVENTS[name](fields)
+            event = _EVENT_DECODERS[name](fields)
         except KeyError as error:
-            known = name in _EVENTS
+            is_known_event = name in _EVENT_DECODERS
             raise WireError(
-                f"{name}: missing field {error.args[0]!r}" if known else f"unknown event {name!r}"
+                f"{name}: missing field {error.args[0]!r}" if is_known_event else f"unknown event {name!r}"
             ) from None
         try:
             actions = router.handle(event, now)
-        except Exception as error:  # a failure in the decisions is reported where the wire provides for it
+        except Exception as error:  # the protocol has an order for reporting such a failure
             orders.append({"panic": {"message": f"{type(error).__name__}: {error}"}})
             return
         for action in actions:
-            orders.append(_ACTIONS[type(action)](action))
+            orders.append(_ACTION_ENCODERS[type(action)](action))
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer every line of `source` until it ends."""
+    """Answer every line of `source` on `sink` until `source` ends."""
     adapter = Adapter()
     for line in source:
         sink.write(adapter.answer(line))
@@ -187,7 +187,7 @@
 
 
 def main() -> int:
-    """Serve standard input; malformed input ends it with one plain line."""
+    """Serve standard input; malformed input ends the process with a one-line error and exit code 2."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/pebblepass/cli.py
+++ b/pebblepass/cli.py
@@ -1,4 +1,4 @@
-"""The `pebblepass` command. Each sub-command loads what it needs when it is called."""
+"""The `pebblepass` command. Each subcommand imports its modules only when it is called."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 from pebblepass import __version__
 
-EXIT_BROKEN, EXIT_USAGE, EXIT_INTERRUPTED = 1, 2, 130
+EXIT_FAILED, EXIT_USAGE, EXIT_INTERRUPTED = 1, 2, 130
 
 
-def _stop(line: str) -> None:
-    """End with one plain line and exit code 2."""
-    click.echo(f"pebblepass: {line}", err=True)
+def _exit_with_error(message: str) -> None:
+    """Print a one-line error, and exit with code 2."""
+    click.echo(f"pebblepass: {message}", err=True)
     sys.exit(EXIT_USAGE)
 
 
-class _Commands(click.Group):
-    """Loads a subsystem's commands when they are called: the others need none of what it does."""
+class _LazyGroup(click.Group):
+    """Imports the commands of a subsystem only when they are called."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return sorted([*super().list_commands(ctx), "figures", "policy", "scale", "trial"])
@@ -45,16 +45,16 @@
         return super().get_command(ctx, cmd_name)
 
 
-@click.group(cls=_Commands, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=_LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, prog_name="pebblepass")
 def main() -> None:
-    """A router between package clients and cache servers, and the kit to rehearse with it."""
+    """A router between package clients and cache servers, with a simulator and tools for operators."""
 
 
 @main.command()
-@click.option("--operator", type=click.Path(path_type=Path), help="The operator's file.")
+@click.option("--operator", type=click.Path(path_type=Path), help="The operator's configuration file.")
 def run(operator: Path | None) -> None:
-    """Run a router, configured by LB_CONFIG as the platform does."""
+    """Run a router with the configuration file that LB_CONFIG names."""
     from pebblepass.daemon.__main__ import OPERATOR_VARIABLE
     from pebblepass.daemon.__main__ import main as daemon_main
 
@@ -66,34 +66,50 @@
 @main.command()
 @click.argument("file", type=click.Path(path_type=Path))
 def check(file: Path) -> None:
-    """Check an operator's FILE, and print what would be in force."""
+    """Check the operator's FILE, and print the settings that would be in force."""
     from pebblepass.operator_config import FileError, describe, load_operator
 
     try:
         operator = load_operator(file)
     except FileError as error:
-        _stop(str(error))
+        _exit_with_error(str(error))
         return
-    for name, value, meaning in describe(operator):
-        click.echo(f"{name} = {value!r}  # {meaning}")
+    for name, value, description in describe(operator):
+        click.echo(f"{name} = {value!r}  # {description}")
 
 
 @main.command()
 @click.argument("scenario")
-@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="What is drawn.")
-@click.option("--routers", type=click.IntRange(1, 64), help="Routers, in place of the scenario's.")
-@click.option("--nodes", type=click.IntRange(1, 512), help="Mirror nodes, in place of the scenario's.")
-@click.option("--rate", type=click.FloatRange(0, min_open=True), help="Requests a second, likewise.")
-@click.option("--report", type=click.Path(path_type=Path), help="Write the report here, as JSON.")
-@click.option("--html", type=click.Path(path_type=Path), help="Write the report here, as a page with plots.")
-@click.option("--recovery", is_flag=True, help="Beside the calm twin and the bound; --html does so too.")
-@click.option("--real-time", is_flag=True, help="Against processes started by the deploy file's `run`.")
+@click.option(
+    "--seed", type=click.IntRange(0), default=1, show_default=True, help="Seed of the random numbers."
+)
+@click.option("--routers", type=click.IntRange(1, 64), help="Number of routers, in place of the scenario's.")
+@click.option(
+    "--nodes", type=click.IntRange(1, 512), help="Number of cache servers, in place of the scenario's."
+)
+@click.option(
+    "--rate", type=click.FloatRange(0, min_open=True), help="Requests per second, in place of the scenario's."
+)
+@click.option("--report", type=click.Path(path_type=Path), help="Write the report to this file as JSON.")
+@click.option(
+    "--html",
+    type=click.Path(path_type=Path),
+    help="Write the report to this file as an HTML page with plots.",
+)
+@click.option(
+    "--recovery",
+    is_flag=True,
+    help="Compare with an undisturbed run and the clairvoyant bound; --html implies this.",
+)
+@click.option(
+    "--real-time", is_flag=True, help="Run router processes with the `run` command of the deploy file."
+)
 @click.option(
     "--deploy",
     type=click.Path(path_type=Path),
     default=Path("deploy/balancer.toml"),
     show_default=True,
-    help="The deploy file, for --real-time.",
+    help="The deploy file that --real-time uses.",
 )
 def rehearse(
     scenario: str,
@@ -107,9 +123,9 @@
     real_time: bool,
     deploy: Path,
 ) -> None:
-    """Play SCENARIO (a shipped name, or a file) against the daemon's code on loopback, and report.
+    """Simulate SCENARIO (a shipped one's name, or a file) with the daemon's code, and print a report.
 
-    Exit code 0: every rule held and all adds up; 1: not so; 2: wrong usage.
+    Exit code 0: every rule was kept and the counts balance; 1: not so; 2: wrong usage; 130: interrupted.
     """
     from pebblepass.operator_config import FileError
     from pebblepass.simulation.plan import make_plan
@@ -119,34 +135,34 @@
     from pebblepass.simulation.terminal import play, print_report
 
     try:
-        drawn = load_scenario(scenario).scaled(routers, nodes, rate)
+        scaled_scenario = load_scenario(scenario).scaled(routers, nodes, rate)
     except FileError as error:
-        _stop(str(error))
+        _exit_with_error(str(error))
         return
     if real_time and not deploy.is_file():
-        _stop(f"{deploy}: no deploy file")
+        _exit_with_error(f"{deploy}: no such deploy file")
     for path in (report, html):
         if path is not None and not path.resolve().parent.is_dir():
-            _stop(f"{path}: no such folder")
-    plan = make_plan(drawn, seed)
+            _exit_with_error(f"{path}: its directory does not exist")
+    plan = make_plan(scaled_scenario, seed)
     try:
-        told = play(plan, deploy if real_time else None, recovery or html is not None)
+        results = play(plan, deploy if real_time else None, recovery or html is not None)
     except RehearsalError as error:
-        _stop(str(error))
+        _exit_with_error(str(error))
         return
     except KeyboardInterrupt:
-        click.echo("pebblepass: interrupted before it began", err=True)
+        click.echo("pebblepass: interrupted before the run began", err=True)
         sys.exit(EXIT_INTERRUPTED)
-    print_report(told)
+    print_report(results)
     if report is not None:
-        report.write_bytes(as_json(told))
+        report.write_bytes(as_json(results))
     if html is not None:
         from pebblepass.simulation.page import as_page
 
-        html.write_text(as_page(told))
-    if told["interrupted"]:
+        html.write_text(as_page(results))
+    if results["interrupted"]:
         sys.exit(EXIT_INTERRUPTED)
-    sys.exit(EXIT_BROKEN if verdict(told) else 0)
+    sys.exit(EXIT_FAILED if verdict(results) else 0)
 
 
 if __name__ == "__main__":
--- a/pebblepass/operator_config/__init__.py
+++ b/pebblepass/operator_config/__init__.py
@@ -1,6 +1,6 @@
-"""The operator's file: one validated schema, with a section for each subsystem.
+"""The operator's configuration file: a validated schema with a section for each subsystem.
 
-`run` loads it only if `PEBBLEPASS_OPERATOR` names a file; without one every subsystem is off.
+`run` loads it only if `PEBBLEPASS_OPERATOR` names a file; without one every optional subsystem is off.
 """
 
 from pebblepass.operator_config.loader import FileError, decode_toml, describe, read_toml
--- a/pebblepass/operator_config/loader.py
+++ b/pebblepass/operator_config/loader.py
@@ -1,4 +1,4 @@
-"""Loads TOML files into frozen structs and validates them; an error is one line that names the key."""
+"""Loads TOML files into structs and validates them; each error is one line that names the key."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 _ERROR_PATH = re.compile(r" - at `\$(.*)`$", re.S)
 _PATH_STEP = re.compile(r"\.([A-Za-z_][A-Za-z_0-9-]*)|\[(\d+|\.\.\.)\]")
-_UNKNOWN = re.compile(r"Object contains unknown field `(.*)`", re.S)
-_MISSING = re.compile(r"Object missing required field `(.*)`", re.S)
+_UNKNOWN_FIELD = re.compile(r"Object contains unknown field `(.*)`", re.S)
+_MISSING_FIELD = re.compile(r"Object missing required field `(.*)`", re.S)
 
 
 class FileError(Exception):
@@ -22,10 +22,10 @@
 
 
 class ConfigEntry(NamedTuple):
-    """One key in force."""
+    """A configuration key with the value in force."""
 
     name: str
-    """Dotted, as in `figures.listen`."""
+    """The dotted path of the key, as in `figures.listen`."""
     value: Any
     description: str
 
@@ -40,18 +40,18 @@
 
 
 def decode_toml(name: str, data: bytes, kind: type[T]) -> T:
-    """Decode and validate a file's bytes; `name` stands in errors. Raises FileError."""
+    """Decode and validate a file's bytes; raises FileError, with `name` as the file's name."""
     try:
         return msgspec.toml.decode(data, type=kind)
     except msgspec.ValidationError as error:
-        raise FileError(f"{name}: {_explain(str(error), kind)}") from None
+        raise FileError(f"{name}: {_error_message(str(error), kind)}") from None
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise FileError(f"{name}: not TOML: {_one_line(str(error))}") from None
 
 
 def describe(value: msgspec.Struct, prefix: str = "") -> Iterator[ConfigEntry]:
-    """Yield every key in force: its dotted name, its value and its description."""
-    hints = _hints(type(value))
+    """Yield an entry for every key of a struct, with those of nested structs."""
+    hints = _type_hints(type(value))
     for field in msgspec.structs.fields(type(value)):
         name, setting = prefix + field.encode_name, getattr(value, field.name)
         if isinstance(setting, msgspec.Struct):
@@ -63,13 +63,13 @@
             yield ConfigEntry(name, setting, _description(hints[field.name]))
 
 
-def _explain(message: str, kind: type[msgspec.Struct]) -> str:
+def _error_message(message: str, kind: type[msgspec.Struct]) -> str:
     path = _ERROR_PATH.search(message)
     steps = [key or index for key, index in _PATH_STEP.findall(path[1])] if path else []
     problem = _ERROR_PATH.sub("", message)
-    for pattern, replacement in ((_UNKNOWN, "unknown key"), (_MISSING, "missing key")):
-        if found := pattern.search(problem):
-            steps, problem = [*steps, found[1]], replacement
+    for pattern, replacement in ((_UNKNOWN_FIELD, "unknown key"), (_MISSING_FIELD, "missing key")):
+        if match := pattern.search(problem):
+            steps, problem = [*steps, match[1]], replacement
     problem = problem[:1].lower() + problem[1:]
     name = _dotted_name(steps)
     description = _description_at(kind, steps)
@@ -80,14 +80,14 @@
 def _dotted_name(steps: list[str]) -> str:
     name = ""
     for step in steps:
-        if _is_index(step):
+        if _is_array_index(step):
             name += f"[{step}]"
         else:
             name += f".{step}" if name else step
     return name
 
 
-def _is_index(step: str) -> bool:
+def _is_array_index(step: str) -> bool:
     return step.isdigit() or step == "..."
 
 
@@ -95,7 +95,7 @@
     return " ".join(text.split())
 
 
-def _hints(kind: type) -> dict[str, Any]:
+def _type_hints(kind: type) -> dict[str, Any]:
     return get_type_hints(kind, include_extras=True)
 
 
@@ -106,32 +106,32 @@
     return ""
 
 
-def _structs(hint: Any) -> Iterator[type[msgspec.Struct]]:
-    """The struct types that a hint mentions: itself, in a union, or as an array's element."""
+def _struct_types(hint: Any) -> Iterator[type[msgspec.Struct]]:
+    """Yield the struct types in a type hint: itself, members of a union, and element types."""
     if isinstance(hint, type) and issubclass(hint, msgspec.Struct):
         yield hint
     for part in getattr(hint, "__args__", ()):
-        yield from _structs(part)
+        yield from _struct_types(part)
     if hasattr(hint, "__origin__") and hasattr(hint, "__metadata__"):
-        yield from _structs(hint.__origin__)
+        yield from _struct_types(hint.__origin__)
 
 
 def _description_at(kind: type[msgspec.Struct], steps: list[str]) -> str:
     kinds: list[type[msgspec.Struct]] = [kind]
     description = ""
     for step in steps:
-        if _is_index(step):
+        if _is_array_index(step):
             continue
-        found = [
-            (inner, field)
-            for inner in kinds
-            for field in msgspec.structs.fields(inner)
+        matches = [
+            (struct, field)
+            for struct in kinds
+            for field in msgspec.structs.fields(struct)
             if field.encode_name == step
         ]
-        if not found:
+        if not matches:
             return ""
-        inner, field = found[0]
-        hint = _hints(inner)[field.name]
+        struct, field = matches[0]
+        hint = _type_hints(struct)[field.name]
         description = _description(hint)
-        kinds = list(dict.fromkeys(_structs(hint)))
+        kinds = list(dict.fromkeys(_struct_types(hint)))
     return description
--- a/pebblepass/operator_config/schema.py
+++ b/pebblepass/operator_config/schema.py
@@ -11,20 +11,22 @@
 
 
 class LogSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[log]`: what the daemon writes to standard error."""
+    """`[log]`: the daemon's log on standard error."""
 
     level: Annotated[
         Literal["debug", "info", "warning", "error"],
-        msgspec.Meta(description="the least grave line that is written"),
+        msgspec.Meta(description="the lowest level that is logged"),
     ] = "info"
     lines_per_second: Annotated[
         int,
-        msgspec.Meta(ge=1, le=1000, description="lines written a second at most; the rest is counted"),
+        msgspec.Meta(
+            ge=1, le=1000, description="maximum number of lines per second; further lines are only counted"
+        ),
     ] = 5
 
 
 class AccountingSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[figures]`: the ledger. Without this section the router keeps none."""
+    """`[figures]`: the ledger. Without this section the router has none."""
 
     listen: Annotated[
         str,
@@ -32,99 +34,125 @@
     ] = ""
     directory: Annotated[
         str,
-        msgspec.Meta(description="a folder that outlives the router, for its snapshots; empty: none"),
+        msgspec.Meta(description="a directory for snapshots that outlives the router; empty: no snapshots"),
     ] = ""
     snapshot_every_s: Annotated[
-        float, msgspec.Meta(ge=0.1, le=3600, description="seconds from one snapshot to the next")
+        float, msgspec.Meta(ge=0.1, le=3600, description="seconds between snapshots")
     ] = 5.0
     webhook: Annotated[
-        str, msgspec.Meta(description="http://HOST:PORT/PATH that each breach is posted to; empty: none")
+        str, msgspec.Meta(description="http://HOST:PORT/PATH to which breaches are posted; empty: no webhook")
     ] = ""
 
 
 class MultiGetSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[many_keys]`: reads of many keys, `KV.MGET`. Without this section the command is unknown."""
+    """`[many_keys]`: the command `KV.MGET`, which reads many keys. Without this section it is unknown."""
 
     keys_in_flight: Annotated[
-        int, msgspec.Meta(ge=1, le=100_000, description="keys asked at a time, over all commands")
+        int, msgspec.Meta(ge=1, le=100_000, description="maximum number of keys in flight over all commands")
     ] = 256
     keys_of_one: Annotated[
-        int, msgspec.Meta(ge=1, le=1024, description="keys asked at a time for one command")
+        int, msgspec.Meta(ge=1, le=1024, description="maximum number of keys in flight for one command")
     ] = 128
     commands: Annotated[
-        int, msgspec.Meta(ge=1, le=10_000, description="commands under way; further ones are refused")
+        int,
+        msgspec.Meta(
+            ge=1, le=10_000, description="maximum number of concurrent commands; further ones are refused"
+        ),
     ] = 256
     chunk: Annotated[
-        int, msgspec.Meta(ge=1, le=1024, description="keys asked before other requests have their turn")
+        int, msgspec.Meta(ge=1, le=1024, description="keys started before other requests are handled")
     ] = 64
     held_kib: Annotated[
         int,
         msgspec.Meta(
-            ge=128, le=1 << 20, description="memory for what is gathered, a quarter of the router's at most"
+            ge=128,
+            le=1 << 20,
+            description="KiB for values held for commands, at most a quarter of the router's memory",
         ),
     ] = 48 << 10
-    part_keys: Annotated[int, msgspec.Meta(ge=1, le=1024, description="keys that go to a node together")] = 32
-    part_kib: Annotated[int, msgspec.Meta(ge=1, le=64, description="words of keys that go together")] = 16
+    part_keys: Annotated[
+        int, msgspec.Meta(ge=1, le=1024, description="maximum number of keys per part sent to a node")
+    ] = 32
+    part_kib: Annotated[int, msgspec.Meta(ge=1, le=64, description="maximum KiB of key names per part")] = 16
     parts_of_server: Annotated[
-        int, msgspec.Meta(ge=1, le=16, description="parts that one node has under way")
+        int, msgspec.Meta(ge=1, le=16, description="maximum number of parts in flight to one node")
     ] = 3
     margin_ms: Annotated[
-        int, msgspec.Meta(ge=1, le=1000, description="the answer leaves so long before its time is up")
+        int,
+        msgspec.Meta(
+            ge=1, le=1000, description="milliseconds before its deadline by which a command is answered"
+        ),
     ] = 25
     hedge_share: Annotated[
         float,
-        msgspec.Meta(ge=0, le=0.5, description="second copies of slow keys, as a share of all attempts"),
+        msgspec.Meta(
+            ge=0, le=0.5, description="maximum share of hedged attempts for slow keys in all attempts"
+        ),
     ] = 0.02
     node_kinds: Annotated[
         tuple[str, ...],
-        msgspec.Meta(description="kinds of nodes that take KV.MGET themselves; to others single reads go"),
+        msgspec.Meta(description="kinds of nodes that support KV.MGET; other nodes receive single reads"),
     ] = ()
 
 
 class FleetSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[fleet]`: routers that know each other, the same at each; without it a router is alone."""
+    """`[fleet]`: the fleet of routers; without this section a router runs alone.
+
+    All routers of a fleet have the same section, except for `listen` and `directory`.
+    """
 
     id: Annotated[str, msgspec.Meta(min_length=1, max_length=64, description="the fleet's name")]
     members: Annotated[
-        dict[str, str], msgspec.Meta(min_length=1, description="routers and the addresses that others reach")
+        dict[str, str],
+        msgspec.Meta(min_length=1, description="each router's name and the address where others reach it"),
     ]
     voters: Annotated[
-        tuple[str, ...], msgspec.Meta(min_length=1, max_length=9, description="those that decide: 3, 5 or 7")
+        tuple[str, ...],
+        msgspec.Meta(
+            min_length=1, max_length=9, description="the routers that vote on policy; normally 3, 5 or 7"
+        ),
     ]
     listen: Annotated[
-        str, msgspec.Meta(description="HOST:PORT for links; empty: the address among the members")
+        str, msgspec.Meta(description="HOST:PORT for links between routers; empty: its address in `members`")
     ] = ""
     directory: Annotated[
-        str, msgspec.Meta(description="a folder that lasts, for a voter's promises; empty: it can't vote")
+        str,
+        msgspec.Meta(description="a persistent directory for a voter's log; empty: the router can't vote"),
     ] = ""
     lease_ms: Annotated[
-        int, msgspec.Meta(ge=100, le=60_000, description="for which a policy may be used without a word")
+        int,
+        msgspec.Meta(
+            ge=100, le=60_000, description="milliseconds for which a policy may be used without renewal"
+        ),
     ] = 1000
     drift: Annotated[
-        float, msgspec.Meta(ge=0.01, le=0.5, description="by which part a router's clock may be wrong")
+        float,
+        msgspec.Meta(ge=0.01, le=0.5, description="maximum error of a router's clock rate, as a fraction"),
     ] = 0.1
     alone_after_s: Annotated[
         float,
-        msgspec.Meta(ge=0, le=3600, description="after which a router without a lease serves at the floor"),
+        msgspec.Meta(
+            ge=0,
+            le=3600,
+            description="seconds after start until a router without a lease is ready, with its floor quotas",
+        ),
     ] = 10.0
 
 
 class Operator(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole file; a section that is left out leaves its subsystem as it is by default."""
+    """The whole file; an omitted section has its default."""
 
     log: Annotated[LogSection, msgspec.Meta(description="the log")] = LogSection()
     figures: Annotated[AccountingSection | None, msgspec.Meta(description="the ledger")] = None
-    many_keys: Annotated[MultiGetSection | None, msgspec.Meta(description="reads of many keys, KV.MGET")] = (
-        None
-    )
-    fleet: Annotated[FleetSection | None, msgspec.Meta(description="a fleet of routers")] = None
+    many_keys: Annotated[MultiGetSection | None, msgspec.Meta(description="the command KV.MGET")] = None
+    fleet: Annotated[FleetSection | None, msgspec.Meta(description="the fleet of routers")] = None
 
 
 def load_operator(path: str | Path) -> Operator:
-    """Read the operator's file; raises FileError in one plain line."""
+    """Read and validate the operator's file; raises FileError."""
     operator = read_toml(path, Operator)
     if operator.fleet is not None:
-        strange = sorted({*operator.fleet.voters} - operator.fleet.members.keys())
-        if strange:
-            raise FileError(f"{path}: fleet.voters: {strange[0]} is not among fleet.members")
+        unknown_voters = sorted({*operator.fleet.voters} - operator.fleet.members.keys())
+        if unknown_voters:
+            raise FileError(f"{path}: fleet.voters: {unknown_voters[0]} is not in fleet.members")
     return operator
--- a/tests/operator_config/__init__.py
+++ b/tests/operator_config/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the room of the same name."""
+"""Tests of `pebblepass.operator_config`."""
