--- a/pebblepass/cli.py
+++ b/pebblepass/cli.py
@@ -132,7 +132,7 @@
     from pebblepass.simulation.report import as_json, verdict
     from pebblepass.simulation.runner import RehearsalError
     from pebblepass.simulation.scenario import load_scenario
-    from pebblepass.simulation.terminal import play, print_report
+    from pebblepass.simulation.terminal import print_report, run_rehearsal
 
     try:
         scaled_scenario = load_scenario(scenario).scaled(routers, nodes, rate)
@@ -146,7 +146,7 @@
             _exit_with_error(f"{path}: its directory does not exist")
     plan = make_plan(scaled_scenario, seed)
     try:
-        results = play(plan, deploy if real_time else None, recovery or html is not None)
+        results = run_rehearsal(plan, deploy if real_time else None, recovery or html is not None)
     except RehearsalError as error:
         _exit_with_error(str(error))
         return
