--- a/tests/compatibility/__init__.py
+++ b/tests/compatibility/__init__.py
@@ -1,1 +1,1 @@
-"""Forms on the wire and on disk, and names that others rely on, as frozen bytes and lists."""
+"""Tests that formats on the wire and on disk, and externally visible names, equal frozen copies."""
--- a/tests/compatibility/checks.py
+++ b/tests/compatibility/checks.py
@@ -1,4 +1,4 @@
-"""The checks that every frozen form passes through; a broken variant of a form has to fail the same ones."""
+"""The checks of frozen formats. Tests also run each check on a changed format, which must fail it."""
 
 from __future__ import annotations
 
@@ -14,85 +14,85 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Form:
-    """How the program reads a form, and how it writes what it has read."""
+class Codec:
+    """The program's decoder and encoder of one format."""
 
     read: Callable[[bytes], Any]
     write: Callable[[Any], bytes]
 
 
 def frozen_bytes(name: str) -> bytes:
-    """A frozen file as it is."""
+    """Return the bytes of a frozen file."""
     return (FROZEN / name).read_bytes()
 
 
 def frozen_lines(name: str) -> list[str]:
-    """The lines of a frozen list."""
+    """Return the lines of a frozen list."""
     return (FROZEN / name).read_text().splitlines()
 
 
 def frozen_samples(name: str) -> dict[str, bytes]:
-    """Named byte strings: each line is a name, a blank and the bytes in hexadecimal."""
+    """Return byte strings by name; each line of the file is a name, a space and the bytes in hexadecimal."""
     rows = (line.split(" ") for line in frozen_lines(name))
     return {name: bytes.fromhex(data) for name, data in rows}
 
 
-def check_rewritten(data: bytes, form: Form) -> Any:
-    """Check that frozen bytes are read, and written again to the byte; returns what was read."""
+def check_round_trip(data: bytes, codec: Codec) -> Any:
+    """Check that frozen bytes are decoded and encoded to the same bytes; return the decoded value."""
     try:
-        value = form.read(data)
+        value = codec.read(data)
     except Exception as error:
-        raise AssertionError(f"frozen bytes are refused: {error}") from error
-    assert form.write(value) == data
+        raise AssertionError(f"the frozen bytes can't be decoded: {error}") from error
+    assert codec.write(value) == data
     return value
 
 
 def check_values(data: bytes, read: Callable[[bytes], Any], expected: bytes) -> None:
-    """Check that frozen bytes give the frozen values, field by field in the order of the fields."""
+    """Check that frozen bytes are decoded to the frozen values; fields are compared by position."""
     try:
         value = read(data)
     except Exception as error:
-        raise AssertionError(f"frozen bytes are refused: {error}") from error
-    assert plain(value) == msgspec.json.decode(expected)
+        raise AssertionError(f"the frozen bytes can't be decoded: {error}") from error
+    assert without_identifiers(value) == msgspec.json.decode(expected)
 
 
 def check_names(found: list[str], expected: list[str]) -> None:
-    """Check that names are the frozen ones: none missing, none new, none renamed."""
+    """Check that names equal the frozen ones in any order: none missing, new or renamed."""
     assert sorted(found) == sorted(expected)
 
 
-def plain(value: Any) -> Any:
-    """A value without any name of the program: structs as lists of their values, enums as their places."""
+def without_identifiers(value: Any) -> Any:
+    """Return a value without the program's identifiers: structs as lists of values, enums as positions."""
     if isinstance(value, msgspec.Struct):
-        return [plain(getattr(value, name)) for name in value.__struct_fields__]
+        return [without_identifiers(getattr(value, name)) for name in value.__struct_fields__]
     if isinstance(value, Enum):
         return list(type(value)).index(value)
     if isinstance(value, dict):
-        return {key: plain(held) for key, held in value.items()}
+        return {key: without_identifiers(item) for key, item in value.items()}
     if isinstance(value, list | tuple):
-        return [plain(held) for held in value]
+        return [without_identifiers(item) for item in value]
     if isinstance(value, float) and value in (float("inf"), float("-inf")):
         return str(value)
     return value
 
 
 def paths(value: Any, prefix: str = "") -> Iterator[str]:
-    """The dotted paths of all keys of plain values; the rows of a list count as one."""
+    """Yield the dotted paths of all keys of plain values; items of a list share their paths."""
     if isinstance(value, dict):
-        for key, held in value.items():
+        for key, item in value.items():
             path = f"{prefix}.{key}" if prefix else str(key)
             yield path
-            yield from paths(held, path)
+            yield from paths(item, path)
     elif isinstance(value, list | tuple):
         yield from dict.fromkeys(path for row in value for path in paths(row, f"{prefix}[]"))
 
 
-def renamed(kind: type[msgspec.Struct], place: int) -> type[msgspec.Struct]:
-    """A struct like `kind`, whose field at this place is encoded under another name."""
+def with_field_renamed(kind: type[msgspec.Struct], index: int) -> type[msgspec.Struct]:
+    """Return a struct type like `kind` whose field at this index is encoded under another name."""
     config = kind.__struct_config__
     fields: list[tuple[str, Any, Any]] = []
-    for at, field in enumerate(msgspec.structs.fields(kind)):
-        encoded = field.encode_name + ("_renamed" if at == place else "")
+    for position, field in enumerate(msgspec.structs.fields(kind)):
+        encoded = field.encode_name + ("_renamed" if position == index else "")
         defaults: dict[str, Any] = {"default": field.default, "default_factory": field.default_factory}
         fields.append((field.name, field.type, msgspec.field(**defaults, name=encoded)))
     return msgspec.defstruct(
@@ -106,15 +106,15 @@
 
 
 def with_key_renamed(value: Any, path: str) -> Any:
-    """Plain values in which the key at this dotted path has another name, in every row of a list."""
+    """Return plain values with the key at this dotted path renamed, in every item of a list."""
     head, _, rest = path.partition(".")
     key = head.removesuffix("[]")
-    held = value[key]
+    inner = value[key]
     if not rest:
-        return {(f"{name}_renamed" if name == key else name): each for name, each in value.items()}
+        return {(f"{name}_renamed" if name == key else name): item for name, item in value.items()}
     if head.endswith("[]"):
-        return {**value, key: [with_key_renamed(row, rest) if _has(row, rest) else row for row in held]}
-    return {**value, key: with_key_renamed(held, rest)}
+        return {**value, key: [with_key_renamed(row, rest) if _has(row, rest) else row for row in inner]}
+    return {**value, key: with_key_renamed(inner, rest)}
 
 
 def _has(row: Any, path: str) -> bool:
--- a/tests/compatibility/forms.py
+++ b/tests/compatibility/forms.py
@@ -1,7 +1,7 @@
-"""The one module of these tests that names the program's types and functions.
+"""The only module of these tests that imports the program's types and functions.
 
-A rename in the program is followed here and nowhere else in `tests/compatibility`; the frozen bytes and lists
-stay as they are. Values are built by decoding frozen bytes.
+When the program renames one, only this module changes in `tests/compatibility`; the frozen files stay as they
+are. Values are built by decoding frozen bytes.
 """
 
 from __future__ import annotations
@@ -63,7 +63,7 @@
 from pebblepass.storage.disk import Directory
 from pebblepass.storage.frames import FileHeader, StorageError, encode_frame, read_frames
 from pebblepass.storage.log import Log
-from tests.compatibility.checks import Form
+from tests.compatibility.checks import Codec
 
 # Messages between routers, and records of the consensus log
 
@@ -79,43 +79,43 @@
     StorePolicy,
     NamespacePolicy,
 )
-MESSAGE = Form(messages.read_message, messages.encode)
-RECORD = Form(records.read_record, messages.encode)
+MESSAGE = Codec(messages.read_message, messages.encode)
+RECORD = Codec(records.read_record, messages.encode)
 HELLO_TYPE: type[msgspec.Struct] = links.Hello
 LINK_VERSION = links.VERSION
 
 
 def policy_file(data: bytes) -> PolicyFile:
-    """A policy file to propose."""
+    """Decode a policy file for a proposal."""
     return read_policy("policy", data)
 
 
 def body_of(message: Any) -> msgspec.Struct:
-    """The body of a decoded message."""
+    """Return the body of a decoded message."""
     body: msgspec.Struct = message.body
     return body
 
 
 def sender_of(message: Any) -> msgspec.Struct:
-    """The sender of a decoded message."""
+    """Return the sender of a decoded message."""
     sender: msgspec.Struct = message.sender
     return sender
 
 
-def message_form(sender: type[msgspec.Struct], body: type[msgspec.Struct]) -> Form:
-    """The form of messages with a sender and a body of these types."""
+def message_codec(sender: type[msgspec.Struct], body: type[msgspec.Struct]) -> Codec:
+    """Return the codec of messages with a sender and a body of these types."""
     kind = msgspec.defstruct("Message", [("sender", sender), ("body", body)])
-    return struct_form(kind)
+    return struct_codec(kind)
 
 
-def struct_form(kind: type[msgspec.Struct]) -> Form:
-    """The form of one struct as MessagePack."""
-    return Form(msgspec.msgpack.Decoder(kind).decode, messages.encode)
+def struct_codec(kind: type[msgspec.Struct]) -> Codec:
+    """Return the MessagePack codec of one struct type."""
+    return Codec(msgspec.msgpack.Decoder(kind).decode, messages.encode)
 
 
-def hello_form(kind: type[msgspec.Struct]) -> Form:
-    """The first message of a link, as it travels."""
-    return Form(lambda data: msgspec.msgpack.decode(data[4:], type=kind), _framed_hello)
+def hello_codec(kind: type[msgspec.Struct]) -> Codec:
+    """Return the codec of a link's first message, with its length prefix."""
+    return Codec(lambda data: msgspec.msgpack.decode(data[4:], type=kind), _framed_hello)
 
 
 def _framed_hello(hello: Any) -> bytes:
@@ -123,7 +123,7 @@
 
 
 async def counted_kinds(frozen: list[bytes]) -> list[str]:
-    """The kinds under which the runs of scale count these messages in their figures."""
+    """Return the kinds under which the scale runs count these messages."""
     loop, origin = asyncio.get_running_loop(), genesis({"r1": "127.0.0.1:1"}, ["r1"])
     setup = ReplicaSetup("r2", "boot-2", LeaseTerms(10**9, 0.1), origin, lambda *_: "", "")
     service = CountingService(
@@ -136,39 +136,39 @@
 
 # Logs
 
-LOG_HEAD = FileHeader(FORMAT, VERSION, "fleet-1/router-2")
+LOG_HEADER = FileHeader(FORMAT, VERSION, "fleet-1/router-2")
 LOG_FILE = FILE
 LogError = StorageError
 
 
 def open_raw_log(folder: Path) -> tuple[list[bytes], int]:
-    """The records of a folder's log, and the bytes that were cut off its end; raises LogError."""
-    log = Log(Directory(folder), LOG_FILE, LOG_HEAD)
+    """Return the records of a folder's log, and the bytes truncated from its end; raises LogError."""
+    log = Log(Directory(folder), LOG_FILE, LOG_HEADER)
     records = log.open()
     assert records is not None
     return records, log.truncated_bytes
 
 
 def write_raw_log(folder: Path, batches: list[list[bytes]]) -> None:
-    """Begin a log with the first batch of records, and add the others."""
-    log = Log(Directory(folder), LOG_FILE, LOG_HEAD)
+    """Start a log with the first batch of records, and append the others."""
+    log = Log(Directory(folder), LOG_FILE, LOG_HEADER)
     log.write_snapshot(batches[0])
     for batch in batches[1:]:
         log.append(batch)
 
 
 def log_frames(data: bytes) -> list[bytes]:
-    """The contents of a log's frames."""
+    """Return the contents of a log's frames."""
     return read_frames(data).contents
 
 
 def framed(content: bytes) -> bytes:
-    """A frame with this content, and the checksum that belongs to it."""
+    """Return a frame with this content and its checksum."""
     return encode_frame(content)
 
 
 def open_voters_log(folder: Path) -> list[bytes]:
-    """The records of a voter's folder, each of them decoded and encoded again."""
+    """Return the records of a voter's folder, each decoded and encoded again."""
     records = open_log(Directory(folder), "fleet-1", "router-2").records
     return [RECORD.write(record) for record in records or []]
 
@@ -178,19 +178,19 @@
 NOW = 1_000_000_000_000
 _UNIX = 1_700_000_000_000_000_000
 CLOCK = ClockOffset(NOW, _UNIX)
-HANDOVER_MESSAGE = Form(handover.decode, handover.encode)
-HANDOVER_ACCOUNT = Form(
+HANDOVER_MESSAGE = Codec(handover.decode, handover.encode)
+HANDOVER_SNAPSHOT = Codec(
     lambda data: router_snapshot.decode_snapshot(data, NOW, CLOCK.monotonic),
-    lambda account: router_snapshot.encode_snapshot(account, CLOCK.unix_ms),
+    lambda decoded: router_snapshot.encode_snapshot(decoded, CLOCK.unix_ms),
 )
 HandoverError = handover_errors.HandoverError
 HANDOVER_SOCKET = SOCKET_NAME
-"""The name of the socket at which the two processes meet."""
+"""The name of the socket that connects the two processes."""
 
 
-def account_parts(account: bytes) -> list[bytes]:
-    """The messages in which an account travels."""
-    return [handover.encode(chunk) for chunk in handover.split_snapshot(account)]
+def snapshot_messages(encoded: bytes) -> list[bytes]:
+    """Return the messages that carry a router snapshot."""
+    return [handover.encode(chunk) for chunk in handover.split_snapshot(encoded)]
 
 
 # Accounting
@@ -198,31 +198,32 @@
 ROUTER = "router-2"
 
 
-def _write_snapshot(held: Any) -> bytes:
-    told = msgspec.to_builtins(held)
+def _write_snapshot(decoded: Any) -> bytes:
+    values = msgspec.to_builtins(decoded)
     return snapshot.encode(
-        told["router"],
-        told["epoch"],
-        told["written_unix_ns"],
-        told["closing"],
-        told["breaches"],
-        told["figures"],
+        values["router"],
+        values["epoch"],
+        values["written_unix_ns"],
+        values["closing"],
+        values["breaches"],
+        values["figures"],
     )
 
 
-SNAPSHOT = Form(lambda data: snapshot.decode(data, ROUTER), _write_snapshot)
+SNAPSHOT = Codec(lambda data: snapshot.decode(data, ROUTER), _write_snapshot)
 SNAPSHOT_TYPES: tuple[type[msgspec.Struct], ...] = (snapshot.Snapshot, snapshot.Row)
 
 
-def snapshot_form(kind: type[msgspec.Struct]) -> Form:
-    """Snapshots read as a struct of this type."""
-    return Form(
-        msgspec.json.Decoder(kind).decode, lambda held: msgspec.json.encode(msgspec.to_builtins(held)) + b"\n"
+def snapshot_codec(kind: type[msgspec.Struct]) -> Codec:
+    """Return the codec of snapshots that are decoded as a struct of this type."""
+    return Codec(
+        msgspec.json.Decoder(kind).decode,
+        lambda decoded: msgspec.json.encode(msgspec.to_builtins(decoded)) + b"\n",
     )
 
 
-def carried(rows: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """The rows of a ledger that has opened with these."""
+def imported_rows(rows: list[dict[str, Any]]) -> list[dict[str, Any]]:
+    """Return the rows of a ledger that has imported these."""
     return _ledger(rows).export_rows()
 
 
@@ -233,17 +234,17 @@
 
 
 def accounting_exposition(rows: list[dict[str, Any]]) -> str:
-    """The page of metrics of a ledger with these rows."""
+    """Return the metrics page of a ledger with these rows."""
     return accounting_metrics.exposition(_ledger(rows).cut()).decode()
 
 
 def cuts_table(lines: list[bytes]) -> str:
-    """The table of cuts that were collected, as CSV."""
+    """Return the report on collected cuts as CSV."""
     return fleet.as_csv(fleet.sum_cuts(fleet.read_cuts(lines)))
 
 
 def breach() -> dict[str, Any]:
-    """A breach as it is told to operators."""
+    """Return a breach as it is reported to operators."""
     return Breach(3, BreachKind.NEVER_CLOSED, 5, "request-7", "get", "acme", "resp").as_dict()
 
 
@@ -251,7 +252,7 @@
 
 
 async def accounting_pages(folder: Path, rows: list[dict[str, Any]]) -> dict[str, bytes]:
-    """What the ledger's listener answers to each call, and the names of the files that it keeps."""
+    """Return the listener's answer to each call; the service leaves its files in the folder."""
     loop = asyncio.get_running_loop()
     section = AccountingSection(listen=f"127.0.0.1:{take_port()}", directory=str(folder))
     service = AccountingService(loop, section, ROUTER, settings(), lambda: _UNIX, "epoch-5")
@@ -259,15 +260,15 @@
     service.ledger.record_disconnected("request-8", 9)
     address = await service.start(lambda: 0, tuple)
     assert address is not None
-    told = {}
+    answers = {}
     for call in ("GET /figures", "GET /metrics", "POST /breaches/acknowledge?through=1", "GET /other"):
-        told[call] = await http_call(address, call)
+        answers[call] = await http_call(address, call)
     service.stop(closing=True)
-    return told
+    return answers
 
 
 async def http_call(address: tuple[str, int], call: str) -> bytes:
-    """The status and the body of one call."""
+    """Return the status and the body of one call."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(f"{call} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".encode())
     head, _, body = (await reader.read()).partition(b"\r\n\r\n")
@@ -275,7 +276,7 @@
     return head.split(b" ", 2)[1] + b"\n" + body
 
 
-# The simulator's wire
+# The simulator's protocol
 
 ACTIONS = (
     interface.Send("q1", "s1", 11, 12),
@@ -288,7 +289,7 @@
 
 
 class AdapterRecorder:
-    """An adapter whose router notes each event that it is given, and answers with every kind of action."""
+    """An adapter with a stub router that records each event and answers with every kind of action."""
 
     def __init__(self) -> None:
         self.events: list[Any] = []
@@ -297,37 +298,37 @@
         self._adapter._routers[3] = cast(Any, self)
 
     def handle(self, event: Any, now: int) -> tuple[Any, ...]:
-        """In the router's place."""
+        """Record an event in place of the router."""
         self.events.append(event)
         return ACTIONS
 
     def feed(self, lines: bytes) -> AdapterRecorder:
-        """Deliver events, one a line; raises WireError."""
+        """Deliver events, one per line; raises WireError."""
         for line in lines.splitlines():
             batch = b'{"nowNs":1,"groups":[{"router":3,"in":[' + line + b"]}]}"
             self.orders = msgspec.json.decode(self._adapter.answer(batch))["groups"][0]["orders"]
         return self
 
 
-# The operator's file, and the platform's
+# The operator's file, and the platform's configuration
 
 FACTS = json.loads((Path(__file__).parent / "frozen" / "settings.json").read_text())
 
 
 def settings(facts: dict[str, Any] | None = None) -> Any:
-    """The settings of the platform's object, by default of the frozen one."""
+    """Decode the platform's settings object, by default the frozen one."""
     return read_settings(FACTS if facts is None else facts)
 
 
-def config(folder: Path, told: Any, environ: Mapping[str, str]) -> Any:
-    """The configuration of a router whose file holds this."""
+def config(folder: Path, contents: Any, environ: Mapping[str, str]) -> Any:
+    """Return the configuration of a router whose file has these contents."""
     file = folder / "config.json"
-    file.write_bytes(msgspec.json.encode(told))
+    file.write_bytes(msgspec.json.encode(contents))
     return load_config({"LB_CONFIG": str(file), **environ})
 
 
 def operator_lines(file: Path) -> list[str]:
-    """Every key of an operator's file that is in force, and its value."""
+    """Return every key in force under an operator's file, with its value."""
     return [f"{name} = {value!r}" for name, value, _ in describe(load_operator(file))]
 
 
@@ -335,22 +336,22 @@
 
 
 def listing(data: bytes) -> Any:
-    """A list of servers, in the reader's own terms."""
+    """Decode an endpoint list."""
     return parse_endpoint_list(msgspec.json.decode(data), CLOCK)
 
 
 def rewritten_listing(data: bytes) -> bytes:
-    """A list of servers as one router tells it to another."""
-    read = listing(data)
-    ready = [server for server in read.change.servers if server.state is ServerState.READY]
-    return msgspec.json.encode(encode_endpoint_list(read.generation, ready, read.addresses, CLOCK))
+    """Decode an endpoint list, and encode it as one router sends it to another."""
+    decoded = listing(data)
+    ready = [server for server in decoded.change.servers if server.state is ServerState.READY]
+    return msgspec.json.encode(encode_endpoint_list(decoded.generation, ready, decoded.addresses, CLOCK))
 
 
 # The command
 
 
 def command_names(command: click.Command = cli.main, name: str = "pebblepass") -> Iterator[str]:
-    """Every verb, its arguments and its options, of a command and all below it."""
+    """Yield a command with its arguments, options and subcommands."""
     yield name
     for parameter in command.params:
         for option in (*parameter.opts, *parameter.secondary_opts):
@@ -358,22 +359,24 @@
     if isinstance(command, click.Group):
         context = click.Context(command)
         for verb in command.list_commands(context):
-            below = command.get_command(context, verb)
-            assert below is not None
-            yield from command_names(below, f"{name} {verb}")
+            subcommand = command.get_command(context, verb)
+            assert subcommand is not None
+            yield from command_names(subcommand, f"{name} {verb}")
 
 
-# A fleet's own metrics, and what its routers tell of themselves
+# The metrics and status of a fleet's routers
 
 
 def fleet_exposition() -> str:
-    """The page of metrics of a router in a fleet."""
-    told = consensus_metrics.FleetMetrics(3, True, 2, {"decided": 5}, {"messages": 7}, {"no hello": 9})
-    return consensus_metrics.exposition(told).decode()
+    """Return the metrics page of a router in a fleet."""
+    fleet_metrics = consensus_metrics.FleetMetrics(
+        3, True, 2, {"decided": 5}, {"messages": 7}, {"no hello": 9}
+    )
+    return consensus_metrics.exposition(fleet_metrics).decode()
 
 
-class LoneVoter:
-    """A fleet of one router, moved by hand until a proposed policy is in force."""
+class SingleVoterFleet:
+    """A fleet of one router that runs on a manual clock until a proposed policy is in force."""
 
     def __init__(self, proposal: bytes) -> None:
         checker = PolicyChecker(settings())
@@ -385,8 +388,8 @@
         self._replica = Replica(setup, None, self.now)
         self._carry_out(self._replica.start(self.now))
         self._run()
-        wanted = msgspec.msgpack.decode(proposal, type=messages.Proposal)
-        self._carry_out(self._replica.propose(wanted, self.now))
+        decoded_proposal = msgspec.msgpack.decode(proposal, type=messages.Proposal)
+        self._carry_out(self._replica.propose(decoded_proposal, self.now))
         self._run()
 
     def _run(self) -> None:
@@ -404,11 +407,11 @@
                 self.steps[action.event] = None
 
     def status(self) -> dict[str, Any]:
-        """What operators are told of it."""
+        """Return the status that operators see."""
         return status(self._replica, self.now)
 
     def history(self) -> list[dict[str, Any]]:
-        """Its versions."""
+        """Return its policy versions."""
         return history(self._replica)
 
 
@@ -416,12 +419,12 @@
 
 
 def counter_lines() -> list[str]:
-    """The platform's counters."""
+    """Return the counters that the platform reads."""
     return Counters(["get", "put"]).lines(11, 12, 13)
 
 
 async def control_pages() -> dict[str, bytes]:
-    """What the control address answers to each call, when the router is ready and when it is not."""
+    """Return the control address's answer to each call, for a router that is ready and one that is not."""
     ready = [True]
     sources = ControlSources(lambda: ready[0], counter_lines)
     control = ControlServer(asyncio.get_running_loop(), sources)
@@ -440,7 +443,7 @@
 
 
 def simulation_report(scenario: Path) -> dict[str, Any]:
-    """The report of a scenario, with the part on recovery; twice the same run stands for its calm twin."""
+    """Return a scenario's report with its recovery part; the run itself serves as the undisturbed run."""
     plan = make_plan(load_scenario(str(scenario)), 3)
     report = rehearse(plan)
     report["recovery"] |= compare_to_references(report, report, plan, clairvoyant_bound(plan))
@@ -450,22 +453,24 @@
 
 
 def scale_figures() -> dict[str, Any]:
-    """The figures of two looks at a fleet: the plan, what each role did, and what a change cost."""
+    """Return the figures of two looks at a fleet: the plan, the traffic by role and the cost of a change."""
     plan = ScalePlan(3, voters=1, full=1)
     names = ("empty", "hollow0", "f0000", "lone0", "c0")
-    seen = {
+    traffic = {
         name: {"r0000": 1, "f0000": 2} for name in ("messages_in", "messages_out", "bytes_in", "bytes_out")
     }
-    told = {"c0": {**seen, "kinds": {"Grant r": 3, "Learn f": 4, "Renew c": 5}, "connections": 6, "pid": 7}}
+    counted = {
+        "c0": {**traffic, "kinds": {"Grant r": 3, "Learn f": 4, "Renew c": 5}, "connections": 6, "pid": 7}
+    }
     before = Look(1.0, dict.fromkeys(names, 1.0), dict.fromkeys(names, 2.0), {})
-    after = Look(5.0, dict.fromkeys(names, 3.0), dict.fromkeys(names, 4.0), told)
+    after = Look(5.0, dict.fromkeys(names, 3.0), dict.fromkeys(names, 4.0), counted)
     roles = by_role(plan, before, after)
     changes = of_changes(plan, before, after, [[1.0, 2.0, 3.0]], roles)
     return {"plan": msgspec.to_builtins(plan), "roles": roles, "changes": changes}
 
 
 def scale_run(folder: Path) -> dict[str, Any]:
-    """The figures that a run of two routers at a control machine has written."""
+    """Return the figures that a scale run of two routers has written."""
     plan = ScalePlan(2, voters=1, full=1, lease_ms=500, window_s=0.5, changes=1, patience_s=60.0)
     play_scale(plan, folder, lambda _: None)
     written: dict[str, Any] = msgspec.json.decode((folder / "figures.json").read_bytes())
--- a/tests/compatibility/test_adapter_forms.py
+++ b/tests/compatibility/test_adapter_forms.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: what an event's keys mean, and how the answers are written."""
+"""The simulator's protocol: how events are decoded and actions are encoded."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 EVENTS = frozen_bytes("adapter-events.jsonl")
 VALUES = frozen_bytes("adapter-events.values.json")
 KEYS = sorted({key.decode() for key in re.findall(rb'"(\w+)": ', EVENTS)})
-WORDS = sorted({word.decode() for word in re.findall(rb'"verdict": "(\w+)"', EVENTS)})
+VERDICTS = sorted({word.decode() for word in re.findall(rb'"verdict": "(\w+)"', EVENTS)})
 
 
-def read(lines: bytes) -> list[object]:
+def decode(lines: bytes) -> list[object]:
     return forms.AdapterRecorder().feed(lines).events
 
 
-def test_events_give_the_frozen_values() -> None:
-    check_values(EVENTS, read, VALUES)
+def test_events_are_decoded_to_the_frozen_values() -> None:
+    check_values(EVENTS, decode, VALUES)
 
 
-def test_actions_are_written_as_frozen() -> None:
+def test_actions_are_encoded_as_frozen() -> None:
     orders = forms.AdapterRecorder().feed(EVENTS).orders
     assert msgspec.json.encode(orders) == frozen_bytes("adapter-orders.json")
 
 
-@pytest.mark.parametrize("word", [*KEYS, *WORDS])
-def test_a_renamed_word_of_an_event_is_found(word: str) -> None:
+@pytest.mark.parametrize("word", [*KEYS, *VERDICTS])
+def test_renamed_key_or_verdict_of_an_event_is_detected(word: str) -> None:
     changed = EVENTS.replace(f'"{word}"'.encode(), f'"{word}_renamed"'.encode())
     with pytest.raises(AssertionError):
-        check_values(changed, read, VALUES)
+        check_values(changed, decode, VALUES)
--- a/tests/compatibility/test_configuration_forms.py
+++ b/tests/compatibility/test_configuration_forms.py
@@ -1,4 +1,4 @@
-"""What a router is configured with: the operator's file, the platform's object, and the list of servers."""
+"""The configuration of a router: the operator's file, the platform's object and the endpoint list."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def check_operator(file: Path) -> None:
-    """Check that a file is accepted, and that the keys in force are the frozen ones."""
+    """Check that a file is accepted, and that the keys and values in force are the frozen ones."""
     try:
         found = forms.operator_lines(file)
     except Exception as error:
@@ -46,12 +46,12 @@
     check_names(found, frozen_lines("operator.txt"))
 
 
-def test_an_operators_file_with_every_key_is_accepted() -> None:
+def test_operator_file_with_every_key_is_accepted() -> None:
     check_operator(FROZEN / "operator.toml")
 
 
 @pytest.mark.parametrize("key", dict.fromkeys(section or name for section, name in KEYS))
-def test_a_renamed_key_of_the_operators_file_is_found(tmp_path: Path, key: str) -> None:
+def test_renamed_key_of_the_operator_file_is_detected(tmp_path: Path, key: str) -> None:
     file = tmp_path / "operator.toml"
     file.write_text(re.sub(rf"^(\[?{key})\b", r"\1_renamed", OPERATOR, count=1, flags=re.M))
     with pytest.raises(AssertionError):
@@ -69,12 +69,12 @@
     return lambda data: forms.config(folder, msgspec.json.decode(data), environ)
 
 
-def test_settings_give_the_frozen_values() -> None:
+def test_settings_are_decoded_to_the_frozen_values() -> None:
     check_values(frozen_bytes("settings.json"), settings_of, frozen_bytes("settings.values.json"))
 
 
 @pytest.mark.parametrize("path", list(paths(SETTINGS)))
-def test_a_renamed_key_of_the_settings_is_found(path: str) -> None:
+def test_renamed_key_of_the_settings_is_detected(path: str) -> None:
     changed = msgspec.json.encode(with_key_renamed(SETTINGS, path))
     with pytest.raises(AssertionError):
         check_values(changed, settings_of, frozen_bytes("settings.values.json"))
@@ -85,44 +85,44 @@
     [({}, "config.values.json"), (ENVIRONMENT, "config-environment.values.json")],
     ids=["file", "environment"],
 )
-def test_a_configuration_gives_the_frozen_values(
+def test_configuration_is_decoded_to_the_frozen_values(
     tmp_path: Path, environ: dict[str, str], values: str
 ) -> None:
     check_values(frozen_bytes("config.json"), config_reader(tmp_path, environ), frozen_bytes(values))
 
 
 @pytest.mark.parametrize("path", list(paths(CONFIG)))
-def test_a_renamed_key_of_the_configuration_is_found(tmp_path: Path, path: str) -> None:
+def test_renamed_key_of_the_configuration_is_detected(tmp_path: Path, path: str) -> None:
     changed = msgspec.json.encode(with_key_renamed(CONFIG, path))
     with pytest.raises(AssertionError):
         check_values(changed, config_reader(tmp_path, {}), frozen_bytes("config.values.json"))
 
 
 @pytest.mark.parametrize("variable", ENVIRONMENT)
-def test_a_renamed_variable_is_found(tmp_path: Path, variable: str) -> None:
+def test_renamed_environment_variable_is_detected(tmp_path: Path, variable: str) -> None:
     environ = with_key_renamed(ENVIRONMENT, variable)
     expected = frozen_bytes("config-environment.values.json")
     with pytest.raises(AssertionError):
         check_values(frozen_bytes("config.json"), config_reader(tmp_path, environ), expected)
 
 
-# Discovery's list
+# The endpoint list
 
 
 @pytest.mark.parametrize("name", LISTINGS)
-def test_a_list_gives_the_frozen_values(name: str) -> None:
+def test_endpoint_list_is_decoded_to_the_frozen_values(name: str) -> None:
     check_values(frozen_bytes(f"{name}.json"), forms.listing, frozen_bytes(f"{name}.values.json"))
 
 
 @pytest.mark.parametrize("name", LISTINGS)
-def test_a_list_is_written_as_frozen(name: str) -> None:
+def test_endpoint_list_is_encoded_as_frozen(name: str) -> None:
     assert forms.rewritten_listing(frozen_bytes(f"{name}.json")) == frozen_bytes(f"{name}.written.json")
 
 
 @pytest.mark.parametrize("name", LISTINGS)
-def test_a_renamed_key_of_a_list_is_found(name: str) -> None:
-    held = msgspec.json.decode(frozen_bytes(f"{name}.json"))
-    for path in paths(held):
-        changed = msgspec.json.encode(with_key_renamed(held, path))
+def test_renamed_key_of_an_endpoint_list_is_detected(name: str) -> None:
+    endpoint_list = msgspec.json.decode(frozen_bytes(f"{name}.json"))
+    for path in paths(endpoint_list):
+        changed = msgspec.json.encode(with_key_renamed(endpoint_list, path))
         with pytest.raises(AssertionError):
             check_values(changed, forms.listing, frozen_bytes(f"{name}.values.json"))
--- a/tests/compatibility/test_names.py
+++ b/tests/compatibility/test_names.py
@@ -1,4 +1,4 @@
-"""Names that operators, the platform and scripts rely on: of commands, metrics, reports and pages."""
+"""Names that operators, the platform and scripts use: of commands, metrics, reports and pages."""
 
 from __future__ import annotations
 
@@ -25,78 +25,78 @@
     "scale-run.txt",
 ]
 VARYING = re.compile(r"\.(received|links_closed)\.")
-"""Counts by kind, of which a short run may lack some; `message-kinds.txt` holds the kinds of messages."""
+"""Counts by kind; a short run may lack some. `message-kinds.txt` lists the kinds of messages."""
 
 
 @pytest.fixture(scope="module")
-def lone_voter() -> forms.LoneVoter:
-    return forms.LoneVoter(frozen_samples("proposals.txt")["shares"])
+def single_voter_fleet() -> forms.SingleVoterFleet:
+    return forms.SingleVoterFleet(frozen_samples("proposals.txt")["shares"])
 
 
-def test_verbs_arguments_and_options_of_the_command() -> None:
+def test_commands_arguments_and_options_equal_the_frozen_ones() -> None:
     check_names(list(forms.command_names()), frozen_lines("command.txt"))
 
 
-def test_metrics_of_a_router_in_a_fleet() -> None:
+def test_fleet_metrics_equal_the_frozen_ones() -> None:
     assert forms.fleet_exposition().encode() == frozen_bytes("fleet-metrics.txt")
 
 
-def test_steps_of_a_change(lone_voter: forms.LoneVoter) -> None:
-    assert lone_voter.concluded
-    check_names(list(lone_voter.steps), frozen_lines("fleet-steps.txt"))
+def test_steps_of_a_change_have_the_frozen_names(single_voter_fleet: forms.SingleVoterFleet) -> None:
+    assert single_voter_fleet.concluded
+    check_names(list(single_voter_fleet.steps), frozen_lines("fleet-steps.txt"))
 
 
-def test_keys_of_the_status_of_a_router_in_a_fleet(lone_voter: forms.LoneVoter) -> None:
-    check_names(list(paths(lone_voter.status())), frozen_lines("control-status.txt"))
+def test_status_of_a_fleet_router_has_the_frozen_keys(single_voter_fleet: forms.SingleVoterFleet) -> None:
+    check_names(list(paths(single_voter_fleet.status())), frozen_lines("control-status.txt"))
 
 
-def test_keys_of_the_history_of_a_fleet(lone_voter: forms.LoneVoter) -> None:
-    keys = {path for row in lone_voter.history() for path in paths(row)}
+def test_history_of_a_fleet_has_the_frozen_keys(single_voter_fleet: forms.SingleVoterFleet) -> None:
+    keys = {path for row in single_voter_fleet.history() for path in paths(row)}
     check_names(list(keys), frozen_lines("control-history.txt"))
 
 
-def test_the_platforms_counters() -> None:
+def test_platform_counters_have_the_frozen_names() -> None:
     check_names(forms.counter_lines(), frozen_lines("counters.txt"))
 
 
-def test_the_pages_of_the_control_address() -> None:
+def test_control_pages_equal_the_frozen_ones() -> None:
     pages = asyncio.run(forms.control_pages())
     check_names([f"{call}: {page!r}" for call, page in pages.items()], frozen_lines("control-pages.txt"))
 
 
-def test_keys_of_the_report_of_a_simulation() -> None:
+def test_simulation_report_has_the_frozen_keys() -> None:
     report = forms.simulation_report(FROZEN / "scenario.toml")
     check_names(list(paths(report)), frozen_lines("report.txt"))
 
 
-def test_keys_of_the_figures_of_scale() -> None:
+def test_scale_figures_have_the_frozen_keys() -> None:
     check_names(list(paths(forms.scale_figures())), frozen_lines("scale-figures.txt"))
 
 
-def test_keys_of_what_a_run_of_scale_writes(tmp_path: Path) -> None:
-    told = [path for path in paths(forms.scale_run(tmp_path)) if not VARYING.search(path)]
-    check_names(told, frozen_lines("scale-run.txt"))
+def test_scale_run_writes_the_frozen_keys(tmp_path: Path) -> None:
+    keys = [path for path in paths(forms.scale_run(tmp_path)) if not VARYING.search(path)]
+    check_names(keys, frozen_lines("scale-run.txt"))
 
 
-# The checks find a name that has changed
+# The checks fail for a changed name
 
 
 @pytest.mark.parametrize("name", LISTS)
-def test_a_renamed_or_a_missing_or_a_new_name_is_found(name: str) -> None:
+def test_renamed_missing_or_new_name_is_detected(name: str) -> None:
     frozen = frozen_lines(name)
     check_names(frozen, frozen)
-    for place, line in enumerate(frozen):
-        before, after = frozen[:place], frozen[place + 1 :]
+    for index, line in enumerate(frozen):
+        before, after = frozen[:index], frozen[index + 1 :]
         for found in ([*before, f"{line}_renamed", *after], [*before, *after], [*frozen, line]):
             with pytest.raises(AssertionError):
                 check_names(found, frozen)
 
 
-def test_a_renamed_option_of_the_command_is_found() -> None:
+def test_renamed_option_of_a_command_is_detected() -> None:
     @click.command(name="pebblepass")
     @click.option("--report-file", "report")
-    def other(report: str) -> None:
+    def changed_command(report: str) -> None:
         """Do nothing."""
 
     with pytest.raises(AssertionError):
-        check_names(list(forms.command_names(other)), ["pebblepass", "pebblepass --report"])
+        check_names(list(forms.command_names(changed_command)), ["pebblepass", "pebblepass --report"])
--- a/tests/compatibility/test_outward_names.py
+++ b/tests/compatibility/test_outward_names.py
@@ -1,7 +1,7 @@
-"""The names that leave the process: each one listed in `frozen/outward-names.txt` stands in the program.
+"""Externally visible names: each one listed in `frozen/outward-names.txt` occurs in the program.
 
-A name stands there as a text or bytes literal, as a word of one, or as a field of a class. Clients, cache
-servers, other routers, the platform, operators' files and scripts rely on these names.
+It occurs as a text or bytes literal, as a word of one, or as a field of a class. Clients, cache servers,
+other routers, the platform, operators' files and scripts rely on these names.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 
 
 def docstrings(tree: ast.AST) -> set[ast.AST]:
-    """Return the constants that are statements of their own."""
+    """Return the constants that are whole statements, as docstrings are."""
     return {node.value for node in ast.walk(tree) if isinstance(node, ast.Expr)}
 
 
 def literals(tree: ast.AST) -> Iterator[str]:
-    """Return the text and bytes literals of a module, docstrings left out."""
-    left_out = docstrings(tree)
+    """Yield the text and bytes literals of a module, without docstrings."""
+    excluded = docstrings(tree)
     for node in ast.walk(tree):
-        if not isinstance(node, ast.Constant) or node in left_out:
+        if not isinstance(node, ast.Constant) or node in excluded:
             continue
         if isinstance(node.value, bytes):
             yield node.value.decode("latin-1")
@@ -37,7 +37,7 @@
 
 
 def fields(tree: ast.AST) -> Iterator[str]:
-    """Return the annotated fields of the classes of a module."""
+    """Yield the annotated fields of a module's classes."""
     for node in ast.walk(tree):
         if isinstance(node, ast.ClassDef):
             for statement in node.body:
@@ -46,7 +46,7 @@
 
 
 def names(source: str) -> set[str]:
-    """Return the names that the source of a module may write or recognise."""
+    """Return the names that a module may write or recognise."""
     tree = ast.parse(source)
     found = set(fields(tree))
     for literal in literals(tree):
@@ -57,18 +57,18 @@
 
 
 def missing(listed: list[str], found: set[str], texts: str) -> list[str]:
-    """Return the listed names that are not found; one with a blank may be a part of a literal."""
+    """Return the listed names that are not found; a name with a space may be part of a literal."""
     return [name for name in listed if name not in found and not (" " in name and name in texts)]
 
 
-def test_every_listed_name_stands_in_the_program() -> None:
+def test_every_listed_name_occurs_in_the_program() -> None:
     sources = [path.read_text() for path in sorted(PACKAGE.rglob("*.py"))]
     found = set().union(*map(names, sources))
     texts = "\n".join(literal for source in sources for literal in literals(ast.parse(source)))
     assert missing(frozen_lines("outward-names.txt"), found, texts) == []
 
 
-def test_the_list_is_sorted_and_names_nothing_twice() -> None:
+def test_list_is_sorted_without_duplicates() -> None:
     listed = frozen_lines("outward-names.txt")
     assert listed == sorted(set(listed))
 
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize(
-    ("source", "lost"),
+    ("source", "expected_missing"),
     [
         (['"""giveUpAtNs"""', 'KEY = "giveUpAtNs"', REPLY, LOG], []),
         (['"""giveUpAtNs"""', 'KEY = "deadline"', REPLY, LOG], ["giveUpAtNs"]),
@@ -89,10 +89,10 @@
         ),
         (["giveUpAtNs = 1", REPLY, LOG], ["giveUpAtNs"]),
     ],
-    ids=["all there", "a key", "a reply", "a log line", "only a variable"],
+    ids=["nothing missing", "key", "reply", "log line", "only a variable"],
 )
-def test_a_name_that_was_taken_out_is_found(source: list[str], lost: list[str]) -> None:
+def test_removed_name_is_found(source: list[str], expected_missing: list[str]) -> None:
     listed = ["-BUSY", "giveUpAtNs", "handover: {} failed"]
     module = "\n".join(source)
     texts = "\n".join(literals(ast.parse(module)))
-    assert missing(listed, names(module), texts) == lost
+    assert missing(listed, names(module), texts) == expected_missing
