--- a/pebblepass/accounting/ledger.py
+++ b/pebblepass/accounting/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger counts every request exactly once. No I/O, no clock.
+"""The ledger: counts every request exactly once. No I/O, no clock.
 
 For each class and namespace: taken = served + refused + failed + gone + open. A request is opened once and
 closed once, which adds it to one of the other counts. Open requests are counted from the entries themselves,
--- a/pebblepass/accounting/service.py
+++ b/pebblepass/accounting/service.py
@@ -36,7 +36,7 @@
 
 
 class AccountingService:
-    """Owns the ledger of a router; encoding and disk writes run in threads, so that they delay no request."""
+    """Owns the ledger of a router; page encoding and snapshots run in threads, so that no request waits."""
 
     def __init__(
         self,
@@ -144,10 +144,8 @@
         return await self._run_in_worker(encode)
 
     async def _metrics_page(self) -> Page:
-        from pebblepass.accounting.metrics import (
-            CONTENT_TYPE,
-            exposition,
-        )  # a slow import, needed only for scrapes
+        # A slow import that only scrapes need.
+        from pebblepass.accounting.metrics import CONTENT_TYPE, exposition
 
         cut = self.ledger.cut()
         text = await self._run_in_worker(lambda: exposition(cut))
@@ -182,7 +180,7 @@
                 snapshot.write_file(file, data)
             except OSError as error:
                 log.error(
-                    "%s: cannot write the accounting snapshot; requests are still served and counted: %s",
+                    "%s: cannot write the accounting snapshot; continuing without it: %s",
                     file,
                     error.strerror,
                 )
