--- a/pebblepass/cli.py
+++ b/pebblepass/cli.py
@@ -84,9 +84,7 @@
     "--seed", type=click.IntRange(0), default=1, show_default=True, help="Seed of the random numbers."
 )
 @click.option("--routers", type=click.IntRange(1, 64), help="Number of routers, in place of the scenario's.")
-@click.option(
-    "--nodes", type=click.IntRange(1, 512), help="Number of cache servers, in place of the scenario's."
-)
+@click.option("--nodes", type=click.IntRange(1, 512), help="Number of nodes, in place of the scenario's.")
 @click.option(
     "--rate", type=click.FloatRange(0, min_open=True), help="Requests per second, in place of the scenario's."
 )
--- a/tests/accounting/test_router_figures.py
+++ b/tests/accounting/test_router_figures.py
@@ -57,18 +57,18 @@
 ) -> Iterator[Deployment]:
     released = threading.Event()
 
-    def node(connection: socket.socket, words: list[bytes]) -> bytes | None:
-        if words[1] == b"held":
+    def node(connection: socket.socket, command: list[bytes]) -> bytes | None:
+        if command[1] == b"held":
             released.wait(20)
-        if words[1] == b"long":
+        if command[1] == b"long":
             value = hit(b"v" * LONG_VALUE_BYTES)
             connection.sendall(value[: LONG_VALUE_BYTES // 2])
             released.wait(20)
             return value[LONG_VALUE_BYTES // 2 :]
-        if words[1] == b"half":
+        if command[1] == b"half":
             connection.sendall(hit(b"v" * LONG_VALUE_BYTES)[: LONG_VALUE_BYTES // 2])
             return reset(connection)
-        return MISS if words[1] == b"none" else hit(words[2])
+        return MISS if command[1] == b"none" else hit(command[2])
 
     def store(_: socket.socket, message: list[bytes]) -> bytes:
         return http_answer(200, b"from the store")
--- a/tests/accounting/test_service.py
+++ b/tests/accounting/test_service.py
@@ -56,9 +56,9 @@
         self.ledger.open_request(request, "read", namespace, now, now + deadline_ms * MS, 10, "test")
 
 
-async def get(address: tuple[str, int], words: str) -> tuple[int, dict[str, str], bytes]:
+async def get(address: tuple[str, int], call: str) -> tuple[int, dict[str, str], bytes]:
     reader, writer = await asyncio.open_connection(*address)
-    writer.write(f"{words} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".encode())
+    writer.write(f"{call} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".encode())
     head, _, body = (await reader.read()).partition(b"\r\n\r\n")
     writer.close()
     lines = head.decode().split("\r\n")
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "status"),
+    ("call", "status"),
     [
         ("GET /nothing", 404),
         ("POST /figures", 405),
@@ -201,10 +201,10 @@
         ("POST /breaches/acknowledge", 400),
     ],
 )
-def test_invalid_call_is_answered_with_its_error_status(words: str, status: int) -> None:
+def test_invalid_call_is_answered_with_its_error_status(call: str, status: int) -> None:
     async def work(loop: VirtualLoop) -> None:
         running = RunningService(loop, listen=free_listen())
-        assert (await get(await running.start(), words))[0] == status
+        assert (await get(await running.start(), call))[0] == status
         running.service.stop(closing=True)
 
     run_virtual(work)
@@ -384,15 +384,17 @@
 ]
 
 
-@pytest.mark.parametrize(("data", "words"), INVALID_SNAPSHOTS)
-def test_unusable_snapshot_is_refused_with_a_one_line_error(tmp_path: Path, data: bytes, words: str) -> None:
+@pytest.mark.parametrize(("data", "message"), INVALID_SNAPSHOTS)
+def test_unusable_snapshot_is_refused_with_a_one_line_error(
+    tmp_path: Path, data: bytes, message: str
+) -> None:
     assert decode(VALID_SNAPSHOT, "n1").figures[0].taken == 1
     (tmp_path / "n1.figures.json").write_bytes(data)
 
     async def work(loop: VirtualLoop) -> None:
         with pytest.raises(SnapshotError) as raised:
             RunningService(loop, directory=str(tmp_path))
-        assert str(raised.value).startswith(f"{tmp_path}/n1.figures.json: {words}")
+        assert str(raised.value).startswith(f"{tmp_path}/n1.figures.json: {message}")
         assert "\n" not in str(raised.value)
 
     run_virtual(work)
--- a/tests/compatibility/test_storage_forms.py
+++ b/tests/compatibility/test_storage_forms.py
@@ -18,7 +18,7 @@
 """The size of a frame's head: its length and its checksum."""
 
 
-def folder_with(folder: Path, data: bytes) -> Path:
+def write_log_file(folder: Path, data: bytes) -> Path:
     (folder / forms.LOG_FILE).write_bytes(data)
     return folder
 
@@ -35,7 +35,7 @@
 def check_recovered(folder: Path, data: bytes, batches: list[list[str]], kept: int) -> None:
     """Check which records a log recovers, and that its file is truncated to `kept` bytes."""
     try:
-        found, truncated_bytes = forms.open_raw_log(folder_with(folder, data))
+        found, truncated_bytes = forms.open_raw_log(write_log_file(folder, data))
     except forms.LogError as error:
         raise AssertionError(f"the log is refused: {error}") from error
     assert found == records(batches)
@@ -54,7 +54,7 @@
 
 def test_voter_log_has_the_frozen_file_name(tmp_path: Path) -> None:
     assert forms.LOG_FILE == "agreement.log"
-    assert forms.open_voters_log(folder_with(tmp_path, LOG)) == records(BATCHES)
+    assert forms.open_voters_log(write_log_file(tmp_path, LOG)) == records(BATCHES)
 
 
 @pytest.mark.parametrize("kept", [1, FRAME_HEAD_BYTES - 1, FRAME_HEAD_BYTES, FRAME_HEAD_BYTES + 1, -1])
@@ -68,20 +68,20 @@
     check_recovered(tmp_path, LOG[:offset] + bytes(len(LOG) - offset), BATCHES[:-1], offset)
 
 
-def damaged(offset: int) -> bytes:
+def with_damaged_byte(offset: int) -> bytes:
     return LOG[:offset] + bytes([LOG[offset] ^ 0xFF]) + LOG[offset + 1 :]
 
 
 @pytest.mark.parametrize("offset", [FRAME_HEAD_BYTES + 1, len(LOG) // 2, len(LOG) - 1])
 def test_damaged_frame_is_refused_and_the_file_is_unchanged(tmp_path: Path, offset: int) -> None:
     with pytest.raises(forms.LogError):
-        forms.open_raw_log(folder_with(tmp_path, damaged(offset)))
-    assert (tmp_path / forms.LOG_FILE).read_bytes() == damaged(offset)
+        forms.open_raw_log(write_log_file(tmp_path, with_damaged_byte(offset)))
+    assert (tmp_path / forms.LOG_FILE).read_bytes() == with_damaged_byte(offset)
 
 
 def test_recovery_check_fails_for_a_refused_or_otherwise_truncated_log(tmp_path: Path) -> None:
     with pytest.raises(AssertionError):
-        check_recovered(tmp_path, damaged(len(LOG) // 2), BATCHES, len(LOG))
+        check_recovered(tmp_path, with_damaged_byte(len(LOG) // 2), BATCHES, len(LOG))
     with pytest.raises(AssertionError):
         check_recovered(tmp_path, LOG[:-1], BATCHES, len(LOG) - 1)
 
