--- a/tests/daemon/test_standing_terms.py
+++ b/tests/daemon/test_acceptance_limits.py
@@ -1,4 +1,4 @@
-"""Terms of the users' standing test: routers that turn all away, starts in time, requests left unanswered."""
+"""The users' acceptance limits: on routers that reject everything, unanswered requests and slow starts."""
 
 from __future__ import annotations
 
@@ -28,72 +28,73 @@
 from tests.processes import end_by_sigterm
 from tests.sockets import SETTINGS, WAIT_TIMEOUT_S, DiscoveryPeer, eventually, is_ready, start_router
 
-WINDOW_S, MOST_IN_WINDOW = 4.0, 14  # a router that turns away more without an attempt breaks the term
-ROUTERS_FOR_ONE = 10  # of so many routers one may break it
-READY_S, READY_SHARE = 6.0, 0.9  # of the restarted routers, where the day ends sooner than after 10 s
-UNANSWERED_SHARE, UNANSWERED_MORE = 1 / 500, 5
+WINDOW_S, MAX_REJECTED_IN_WINDOW = 4.0, 14  # requests that a router may reject without an attempt
+ROUTERS_PER_EXCEPTION = 10  # one of this many routers may exceed that limit
+# Nine in ten restarted routers are ready within 10 s, or within 6 s if a run ends sooner after the restart.
+READY_S, READY_SHARE = 6.0, 0.9
+UNANSWERED_SHARE, UNANSWERED_EXTRA = 1 / 500, 5
 
 
 @dataclass
 class Observed:
-    """What clients and servers saw in a rehearsal, in seconds of its clock."""
+    """What clients and servers observed in a simulation run, in seconds of its clock."""
 
-    turned_away: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
-    """By router: when a request was refused, or failed without having been sent on."""
+    rejected: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
+    """By router: when a request was rejected, or failed without an attempt."""
     attempts: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
-    """By router: when an attempt of its came to a server."""
+    """By router: when one of its attempts arrived at a server."""
     deadlines: dict[str, float] = field(default_factory=dict)
-    """By request that a router has taken: when its time is up."""
+    """By accepted request: its deadline."""
     answers: dict[str, float] = field(default_factory=dict)
-    owed_nothing: set[str] = field(default_factory=set)
-    """Requests whose client has gone or whose router was killed."""
+    no_answer_due: set[str] = field(default_factory=set)
+    """Requests whose client disconnected or whose router was killed."""
     report: dict[str, Any] = field(default_factory=dict)
 
 
-def turns_all_away(turned_away: list[float], attempts: list[float], begin: float, end: float) -> bool:
-    """Whether too many requests were turned away in some four seconds without an attempt."""
+def rejects_everything(rejected: list[float], attempts: list[float], begin: float, end: float) -> bool:
+    """Whether too many requests were rejected in some four seconds without an attempt."""
     borders = [begin, *sorted(attempts), end]
     for before, after in pairwise(borders):
         last_window = after - WINDOW_S
         if last_window < before:
             continue
-        between = [at for at in turned_away if before <= at <= after]
-        # The fullest window begins with a request that is turned away, or ends with the next attempt.
-        for first in (min(at, last_window) for at in between):
-            if sum(first <= at <= first + WINDOW_S for at in between) > MOST_IN_WINDOW:
+        rejected_between = [at for at in rejected if before <= at <= after]
+        # The fullest window begins with a rejected request, or ends with the next attempt.
+        for first in (min(at, last_window) for at in rejected_between):
+            if sum(first <= at <= first + WINDOW_S for at in rejected_between) > MAX_REJECTED_IN_WINDOW:
                 return True
     return False
 
 
-def routers_that_turn_all_away(observed: Observed) -> list[str]:
-    """Their names."""
-    events = [*observed.turned_away.values(), *observed.attempts.values()]
+def routers_that_reject_everything(observed: Observed) -> list[str]:
+    """The names of the routers that rejected too many requests without an attempt."""
+    events = [*observed.rejected.values(), *observed.attempts.values()]
     begin, end = min(map(min, events)), max(map(max, events))
     return [
         router
-        for router, turned_away in sorted(observed.turned_away.items())
-        if turns_all_away(turned_away, observed.attempts.get(router, []), begin, end)
+        for router, rejected in sorted(observed.rejected.items())
+        if rejects_everything(rejected, observed.attempts.get(router, []), begin, end)
     ]
 
 
-def left_unanswered(observed: Observed) -> list[str]:
-    """Requests that had no answer when their time was up."""
+def unanswered_requests(observed: Observed) -> list[str]:
+    """Requests without an answer at their deadline."""
     return [
         request
         for request, deadline in observed.deadlines.items()
-        if request not in observed.owed_nothing
+        if request not in observed.no_answer_due
         and observed.answers.get(request, float("inf")) > deadline + TIME_SLACK_S
     ]
 
 
-def most_unanswered(observed: Observed) -> float:
-    return len(observed.deadlines) * UNANSWERED_SHARE + UNANSWERED_MORE
+def max_unanswered(observed: Observed) -> float:
+    return len(observed.deadlines) * UNANSWERED_SHARE + UNANSWERED_EXTRA
 
 
 def observe(
     scenario: Scenario, seed: int, patch: pytest.MonkeyPatch, make: Callable[..., Daemon] = Daemon
 ) -> Observed:
-    """Play a scenario on the virtual clock, and note what clients and servers saw."""
+    """Run a scenario on the virtual clock, and record what clients and servers observe."""
     observed = Observed()
     rule_checkers: list[ObservedRuleChecker] = []
 
@@ -120,16 +121,16 @@
 
         def record_abandoned(self, request: str, now: float) -> None:
             super().record_abandoned(request, now)
-            observed.owed_nothing.add(request)
+            observed.no_answer_due.add(request)
 
     class ObservedRequestCounts(RequestCounts):
         def record_end(self, operation: Operation, router: str, outcome: str, unseen: bool = False) -> None:
             super().record_end(operation, router, outcome, unseen)
-            rule_checker = rule_checkers[0]  # which has just been told of this answer
+            rule_checker = rule_checkers[0]  # which has just recorded this answer
             if outcome == "refused" or (
                 outcome == "failed" and not rule_checker.was_sent(rule_checker.last_answered)
             ):
-                observed.turned_away[router].append(rule_checker.last_answer_at)
+                observed.rejected[router].append(rule_checker.last_answer_at)
 
     with patch.context() as patched:
         patched.setattr(runner, "RuleChecker", ObservedRuleChecker)
@@ -138,7 +139,7 @@
     return observed
 
 
-# Routers that turn away all that they get
+# Routers that reject everything
 
 ROUTERS, NODES = 20, 24
 CALM = Scenario(
@@ -165,83 +166,83 @@
 )
 
 
-def refusing(names: set[str], begin: float, seconds: float) -> type[Daemon]:
-    """A daemon that refuses all that it gets for some time, where it has one of these names."""
+def rejecting_daemon(names: set[str], begin: float, seconds: float) -> type[Daemon]:
+    """A daemon class that rejects all requests for some time if the router has one of these names."""
 
-    class Refuses(RouterHost):
-        refuses = False
+    class RejectingHost(RouterHost):
+        rejects = False
 
         def request_arrived(self, command: Command, reply: ReplySlot) -> None:
             after = (self.now() - self.started) / NS_PER_S - begin
-            if not (self.refuses and 0 <= after < seconds):
+            if not (self.rejects and 0 <= after < seconds):
                 super().request_arrived(command, reply)
                 return
             reply.send(b"-BUSY\r\n")
             self.record_rejection(command, refused="open requests")
             reply.free_command()
 
-        def __init__(self, *given: Any) -> None:
-            super().__init__(*given)
+        def __init__(self, *args: Any) -> None:
+            super().__init__(*args)
             self.started = self.now()
 
-    class RefusingDaemon(Daemon):
-        host_class = Refuses
+    class RejectingDaemon(Daemon):
+        host_class = RejectingHost
 
-        def __init__(self, loop: Any, config: Any, *given: Any, **named: Any) -> None:
-            super().__init__(loop, config, *given, **named)
-            assert isinstance(self.host, Refuses)
-            self.host.refuses = config.name in names
+        def __init__(self, loop: Any, config: Any, *args: Any, **kwargs: Any) -> None:
+            super().__init__(loop, config, *args, **kwargs)
+            assert isinstance(self.host, RejectingHost)
+            self.host.rejects = config.name in names
 
-    return RefusingDaemon
+    return RejectingDaemon
 
 
 @pytest.mark.parametrize("scenario", [CALM, ROLL], ids=["calm", "roll"])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_at_most_one_router_in_ten_turns_all_away_for_four_seconds(
+def test_at_most_one_router_in_ten_rejects_everything_for_four_seconds(
     scenario: Scenario, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     observed = observe(scenario, seed, monkeypatch)
     assert verdict(observed.report) == []
     assert len(observed.attempts) == ROUTERS
-    assert len(routers_that_turn_all_away(observed)) * ROUTERS_FOR_ONE <= ROUTERS
+    assert len(routers_that_reject_everything(observed)) * ROUTERS_PER_EXCEPTION <= ROUTERS
 
 
-def test_routers_that_refuse_all_for_four_seconds_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_routers_that_reject_everything_for_four_seconds_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     names = {"r1", "r4", "r17"}
-    observed = observe(CALM, 1, monkeypatch, refusing(names, 6.0, 6.0))
-    assert routers_that_turn_all_away(observed) == sorted(names)
-    assert len(names) * ROUTERS_FOR_ONE > ROUTERS
+    observed = observe(CALM, 1, monkeypatch, rejecting_daemon(names, 6.0, 6.0))
+    assert routers_that_reject_everything(observed) == sorted(names)
+    assert len(names) * ROUTERS_PER_EXCEPTION > ROUTERS
 
 
-def test_routers_that_refuse_all_for_less_are_not_taken_for_such(monkeypatch: pytest.MonkeyPatch) -> None:
-    observed = observe(CALM, 1, monkeypatch, refusing({"r1", "r4", "r17"}, 6.0, 3.0))
-    assert routers_that_turn_all_away(observed) == []
+def test_routers_that_reject_everything_for_less_are_not_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+    observed = observe(CALM, 1, monkeypatch, rejecting_daemon({"r1", "r4", "r17"}, 6.0, 3.0))
+    assert routers_that_reject_everything(observed) == []
 
 
-REFUSALS = [10.0 + number / 4 for number in range(16)]  # 16 in 3.75 s
+REJECTED_AT = [10.0 + number / 4 for number in range(16)]  # 16 in 3.75 s
 
 
 @pytest.mark.parametrize(
-    ("turned_away", "attempts", "found"),
+    ("rejected", "attempts", "expected"),
     [
-        (REFUSALS, [], True),
-        (REFUSALS, [9.9, 13.95], True),
-        (REFUSALS, [9.9, 13.85], False),  # less than four seconds
-        (REFUSALS, [11.0], False),
-        (REFUSALS[:14], [], False),
-        (REFUSALS[:15], [], True),
-        ([at * 2 for at in REFUSALS], [], False),  # too few of them in four seconds
-        ([*REFUSALS, *(at + 5 for at in REFUSALS)], [13.0], True),  # the second time
+        (REJECTED_AT, [], True),
+        (REJECTED_AT, [9.9, 13.95], True),
+        (REJECTED_AT, [9.9, 13.85], False),  # less than four seconds
+        (REJECTED_AT, [11.0], False),
+        (REJECTED_AT[:14], [], False),
+        (REJECTED_AT[:15], [], True),
+        ([at * 2 for at in REJECTED_AT], [], False),  # too few in any four seconds
+        ([*REJECTED_AT, *(at + 5 for at in REJECTED_AT)], [13.0], True),  # in the second series
         ([], [], False),
     ],
 )
-def test_four_seconds_without_an_attempt_are_found(
-    turned_away: list[float], attempts: list[float], found: bool
+def test_four_seconds_of_rejections_without_an_attempt_are_found(
+    rejected: list[float], attempts: list[float], expected: bool
 ) -> None:
-    assert turns_all_away(turned_away, attempts, 0.0, 60.0) is found
+    assert rejects_everything(rejected, attempts, 0.0, 60.0) is expected
 
 
-# Requests that are left with no answer
+# Requests that stay unanswered
 
 SHORT = Scenario(
     title="short deadlines under faults",
@@ -275,8 +276,8 @@
 )
 
 
-class Forgets(RouterHost):
-    """Never answers every fiftieth request."""
+class ForgetfulHost(RouterHost):
+    """Leaves every fiftieth request unanswered."""
 
     counted = 0
 
@@ -287,25 +288,25 @@
 
 
 class ForgetfulDaemon(Daemon):
-    host_class = Forgets
+    host_class = ForgetfulHost
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_one_request_in_500_is_left_unanswered_at_most_under_faults(
+def test_at_most_one_request_in_500_stays_unanswered_under_faults(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     observed = observe(SHORT, seed, monkeypatch)
     assert verdict(observed.report) == []
     assert len(observed.deadlines) > 3000
-    assert len(left_unanswered(observed)) <= most_unanswered(observed)
+    assert len(unanswered_requests(observed)) <= max_unanswered(observed)
 
 
-def test_a_router_that_leaves_more_unanswered_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_router_that_leaves_more_unanswered_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     observed = observe(SHORT, 1, monkeypatch, ForgetfulDaemon)
-    assert len(left_unanswered(observed)) > most_unanswered(observed)
+    assert len(unanswered_requests(observed)) > max_unanswered(observed)
 
 
-# Starts in time
+# Time until a started router is ready
 
 STARTS = 10
 INSTANCES = [
@@ -323,25 +324,25 @@
 
 
 class Start:
-    """A router's process from its start on."""
+    """A router process, and how long it took to become ready."""
 
     def __init__(self, folder: Path, discovery: DiscoveryPeer, port: int) -> None:
         folder.mkdir(exist_ok=True)
-        told = {
+        config = {
             "listen": f"127.0.0.1:{port}",
             "discovery": f"127.0.0.1:{discovery.peer.port}",
             "known": {"generation": 1, "reset": True, "instances": discovery.instances},
             "settings": SETTINGS,
         }
-        self.port, self.begun = port, time.monotonic()
-        self.process: subprocess.Popen[str] = start_router(folder, told)
-        self.took: float | None = None
+        self.port, self.started_at = port, time.monotonic()
+        self.process: subprocess.Popen[str] = start_router(folder, config)
+        self.ready_after_s: float | None = None
 
-    def look(self) -> bool:
-        """Whether it is ready, or has ended."""
-        if self.took is None and is_ready(self.port):
-            self.took = time.monotonic() - self.begun
-        return self.took is not None or self.process.poll() is not None
+    def poll(self) -> bool:
+        """Check whether it is ready or has exited; records when it became ready."""
+        if self.ready_after_s is None and is_ready(self.port):
+            self.ready_after_s = time.monotonic() - self.started_at
+        return self.ready_after_s is not None or self.process.poll() is not None
 
     def end(self) -> int:
         end_by_sigterm(self.process, WAIT_TIMEOUT_S)
@@ -349,7 +350,7 @@
 
 
 def test_nine_in_ten_restarted_processes_are_ready_within_six_seconds(tmp_path: Path) -> None:
-    """They are all restarted at once, at the addresses that they had."""
+    """All are restarted at once, at their old addresses."""
     discovery = DiscoveryPeer(INSTANCES)
     ports = [take_port() for _ in range(STARTS)]
     running: list[Start] = []
@@ -357,11 +358,11 @@
     def start_all() -> None:
         running[:] = [Start(tmp_path / str(port), discovery, port) for port in ports]
 
-        def all_looked_at() -> bool:
-            looked = [start.look() for start in running]  # each of them, for its own time
-            return all(looked)
+        def poll_all() -> bool:
+            are_done = [start.poll() for start in running]  # all of them, so that each records its own time
+            return all(are_done)
 
-        eventually(all_looked_at, "every router is ready")
+        eventually(poll_all, "every router is ready")
 
     def end_all() -> list[int]:
         for start in running:
@@ -372,8 +373,8 @@
         start_all()
         assert end_all() == [0] * STARTS
         start_all()
-        times = sorted(start.took or float("inf") for start in running)
-        in_time = [took for took in times if took <= READY_S]
+        times = sorted(start.ready_after_s or float("inf") for start in running)
+        in_time = [ready_after_s for ready_after_s in times if ready_after_s <= READY_S]
         assert len(in_time) >= READY_SHARE * STARTS, times
     finally:
         codes = end_all()
--- a/tests/daemon/test_limits.py
+++ b/tests/daemon/test_limits.py
@@ -1,4 +1,4 @@
-"""Long values, floods, restarts and configuration of the real router, over loopback sockets."""
+"""Tests of a router process: long values, heavy load, shutdown, invalid configuration and reloads."""
 
 from __future__ import annotations
 
@@ -36,32 +36,32 @@
     running_router,
 )
 
-LONG = bytes(range(256)) * 4096 * 2  # 2 MiB
+LONG_VALUE = bytes(range(256)) * 4096 * 2  # 2 MiB
 
 
-def test_long_value_passes_through_whole_and_the_connection_goes_on(tmp_path: Path) -> None:
-    cache = Peer(lambda _, words: hit(LONG if words[1] == b"long" else b"short"))
+def test_long_value_is_complete_and_its_connection_is_reused(tmp_path: Path) -> None:
+    cache = Peer(lambda _, words: hit(LONG_VALUE if words[1] == b"long" else b"short"))
     with running_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         for i in range(3):
-            assert client.request(get(f"l{i}", "long")) == LONG
+            assert client.request(get(f"l{i}", "long")) == LONG_VALUE
             assert client.request(get(f"s{i}")) == b"short"
         assert cache.connection_count == 1
 
 
-def test_long_value_of_the_origin_passes_through_whole(tmp_path: Path) -> None:
+def test_long_value_of_the_origin_is_complete(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n")
-    origin = Peer(lambda _, words: http_answer(200, LONG), True)
+    origin = Peer(lambda _, words: http_answer(200, LONG_VALUE), True)
     with running_router(tmp_path, {"s1": cache}, origin) as router:
         client = router.client()
-        assert client.request(get("l1")) == LONG
-        assert client.request(get("l2")) == LONG
+        assert client.request(get("l1")) == LONG_VALUE
+        assert client.request(get("l2")) == LONG_VALUE
         assert origin.connection_count == 1
 
 
-def test_long_value_that_breaks_off_ends_visibly_incomplete(tmp_path: Path) -> None:
+def test_truncated_long_value_ends_visibly_incomplete(tmp_path: Path) -> None:
     def answer(connection: socket.socket, words: list[bytes]) -> bytes:
-        connection.sendall(hit(LONG)[: len(LONG) // 2])
+        connection.sendall(hit(LONG_VALUE)[: len(LONG_VALUE) // 2])
         connection.shutdown(socket.SHUT_RDWR)
         return b""
 
@@ -73,10 +73,10 @@
         assert router.client().request(bulk(b"PING")) == b"+PONG"
 
 
-def test_long_value_of_another_length_than_told_ends_visibly_incomplete(tmp_path: Path) -> None:
-    # What follows the length that was told can be read as the rest of the answer.
-    told = b"*3\r\n$%d\r\n" % len(LONG) + LONG + b"xx+of\r\n$3\r\nhit\r\n$-1\r\n"
-    cache = Peer(lambda _, words: told)
+def test_long_value_of_a_wrong_length_ends_visibly_incomplete(tmp_path: Path) -> None:
+    # The bytes after the announced length can be parsed as the rest of the answer.
+    answer = b"*3\r\n$%d\r\n" % len(LONG_VALUE) + LONG_VALUE + b"xx+of\r\n$3\r\nhit\r\n$-1\r\n"
+    cache = Peer(lambda _, words: answer)
     with running_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         client.send(get("l1"))
@@ -85,34 +85,34 @@
         assert router.client().request(bulk(b"PING")) == b"+PONG"
 
 
-def test_long_value_waits_for_the_answers_before_it(tmp_path: Path) -> None:
-    begun = threading.Event()
+def test_long_value_waits_for_earlier_answers(tmp_path: Path) -> None:
+    request_arrived = threading.Event()
 
     def answer(_: socket.socket, words: list[bytes]) -> bytes:
         if words[2] == b"slow":
-            begun.wait(10)
+            request_arrived.wait(10)
             return hit(b"slow")
-        begun.set()
-        return hit(LONG)
+        request_arrived.set()
+        return hit(LONG_VALUE)
 
     cache = Peer(answer)
     with running_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         client.send(get("slow") + get("l1", "long"))
         assert client.read_reply() == b"slow"
-        assert client.read_reply() == LONG
+        assert client.read_reply() == LONG_VALUE
 
 
-def test_many_long_values_for_clients_that_never_read_stay_within_memory(tmp_path: Path) -> None:
-    cache = Peer(lambda _, words: hit(LONG * 2))
+def test_long_values_for_clients_that_never_read_stay_within_memory(tmp_path: Path) -> None:
+    cache = Peer(lambda _, words: hit(LONG_VALUE * 2))
     with running_router(tmp_path, {"s1": cache}) as router:
         before = router.memory_kb()
-        clients = [router.client() for _ in range(15)]  # as many as may have an attempt at one server
+        clients = [router.client() for _ in range(15)]  # the maximum number of attempts at one server
         for i, client in enumerate(clients):
             client.send(get(f"l{i}", f"k{i}"))
         eventually(lambda: len(cache.requests) == len(clients), "all attempts")
         assert router.client().request(bulk(b"PING")) == b"+PONG"
-        assert router.memory_kb() - before < 15 * 1024  # of 60 MiB that are on their way
+        assert router.memory_kb() - before < 15 * 1024  # of 60 MiB in transit
         for client in clients:
             client.close()
 
@@ -122,7 +122,7 @@
     limits = {"cores": 1.0, "memory_mb": 32, "sockets": 512}
     value = bytes(64 << 10)
     with running_router(tmp_path, {}, origin, limits=limits) as router:
-        stuck = [router.client() for _ in range(120)]  # more than what is set aside is enough for
+        stuck = [router.client() for _ in range(120)]  # more than the memory for long commands suffices for
         for i, client in enumerate(stuck):
             client.send(put(f"stuck{i}", value)[:1000])
         answers: list[bytes] = []
@@ -151,7 +151,7 @@
         assert [client.read_reply() for _ in range(600)] == [b"r%d" % i for i in range(600)]
 
 
-def test_connection_that_the_server_closed_meanwhile_costs_a_safe_read_nothing(tmp_path: Path) -> None:
+def test_connection_reset_by_its_server_does_not_fail_a_safe_read(tmp_path: Path) -> None:
     def answer(connection: socket.socket, words: list[bytes]) -> bytes | None:
         connection.sendall(hit(words[2]))
         reset(connection)
@@ -164,8 +164,10 @@
             assert client.request(get(f"r{i}", f"k{i}")) in (b"r%d" % i, b"-BUSY")
 
 
-def _asking(router_port: int, stop: threading.Event, lost: list[str], served: list[str], name: str) -> None:
-    """A client that follows the protocol: a close between requests is met with a new connection."""
+def _send_requests(
+    router_port: int, stop: threading.Event, lost: list[str], served: list[str], name: str
+) -> None:
+    """Send requests as the protocol requires: after a close between requests on a new connection."""
     client, i = Client(router_port), 0
     while not stop.is_set():
         i += 1
@@ -177,12 +179,12 @@
             try:
                 client = Client(router_port)
             except OSError:
-                return  # the router has gone, with nothing of ours
+                return  # the router has exited, with no request of this client open
             continue
         (served if answer == f"{name}.{i}".encode() else lost).append(answer.decode())
 
 
-def test_sigterm_under_load_answers_all_that_was_taken(tmp_path: Path) -> None:
+def test_sigterm_under_load_answers_all_accepted_requests(tmp_path: Path) -> None:
     def answer(_: socket.socket, words: list[bytes]) -> bytes:
         threading.Event().wait(0.02)
         return hit(words[2])
@@ -191,7 +193,7 @@
     with running_router(tmp_path, {"s1": cache}) as router:
         stop, lost, served = threading.Event(), list[str](), list[str]()
         threads = [
-            threading.Thread(target=_asking, args=(router.port, stop, lost, served, f"c{i}"))
+            threading.Thread(target=_send_requests, args=(router.port, stop, lost, served, f"c{i}"))
             for i in range(6)
         ]
         for thread in threads:
@@ -200,7 +202,7 @@
         slow = router.client()
         slow.send(get("taken"))
         router.terminate()
-        late = router.client()  # it still accepts for a while
+        late = router.client()  # it still accepts connections for a while
         assert late.request(get("late")) == b"late"
         assert slow.read_reply() == b"taken"
         assert router.process.wait(WAIT_TIMEOUT_S) == 0
@@ -224,7 +226,7 @@
 
 
 @pytest.mark.parametrize(("text", "words"), list(_bad_configs()))
-def test_bad_configuration_is_one_plain_line(tmp_path: Path, text: str | None, words: str) -> None:
+def test_invalid_configuration_is_reported_in_one_line(tmp_path: Path, text: str | None, words: str) -> None:
     environ = {key: value for key, value in os.environ.items() if not key.startswith("LB_")}
     if text is not None:
         (tmp_path / "config.json").write_text(text)
@@ -243,7 +245,7 @@
     assert words in result.stderr
 
 
-def test_clients_and_servers_keep_to_the_descriptors_together(tmp_path: Path) -> None:
+def test_clients_and_servers_together_stay_within_the_descriptors(tmp_path: Path) -> None:
     release = threading.Event()
 
     def answer(_: socket.socket, words: list[bytes]) -> bytes:
@@ -258,7 +260,7 @@
             clients.append(router.client())
             with contextlib.suppress(OSError):  # one over the limit is closed
                 clients[-1].send(get(f"r{i}", f"k{i}", 15_000))
-        assert clients[-1].at_end()  # by then all that are taken in are taken in
+        assert clients[-1].at_end()  # by then every connection within the limit is accepted
         eventually(lambda: sum(len(cache.requests) for cache in caches.values()) > 40, "load on both sides")
         assert router.descriptors() <= limit
         release.set()
@@ -273,36 +275,42 @@
     router.process.send_signal(signal.SIGHUP)
 
 
-def test_reload_moves_to_another_discovery_and_keeps_the_list_until_that_speaks(tmp_path: Path) -> None:
+def test_reload_keeps_the_list_until_the_new_discovery_answers(tmp_path: Path) -> None:
     old, new = Peer(lambda _, words: hit(b"old")), Peer(lambda _, words: hit(b"new"))
     with running_router(tmp_path, {"s1": old}) as router:
         client = router.client()
         assert client.request(get("r0")) == b"old"
-        speaks = threading.Event()
+        may_answer = threading.Event()
         second = DiscoveryPeer([entry(new, "s2")])
         answer = second.peer.handler
         second.peer.handler = lambda connection, words: (
-            speaks.wait(WAIT_TIMEOUT_S),
+            may_answer.wait(WAIT_TIMEOUT_S),
             answer(connection, words),
         )[1]
         _reload(router, second.peer.port)
         eventually(lambda: second.peer.requests, "a call of the new discovery")
         assert router.client().request(get("r1")) == b"old"
         third = entry(new, "s3")
-        router.discovery.change(third)  # the old one still counts
-        names = (f"w{i}" for i in range(100_000))
-        eventually(lambda: router.client().request(get(next(names))) == b"new", "what the old discovery told")
+        router.discovery.change(third)  # changes at the old discovery still apply
+        request_ids = (f"w{i}" for i in range(100_000))
+        eventually(
+            lambda: router.client().request(get(next(request_ids))) == b"new", "the list of the old discovery"
+        )
         router.discovery.peer.close()
         second.instances = [entry(old, "s1")]
-        speaks.set()
-        eventually(lambda: router.client().request(get(next(names))) == b"old", "what the new discovery told")
+        may_answer.set()
+        eventually(
+            lambda: router.client().request(get(next(request_ids))) == b"old", "the list of the new discovery"
+        )
         second.change(entry(old, "s1", lifecycle="removed"), third)
-        eventually(lambda: router.client().request(get(next(names))) == b"new", "the new discovery's changes")
+        eventually(
+            lambda: router.client().request(get(next(request_ids))) == b"new", "the new discovery's changes"
+        )
         second.peer.close()
 
 
 @pytest.mark.parametrize("text", ["", '{"listen": "127.0', "[]", '{"discovery": 5}'])
-def test_reload_of_a_bad_file_changes_nothing_and_a_good_one_counts_later(tmp_path: Path, text: str) -> None:
+def test_reload_of_an_invalid_file_changes_nothing_until_a_valid_one(tmp_path: Path, text: str) -> None:
     old, new = Peer(lambda _, words: hit(b"old")), Peer(lambda _, words: hit(b"new"))
     with running_router(tmp_path, {"s1": old}) as router:
         good = router.config.read_text()
@@ -312,36 +320,40 @@
         router.config.write_text(good)
         second = DiscoveryPeer([entry(new, "s2")])
         _reload(router, second.peer.port)
-        names = (f"w{i}" for i in range(100_000))
-        eventually(lambda: router.client().request(get(next(names))) == b"new", "the new discovery's list")
+        request_ids = (f"w{i}" for i in range(100_000))
+        eventually(
+            lambda: router.client().request(get(next(request_ids))) == b"new", "the new discovery's list"
+        )
         second.peer.close()
 
 
-def test_reload_of_a_half_written_file_takes_it_once_it_is_whole(tmp_path: Path) -> None:
+def test_reload_of_a_partly_written_file_applies_it_once_complete(tmp_path: Path) -> None:
     old, new = Peer(lambda _, words: hit(b"old")), Peer(lambda _, words: hit(b"new"))
     second = DiscoveryPeer([entry(new, "s2")])
     with running_router(tmp_path, {"s1": old}) as router:
-        told = json.loads(router.config.read_text())
-        told["discovery"] = f"127.0.0.1:{second.peer.port}"
-        whole = json.dumps(told)
-        router.config.write_text(whole[:100])
+        config = json.loads(router.config.read_text())
+        config["discovery"] = f"127.0.0.1:{second.peer.port}"
+        complete = json.dumps(config)
+        router.config.write_text(complete[:100])
         router.process.send_signal(signal.SIGHUP)
         assert router.client().request(get("r0")) == b"old"
-        router.config.write_text(whole)
-        names = (f"w{i}" for i in range(100_000))
-        eventually(lambda: router.client().request(get(next(names))) == b"new", "the new discovery's list")
+        router.config.write_text(complete)
+        request_ids = (f"w{i}" for i in range(100_000))
+        eventually(
+            lambda: router.client().request(get(next(request_ids))) == b"new", "the new discovery's list"
+        )
     second.peer.close()
 
 
-def test_long_values_without_a_length_are_held_within_the_memory(tmp_path: Path) -> None:
+def test_long_values_of_unknown_length_stay_within_memory(tmp_path: Path) -> None:
     value, count, limit = bytes(range(256)) * 4096 * 3, 16, 40
-    go_on = threading.Event()
-    go_on.set()
+    may_finish = threading.Event()
+    may_finish.set()
 
     def store(connection: socket.socket, words: list[bytes]) -> bytes | None:
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n" % len(value)
         connection.sendall(head + value[:-1])
-        go_on.wait(WAIT_TIMEOUT_S)
+        may_finish.wait(WAIT_TIMEOUT_S)
         return value[-1:] + b"\r\n0\r\n\r\n"
 
     cache = Peer(lambda _, words: MISS)
@@ -351,20 +363,20 @@
         assert router.client().request(get("first", "first", d=60_000)) == value
         before = router.memory_kb()
         clients = [router.client() for _ in range(count)]
-        go_on.clear()
+        may_finish.clear()
         for number, client in enumerate(clients):
             client.send(get(f"q{number}", f"k{number}", d=60_000))
-        eventually(lambda: len(origin.requests) > count, "all of them at the store")
+        eventually(lambda: len(origin.requests) > count, "all requests at the store")
         samples = [before]
 
         def at_rest() -> bool:
             samples.append(router.memory_kb())
             return len(samples) > 30 and len(set(samples[-20:])) == 1
 
-        eventually(at_rest, "an end of the growth")
-        go_on.set()
+        eventually(at_rest, "the memory stops growing")
+        may_finish.set()
         for client in clients:
             assert client.read_reply() == value
             samples.append(router.memory_kb())
-        most = max(samples)
-        assert (most - before) / 1024 < limit / 2 < count * len(value) / (1 << 20)
+        peak = max(samples)
+        assert (peak - before) / 1024 < limit / 2 < count * len(value) / (1 << 20)
--- a/tests/daemon/test_npm_clients.py
+++ b/tests/daemon/test_npm_clients.py
@@ -1,4 +1,4 @@
-"""Clients of another language, installed by npm for the run: outside CI, as it needs the registry."""
+"""JavaScript clients, installed by npm for the run: outside CI, as that needs the npm registry."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.daemon.test_greetings import INFO, running
+from tests.daemon.test_session_commands import INFO, running
 from tests.sockets import RunningRouter
 
 __all__ = ["running"]
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.long
-def test_ioredis_and_node_redis_as_they_come(running: RunningRouter, tmp_path: Path) -> None:
+def test_ioredis_and_node_redis_with_default_settings(running: RunningRouter, tmp_path: Path) -> None:
     folder = tmp_path / "npm"
     folder.mkdir()
     subprocess.run(["npm", "install", "--prefix", str(folder), *PACKAGES], check=True, capture_output=True)
--- a/tests/daemon/test_requests.py
+++ b/tests/daemon/test_requests.py
@@ -1,4 +1,4 @@
-"""Reads, writes, outcomes and bad input of the real router, over loopback sockets."""
+"""Tests of a router process over loopback sockets: reads, writes, failures and invalid input."""
 
 from __future__ import annotations
 
@@ -32,21 +32,21 @@
     return dict(part.split("=", 1) for part in info.decode().split(","))
 
 
-def test_read_that_hits_passes_all_on_but_the_time_left(tmp_path: Path) -> None:
+def test_read_that_hits_forwards_all_fields_but_the_timeout(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(b"value of " + words[1]))
     with running_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         assert client.request(get("id1", "a/key", 5000, ",r=1,size=9,h=77")) == b"value of a/key"
         (words,) = cache.requests
         assert words[:3] == [b"KV.GET", b"a/key", b"id1"]
-        told = fields(words[3])
-        assert 0 < int(told.pop("d")) <= 5000
-        assert told == {"c": "get", "t": "acme", "r": "1", "size": "9", "h": "77"}
+        info = fields(words[3])
+        assert 0 < int(info.pop("d")) <= 5000
+        assert info == {"c": "get", "t": "acme", "r": "1", "size": "9", "h": "77"}
         assert client.request(get("id2")) == b"value of k"
-        assert cache.connection_count == 1  # the connection is used again
+        assert cache.connection_count == 1  # the connection is reused
 
 
-def test_read_that_misses_goes_to_the_origin(tmp_path: Path) -> None:
+def test_read_that_misses_is_fetched_from_the_origin(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: MISS)
     origin = Peer(lambda _, words: http_answer(200, b"fetched", "Server-Load: latency_ms=2,queue=1"), True)
     with running_router(tmp_path, {"s1": cache}, origin) as router:
@@ -54,8 +54,8 @@
         (message,) = origin.requests
         assert message[:2] == [b"GET", b"/p/kg"]
         assert b"Request-Id: id1\r\n" in message[2]
-        (told,) = re.findall(rb"Request-Info: c=get,t=acme,d=(\d+)\r\n", message[2])
-        assert 0 < int(told) <= 4321
+        (timeout,) = re.findall(rb"Request-Info: c=get,t=acme,d=(\d+)\r\n", message[2])
+        assert 0 < int(timeout) <= 4321
 
 
 def test_write_goes_to_the_origin_with_its_value(tmp_path: Path) -> None:
@@ -68,14 +68,14 @@
         assert not cache.requests
 
 
-def test_pipelined_commands_are_answered_in_their_order(tmp_path: Path) -> None:
-    held = threading.Event()
+def test_pipelined_commands_are_answered_in_order(tmp_path: Path) -> None:
+    fast_arrived = threading.Event()
 
     def answer(_: socket.socket, words: list[bytes]) -> bytes:
         if words[2] == b"slow":
-            held.wait(10)
+            fast_arrived.wait(10)
         else:
-            held.set()
+            fast_arrived.set()
         return hit(words[2])
 
     cache = Peer(answer)
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "header", "tries_again"),
+    ("status", "header", "is_retried"),
     [
         (500, "X: 1", False),
         (503, "Not-Started: 1", True),
@@ -94,60 +94,60 @@
         (503, "X: 1", False),
     ],
 )
-def test_unsafe_write_is_repeated_only_if_it_never_ran(
-    tmp_path: Path, status: int, header: str, tries_again: bool
+def test_unsafe_write_is_retried_only_if_it_never_ran(
+    tmp_path: Path, status: int, header: str, is_retried: bool
 ) -> None:
     answers = [http_answer(status, b"", header), http_answer(200, b"done")]
     origin = Peer(lambda _, message: answers[min(len(origin.requests), 2) - 1], True)
     with running_router(tmp_path, {}, origin) as router:
         answer = router.client().request(put("w1", cls="once"))
-        assert answer == (b"done" if tries_again else b"-ERR failed")
-        assert len(origin.requests) == (2 if tries_again else 1)
+        assert answer == (b"done" if is_retried else b"-ERR failed")
+        assert len(origin.requests) == (2 if is_retried else 1)
 
 
-def test_unsafe_write_whose_connection_breaks_may_have_run(tmp_path: Path) -> None:
+def test_unsafe_write_is_not_retried_after_a_reset(tmp_path: Path) -> None:
     origin = Peer(lambda connection, _: reset(connection), True)
     with running_router(tmp_path, {}, origin) as router:
         assert router.client().request(put("w1", cls="once")) == b"-ERR failed"
         assert len(origin.requests) == 1
 
 
-def test_every_failure_of_a_cache_sends_a_read_to_another(tmp_path: Path) -> None:
-    def break_off(connection: socket.socket, words: list[bytes]) -> bytes | None:
+def test_read_is_retried_elsewhere_after_any_failure_of_a_cache(tmp_path: Path) -> None:
+    def fail(connection: socket.socket, words: list[bytes]) -> bytes | None:
         if words[2] == b"reset":
             reset(connection)
         return {b"error": b"-ERR failed latency_ms=3,queue=4\r\n", b"full": b"-BUSY\r\n"}.get(
             words[2], b"junk\r\n"
         )
 
-    bad, good = Peer(break_off), Peer(lambda _, words: hit(words[2]))
+    bad, good = Peer(fail), Peer(lambda _, words: hit(words[2]))
     with running_router(tmp_path, {"s1": bad, "s2": good}) as router:
         client = router.client()
         for name in ("error", "junk", "reset"):
-            for i in range(30):  # keys enough that each cache is asked first for some
+            for i in range(30):  # enough keys that each cache is the first choice for some
                 sent = name if i % 2 else "fine"
                 answer = client.request(get(f"{name}" if sent == name else f"fine{name}{i}", f"k{i}"))
                 assert answer in (name.encode(), f"fine{name}{i}".encode())
         assert bad.requests
 
 
-def test_server_that_breaks_every_connection_is_left_alone(tmp_path: Path) -> None:
+def test_server_that_resets_every_connection_is_avoided(tmp_path: Path) -> None:
     bad, good = Peer(lambda connection, _: reset(connection)), Peer(lambda _, words: hit(words[2]))
     with running_router(tmp_path, {"s1": bad, "s2": good}) as router:
         client = router.client()
-        for i in range(80):  # keys enough that each cache is asked first for about half of them
+        for i in range(80):  # enough keys that each cache is the first choice for about half
             assert client.request(get(f"r{i}", f"k{i}")) == b"r%d" % i
         assert 2 <= len(bad.requests) < 20
 
 
-def test_server_whose_kept_connections_break_goes_on_being_asked(tmp_path: Path) -> None:
+def test_server_that_resets_reused_connections_is_still_used(tmp_path: Path) -> None:
     served: dict[socket.socket, int] = {}
-    both = threading.Barrier(2)
+    both_connected = threading.Barrier(2)
 
     def answer(connection: socket.socket, words: list[bytes]) -> bytes | None:
         served[connection] = served.get(connection, 0) + 1
         if words[2] in (b"first", b"second"):
-            both.wait(WAIT_TIMEOUT_S)  # so that there are two connections, each with an answer
+            both_connected.wait(WAIT_TIMEOUT_S)  # so that there are two connections, each with an answer
         return hit(words[2]) if served[connection] == 1 else reset(connection)
 
     shaky = Peer(answer)
@@ -156,17 +156,17 @@
         one.send(get("first"))
         two.send(get("second"))
         assert (one.read_reply(), two.read_reply()) == (b"first", b"second")
-        assert one.request(get("third")) == b"third"  # after two breaks, on a new connection
+        assert one.request(get("third")) == b"third"  # after two resets, on a new connection
         assert len(shaky.requests) == 5
 
 
-def test_silent_server_costs_an_attempt_its_time_and_nothing_more(tmp_path: Path) -> None:
+def test_attempt_at_a_silent_server_times_out(tmp_path: Path) -> None:
     silent = Peer(lambda _, words: None)
     with running_router(tmp_path, {"s1": silent}) as router:
         client = router.client()
-        begun = time.monotonic()
+        started_at = time.monotonic()
         assert client.request(get("r1", d=300)).startswith(b"-BUSY ")
-        assert time.monotonic() - begun >= 0.25
+        assert time.monotonic() - started_at >= 0.25
         assert client.request(bulk(b"PING")) == b"+PONG"
 
 
@@ -184,12 +184,12 @@
         assert client.request(get("first", d=200)).startswith(b"-BUSY")
         release.set()
         for i in range(10):
-            # refusals are the module's caution after a time-out; an answer must be the request's own
-            answer_came = client.request(get(f"r{i}"))
-            assert answer_came == b"r%d" % i or answer_came.startswith(b"-BUSY")
+            # the decision module may reject requests after a timeout; a value must be the request's own
+            reply = client.request(get(f"r{i}"))
+            assert reply == b"r%d" % i or reply.startswith(b"-BUSY")
 
 
-def test_answer_that_nobody_asked_for_is_dropped_with_its_connection(tmp_path: Path) -> None:
+def test_answer_without_a_request_is_dropped_with_its_connection(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[2]) + (hit(b"stray") if words[2] == b"r0" else b""))
     with running_router(tmp_path, {"s1": cache}, settings={"classes": LONG_DEADLINE_CLASSES}) as router:
         client = router.client()
@@ -198,7 +198,7 @@
         assert cache.connection_count >= 2
 
 
-def test_gone_client_leaves_nothing_behind(tmp_path: Path) -> None:
+def test_request_id_is_free_again_after_a_disconnect(tmp_path: Path) -> None:
     release = threading.Event()
 
     def answer(_: socket.socket, words: list[bytes]) -> bytes:
@@ -215,14 +215,14 @@
         assert eventually(lambda: router.client().request(get("left")) == b"left", "the id is free again")
 
 
-def test_drained_server_gets_nothing_new(tmp_path: Path) -> None:
+def test_draining_server_gets_no_new_request(tmp_path: Path) -> None:
     old, new = Peer(lambda _, words: hit(b"old")), Peer(lambda _, words: hit(b"new"))
     with running_router(tmp_path, {"s1": old}) as router:
         client = router.client()
         assert client.request(get("r0")) == b"old"
         router.discovery.change(entry(old, "s1", lifecycle="draining"), entry(new, "s2"))
-        names = (f"w{i}" for i in range(10_000))
-        eventually(lambda: client.request(get(next(names))) == b"new", "the new list is used")
+        request_ids = (f"w{i}" for i in range(10_000))
+        eventually(lambda: client.request(get(next(request_ids))) == b"new", "the new list is used")
         count = len(old.requests)
         for i in range(20):
             assert client.request(get(f"r{i + 1}", f"k{i}")) == b"new"
@@ -235,8 +235,8 @@
         client = router.client()
         assert client.request(get("r0")) == b"first"
         router.discovery.change(entry(second, "s1"))
-        names = (f"w{i}" for i in range(10_000))
-        eventually(lambda: client.request(get(next(names))) == b"second", "the new address")
+        request_ids = (f"w{i}" for i in range(10_000))
+        eventually(lambda: client.request(get(next(request_ids))) == b"second", "the new address")
 
 
 @pytest.mark.parametrize(
@@ -248,17 +248,17 @@
         b"no http at all\r\n\r\n",
     ],
 )
-def test_bad_answers_of_discovery_change_nothing(tmp_path: Path, junk: bytes) -> None:
+def test_invalid_answers_of_discovery_change_nothing(tmp_path: Path, junk: bytes) -> None:
     cache = Peer(lambda _, words: hit(words[2]))
     with running_router(tmp_path, {"s1": cache}) as router:
         router.discovery.invalid_reply = junk
-        asked = len(router.discovery.peer.requests)
+        calls_before = len(router.discovery.peer.requests)
         router.discovery.change(entry(cache, "s1"))
-        eventually(lambda: len(router.discovery.peer.requests) > asked + 2, "more calls of discovery")
+        eventually(lambda: len(router.discovery.peer.requests) > calls_before + 2, "more calls of discovery")
         assert router.client().request(get("r1")) == b"r1"
 
 
-def test_known_list_serves_while_discovery_is_silent(tmp_path: Path) -> None:
+def test_known_list_is_used_while_discovery_is_silent(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[2]))
     with running_router(tmp_path, {}, known=[entry(cache, "s1")], discovery_reply=b"") as router:
         assert router.client().request(get("r1")) == b"r1"
@@ -283,7 +283,7 @@
         (bulk(b"KV.GET", b"", b"id", b"c=get,d=100"), b"key must", False),
     ],
 )
-def test_bad_input_gets_an_error_line_and_reaches_no_server(
+def test_invalid_input_gets_an_error_and_reaches_no_server(
     tmp_path: Path, data: bytes, words: bytes, closes: bool
 ) -> None:
     cache = Peer(lambda _, message: hit(b"reached"))
@@ -299,13 +299,13 @@
         assert not cache.requests
 
 
-def test_unknown_tenant_is_served_as_of_none(tmp_path: Path) -> None:
+def test_unknown_tenant_is_served_like_no_tenant(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(b"served"))
     with running_router(tmp_path, {"s1": cache}) as router:
         assert router.client().request(bulk(b"KV.GET", b"k", b"id", b"c=get,t=nobody,d=5000")) == b"served"
 
 
-def test_duplicate_id_is_refused_while_the_first_is_open(tmp_path: Path) -> None:
+def test_duplicate_id_is_rejected_while_the_first_is_open(tmp_path: Path) -> None:
     release = threading.Event()
 
     def answer(_: socket.socket, words: list[bytes]) -> bytes:
@@ -323,7 +323,7 @@
         assert len(cache.requests) == 1
 
 
-def test_command_cut_off_midway_reaches_no_server(tmp_path: Path) -> None:
+def test_incomplete_command_reaches_no_server(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(b"served"))
     with running_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
@@ -333,7 +333,7 @@
         assert len(cache.requests) == 1
 
 
-def test_command_in_single_bytes_is_read_whole(tmp_path: Path) -> None:
+def test_command_sent_byte_by_byte_is_served(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[1]))
     with running_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
--- a/tests/daemon/test_settling.py
+++ b/tests/daemon/test_settling.py
@@ -1,4 +1,4 @@
-"""A process is ready when the CPU of its start is paid, and not before."""
+"""The pause between a start and its first clients, which keeps the process within its CPU quota."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.sockets import SETTINGS
 from tests.virtual import run_virtual
 
-TOLD: dict[str, Any] = {
+CONFIG: dict[str, Any] = {
     "listen": "127.0.0.1:1",
     "discovery": "127.0.0.1:2",
     "settings": SETTINGS,
@@ -21,8 +21,8 @@
 }
 
 
-class Beside:
-    """Notes when clients may come."""
+class ReadyRecorder:
+    """Records when the router became ready."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
@@ -35,7 +35,7 @@
         pass
 
 
-def test_the_wait_grows_with_what_the_start_took_and_is_bounded() -> None:
+def test_pause_grows_with_the_cpu_of_the_start_up_to_a_limit() -> None:
     assert settling_delay(0.0, 0.8) == 0
     assert settling_delay(0.1, 0.8) == pytest.approx(0.1 / 0.32 - 0.1)
     assert settling_delay(0.1, 4.0) == 0
@@ -43,17 +43,17 @@
 
 
 @pytest.mark.parametrize("spent", [0.0, 0.1])
-def test_it_is_ready_once_its_start_is_paid_and_tells_so_once(spent: float) -> None:
+def test_router_becomes_ready_once_after_the_pause(spent: float) -> None:
     async def work(loop: VirtualLoop) -> None:
-        daemon = Daemon(loop, read_config(TOLD, {}), loop.unix_ns, startup_cpu_s=spent)
-        began, noted, wait = loop.time(), Beside(loop), settling_delay(spent, 0.8)
-        daemon._upgrade = cast(Any, noted)
+        daemon = Daemon(loop, read_config(CONFIG, {}), loop.unix_ns, startup_cpu_s=spent)
+        started_at, recorder, wait = loop.time(), ReadyRecorder(loop), settling_delay(spent, 0.8)
+        daemon._upgrade = cast(Any, recorder)
         daemon._become_ready()
-        daemon._become_ready()  # the next list may come first
+        daemon._become_ready()  # the next list may arrive before the pause is over
         assert daemon.host.ready == (not spent)
         await asyncio.sleep(wait + 0.01)
         assert daemon.host.ready
-        assert [at - began for at in noted.ready_at] == [pytest.approx(wait, abs=0.002)]
+        assert [at - started_at for at in recorder.ready_at] == [pytest.approx(wait, abs=0.002)]
         daemon.stop()
         await asyncio.sleep(0)
 
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from pebblepass.fault_injection.disk import PowerDisk
+from pebblepass.fault_injection.disk import PowerLossDisk
 from pebblepass.storage.disk import Directory, replace_file
 from pebblepass.storage.frames import SECTOR_BYTES, FileHeader, StorageError
 from pebblepass.storage.log import Log
@@ -20,13 +20,13 @@
     """Simulates a power loss at a step of the disk."""
 
 
-def create_log(disk: PowerDisk | Directory, *records: bytes) -> Log:
+def create_log(disk: PowerLossDisk | Directory, *records: bytes) -> Log:
     log = Log(disk, "log", HEADER)
     log.write_snapshot(list(records))
     return log
 
 
-def read_log(disk: PowerDisk | Directory) -> list[bytes] | None:
+def read_log(disk: PowerLossDisk | Directory) -> list[bytes] | None:
     return Log(disk, "log", HEADER).open()
 
 
@@ -41,11 +41,11 @@
     """All appended records are read back in order, and at most the one that was being written in addition."""
     for fail_step in range(1, 40):
         for seed in range(12):
-            disk = PowerDisk()
+            disk = PowerLossDisk()
             appended: list[bytes] = []
             pending = b""
 
-            def cut_power(_: str, disk: PowerDisk = disk, fail_step: int = fail_step) -> None:
+            def cut_power(_: str, disk: PowerLossDisk = disk, fail_step: int = fail_step) -> None:
                 if disk.steps == fail_step:
                     raise PowerLossError
 
@@ -123,7 +123,7 @@
     ],
 )
 def test_log_with_another_header_is_rejected_in_one_line(header: FileHeader, expected: str) -> None:
-    disk = PowerDisk()
+    disk = PowerLossDisk()
     create_log(disk, b"first")
     with pytest.raises(StorageError) as error:
         Log(disk, "log", header).open()
@@ -138,7 +138,7 @@
         if disk_is_full[0] and step in ("append", "sync"):
             raise OSError(errno.ENOSPC, "No space left on device")
 
-    disk = PowerDisk(before)
+    disk = PowerLossDisk(before)
     log = create_log(disk, b"first")
     disk_is_full[0] = True
     with pytest.raises(OSError, match="No space"):
@@ -155,11 +155,11 @@
 def test_replaced_file_is_old_or_new_after_power_loss() -> None:
     for fail_step in range(1, 6):
         for seed in range(20):
-            disk = PowerDisk()
+            disk = PowerLossDisk()
             replace_file(disk, "file", b"old" * 400)
             disk.steps = 0
 
-            def cut_power(_: str, disk: PowerDisk = disk, fail_step: int = fail_step) -> None:
+            def cut_power(_: str, disk: PowerLossDisk = disk, fail_step: int = fail_step) -> None:
                 if disk.steps == fail_step:
                     raise PowerLossError
 
@@ -179,9 +179,9 @@
     """Shows that the power loss tests can fail."""
     losses = 0
     for seed in range(20):
-        disk = PowerDisk()
+        disk = PowerLossDisk()
         log = create_log(disk, b"first")
-        disk.lies = True
+        disk.ignores_sync = True
         log.append([b"second"])
         disk.lose_power(random.Random(seed))
         losses += read_log(disk) != [b"first", b"second"]
