--- a/tests/compatibility/forms.py
+++ b/tests/compatibility/forms.py
@@ -453,7 +453,7 @@
 
 
 def scale_figures() -> dict[str, Any]:
-    """Return the figures of two snapshots of a fleet: the plan, the traffic by role and the cost of a change."""
+    """Return the figures of two snapshots of a fleet: plan, traffic by role, and cost of a change."""
     plan = ScalePlan(3, voters=1, full=1)
     names = ("empty", "hollow0", "f0000", "lone0", "c0")
     traffic = {
