--- a/pebblepass/accounting/service.py
+++ b/pebblepass/accounting/service.py
@@ -96,7 +96,7 @@
         """Stop; `closing`: write a closing balance, so that a successor can continue it."""
         for timer in self._timers.values():
             timer.cancel()
-        # Danger: a snapshot that is still under way must not come after the closing one.
+        # Warning: a snapshot that is still under way must not come after the closing one.
         self._workers.shutdown(wait=True)
         if self._file is not None:
             self._snapshot(closing)()
--- a/pebblepass/consensus/disk_identity.py
+++ b/pebblepass/consensus/disk_identity.py
@@ -106,7 +106,7 @@
         is_other_run = known.disk_id == start.disk_id and known.boot_id != sender.boot_id
         if is_other_run and sender.durable_version < known.version:
             return True  # the disk lacks a version that it had synced before
-        # Danger: a copy made before the last start repeats that start with the same number.
+        # Warning: a copy made before the last start repeats that start with the same number.
         is_repeated = sender.start_count == start.start_count and sender.boot_id != start.boot_id
         return sender.start_count < start.start_count or is_repeated
 
--- a/pebblepass/consensus/lease_client.py
+++ b/pebblepass/consensus/lease_client.py
@@ -152,7 +152,7 @@
     def send_releases(self) -> bool:
         """Report to the voters that smaller quota leases are applied; return whether there were any.
 
-        Danger: call this only after the policy is activated. If reported before, a voter could grant to
+        Warning: call this only after the policy is activated. If reported before, a voter could grant to
         another router what this one still uses.
         """
         releases, self._releases = self._releases, []
--- a/pebblepass/consensus/messages.py
+++ b/pebblepass/consensus/messages.py
@@ -347,7 +347,7 @@
     if isinstance(message.body, LeaseRequest | LeaseGrant):
         body = message.body
         rates = body.demand if isinstance(body, LeaseRequest) else body.quota_leases
-        # Danger: a NaN passes the bounds of the type and turns every sum that contains it into NaN.
+        # Warning: a NaN passes the bounds of the type and turns every sum that contains it into NaN.
         if any(math.isnan(rate) for _, rate in rates):
             raise ValueError("a rate is not a number")
     return message
--- a/pebblepass/consensus/outbox.py
+++ b/pebblepass/consensus/outbox.py
@@ -57,7 +57,7 @@
         if to == self.name:
             self._loopback.append(message)
         elif self._synced_token >= self._start_token:
-            # Danger: if a start is announced before its record is synced, the start after a power loss has
+            # Warning: if a start is announced before its record is synced, the start after a power loss has
             # the same number, and other voters would take its disk for an older copy.
             self._actions.append(Send(to, message, boot_id))
 
@@ -79,7 +79,7 @@
     def send_after_write(self, record: Record, to: str, body: m.Body) -> None:
         """Write a record, and send the message once the record is synced.
 
-        Danger: a promise that is sent before its record is synced is forgotten after a power loss.
+        Warning: a promise that is sent before its record is synced is forgotten after a power loss.
         """
         self._waiting.append((self.write(record), to, body))
 
--- a/pebblepass/consensus/policy.py
+++ b/pebblepass/consensus/policy.py
@@ -144,7 +144,7 @@
 
     def _problems(self, before: Policy, after: Policy) -> Iterator[str]:
         if after.floor_fraction < before.floor_fraction:
-            # Danger: a partitioned router keeps the floor of its version, and would admit more than the rest.
+            # Warning: a partitioned router uses the floor of its version, and would admit more than the rest.
             floors = f"{after.floor_fraction:g} is under {before.floor_fraction:g}"
             yield f"floor_share: {floors}; it can only rise"
         yield from self._namespace_problems(after)
--- a/pebblepass/consensus/proposer.py
+++ b/pebblepass/consensus/proposer.py
@@ -100,7 +100,7 @@
     def new_ballot(self, number: int) -> m.Ballot:
         """Return a ballot that no other proposer, and no other run of this process, uses.
 
-        Danger: without the run's id, a process that lost its state could reuse the ballot of an older round.
+        Warning: without the run's id, a process that lost its state could reuse the ballot of an older round.
         """
         return m.Ballot(number, f"{self._name}.{self._boot_id}")
 
@@ -159,7 +159,7 @@
             timeout = self._terms.granter_duration + self._terms.renewal_interval
             change.due = change.deadline = self._outbox.now + timeout
         elif other is None and change.may_be_accepted:
-            # Danger: while this router received nothing, this change and later ones may have been decided.
+            # Warning: while this router received nothing, this change and later ones may have been decided.
             self.change = None
             if not change.takeover:
                 lines = (texts.version_missed(version),)
--- a/pebblepass/consensus/quota_leases.py
+++ b/pebblepass/consensus/quota_leases.py
@@ -56,7 +56,7 @@
     def granted(self, voter: str, sequence: int, requested_at: int, rates: Rates) -> bool:
         """Record a voter's grant on this version; return whether it reduces the lease significantly.
 
-        Danger: grants that arrive out of order are ignored, as the voter may count them as replaced.
+        Warning: grants that arrive out of order are ignored, as the voter may count them as replaced.
         """
         before = self._leases.get(voter)
         if before is not None and sequence <= before.sequence:
--- a/pebblepass/discovery/call_schedule.py
+++ b/pebblepass/discovery/call_schedule.py
@@ -42,7 +42,7 @@
 # The platform expects a router to know a change 6 s after the service has it and can be reached, whatever
 # failed before. After a first timeout, it is 2 s after the end of the call's wait, if that is later. A
 # service that pushes does no work for a call, so timeouts are short: three failing calls in a row take less
-# than 6 s. Each call costs a polled service work, and a busy one may take 2 s to respond. Danger: if calls
+# than 6 s. Each call costs a polled service work, and a busy one may take 2 s to respond. Warning: if calls
 # after the first failures time out sooner, 200 routers overload the slowest service in the simulator forever.
 PUSH_TIMING = WatchTiming(
     min_wait_s=2.0, max_wait_s=2.0, overdue_s=0.5, immediate_timeouts_s=(1.0,), connect_timeout_s=0.4
--- a/pebblepass/discovery/client.py
+++ b/pebblepass/discovery/client.py
@@ -114,7 +114,7 @@
         watch.close_connection()
         self._needs_full_list = self._needs_full_list or watch.needs_full_list
         if watch is self._next:
-            # Danger: the watch at the old address may last long, and no other watch polls the new address.
+            # Warning: the watch at the old address may last long, and no other watch polls the new address.
             self._next = None
         else:
             self._watch = None
--- a/pebblepass/discovery/watch.py
+++ b/pebblepass/discovery/watch.py
@@ -100,7 +100,7 @@
             raise DiscoveryError(f"the response has status {response.status}")
         listed = parse_endpoint_list(msgspec.json.decode(response.body), self._clock)
         if listed.change.kind is ListKind.DELTA and listed.generation < self._generation:
-            # Danger: the service has lost the list in force, so its changes refer to a different list.
+            # Warning: the service has lost the list in force, so its changes refer to a different list.
             self.needs_full_list = True
             raise DiscoveryError(f"the list went back from version {self._generation} to {listed.generation}")
         return listed
--- a/pebblepass/storage/log.py
+++ b/pebblepass/storage/log.py
@@ -73,7 +73,7 @@
         """Replace the log by one with these records, which are durable on return. Raises OSError."""
         data = encode_header(self._header) + encode_frame(encode_batch(records))
         replace_file(self._disk, self._name, data)
-        # Danger: until the name of the new file is durable, a power loss may bring back the old log and lose
+        # Warning: until the name of the new file is durable, a power loss may bring back the old log and lose
         # all records that are appended to the new one.
         self._disk.sync_directory()
         self._size = self._snapshot_size = len(data)
@@ -96,7 +96,7 @@
             self._disk.append(self._name, data)
             self._disk.sync(self._name)
         except OSError:
-            # Danger: the write may be incomplete, and a later sync does not report what a failed sync lost.
+            # Warning: the write may be incomplete, and a later sync does not report what a failed sync lost.
             self._failed = True
             raise
         self._size += len(data)
