--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -98,7 +98,7 @@
         """The encoded command."""
         return command(b"KV.GET", b"k", b"0", b"c=read,d=1000")
 
-    def ended(self, outcome: Outcome, answer: Answer) -> None:
+    def handle_outcome(self, outcome: Outcome, answer: Answer) -> None:
         """Count the outcome."""
         self.ends[outcome.value] += 1
 
--- a/pebblepass/daemon/attempts.py
+++ b/pebblepass/daemon/attempts.py
@@ -310,7 +310,7 @@
         """Cancel it: the client that reads the value has disconnected."""
         self.give_up(Outcome.CANCELLED)
 
-    def ended(self, outcome: Outcome, answer: Answer) -> None:
+    def handle_outcome(self, outcome: Outcome, answer: Answer) -> None:
         """Reply to the client with the first OK; report every outcome to the decision module."""
         if self._timer is not None:
             self._timer.cancel()
--- a/pebblepass/daemon/exchange.py
+++ b/pebblepass/daemon/exchange.py
@@ -45,7 +45,7 @@
 
 
 class Exchange:
-    """One command or HTTP request to a server; `ended` is called exactly once."""
+    """One command or HTTP request to a server; `handle_outcome` is called exactly once."""
 
     connection: ExchangeConnection | None = None
     is_over = False
@@ -81,7 +81,7 @@
         """Encode the request; called when there is a connection for it."""
 
     @abstractmethod
-    def ended(self, outcome: Outcome, answer: Answer) -> None:
+    def handle_outcome(self, outcome: Outcome, answer: Answer) -> None:
         """Handle the outcome, and the answer if there is one."""
 
     def written(self) -> None:
@@ -97,7 +97,7 @@
         """Handle the header of the array of answers; `count` is -1 for an error line in its place."""
 
     def record_answer(self, outcome: Outcome, answer: Answer) -> bool:
-        """Handle one answer of several; returns False if it is the last, which `ended` handles."""
+        """Handle one answer of several; returns False if it is the last, which `handle_outcome` handles."""
         return False
 
     @property
@@ -113,7 +113,7 @@
         """End it with this outcome, unless it has ended before."""
         if not self.is_over:
             self.is_over, self.connection = True, None
-            self.ended(outcome, answer)
+            self.handle_outcome(outcome, answer)
 
     def withdraw(self) -> None:
         """End it as superseded, unless the kernel has accepted its last byte.
--- a/pebblepass/daemon/health_check.py
+++ b/pebblepass/daemon/health_check.py
@@ -45,7 +45,7 @@
             return http.request("GET", path, f"{address[0]}:{address[1]}")
         return resp.command(b"INFO", b"load") if reports else resp.command(b"PING")
 
-    def ended(self, outcome: Outcome, answer: Answer) -> None:
+    def handle_outcome(self, outcome: Outcome, answer: Answer) -> None:
         """Report the result to the decision module."""
         self._timer.cancel()
         latency = self._host.now() - self._sent_at
--- a/pebblepass/daemon/multi_get/batch_exchange.py
+++ b/pebblepass/daemon/multi_get/batch_exchange.py
@@ -225,7 +225,7 @@
         if not self.is_over and not (self._batch.unanswered and self._batch.unanswered[0].streaming):
             self.give_up(Outcome.TIMEOUT)
 
-    def ended(self, outcome: Outcome, answer: Answer) -> None:
+    def handle_outcome(self, outcome: Outcome, answer: Answer) -> None:
         """End the unanswered keys with the outcome of the batch; `answer` belongs to the first of them."""
         batch = self._batch
         self._timer.cancel()
--- a/pebblepass/simulation/clairvoyant_bound.py
+++ b/pebblepass/simulation/clairvoyant_bound.py
@@ -2,8 +2,8 @@
 
 The cache is as large as all nodes together and evicts the copy whose next use is furthest ahead (Belady: A
 study of replacement algorithms for a virtual-storage computer, 1966). The store has the capacity of the plan;
-it serves writes first, and then fetches the missed key with the most worth still to come. There are no
-routers, network delays, second copies or refusals; only the store takes time.
+it serves writes first, and then fetches the missed key whose waiting and later reads have the most worth.
+There are no routers, network delays, second copies or refusals; only requests to the store take time.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BoundFacts:
+class BoundInputs:
     """The parts of a plan that the bound is computed from; times in seconds."""
 
     memory: int
@@ -43,14 +43,14 @@
     reads: deque[tuple[float, int, float]]
     """Reads still to come: time, number and worth of each."""
     remaining: float
-    """The worth still to come, including the waiting reads."""
+    """The worth of these reads and of the waiting ones."""
     waiting: list[tuple[int, float]]
     """Reads that wait for a fetch: number and worth of each."""
 
 
-def bound_facts(plan: Plan) -> BoundFacts:
-    """Return the facts of a plan."""
-    return BoundFacts(
+def bound_inputs(plan: Plan) -> BoundInputs:
+    """Return the parts of a plan that the bound depends on."""
+    return BoundInputs(
         memory=sum(node.memory for node in plan.nodes),
         slots=plan.store.slots,
         work=plan.store.work,
@@ -69,13 +69,13 @@
 
     def __init__(
         self,
-        facts: BoundFacts,
+        inputs: BoundInputs,
         operations: tuple[Operation, ...],
         terms: Callable[[Operation], tuple[bool, float, float]],
         draw: Callable[[], float],
     ) -> None:
         """`terms`: whether an operation is a write, its worth and target time in seconds; `draw`: 0 to 1."""
-        self._facts, self._operations, self._draw = facts, operations, draw
+        self._inputs, self._operations, self._draw = inputs, operations, draw
         self._terms = {operation.number: terms(operation) for operation in operations}
         self.in_time: dict[int, bool] = {}
         """Whether each operation was served within its target time, by its number."""
@@ -88,7 +88,7 @@
                 demand.reads.append((operation.at, operation.number, worth))
                 demand.remaining += worth
         self._at = {operation.number: operation.at for operation in operations}
-        self._cache = dict.fromkeys(facts.initial_keys[: facts.memory])
+        self._cache = dict.fromkeys(inputs.initial_keys[: inputs.memory])
         self._missed: dict[str, None] = {}
         self._busy: list[
             tuple[float, str]
@@ -97,7 +97,7 @@
 
     def run(self) -> None:
         """Run all operations."""
-        invalidations = deque(self._facts.invalidations)
+        invalidations = deque(self._inputs.invalidations)
         for operation in self._operations:
             while invalidations and invalidations[0][0] <= operation.at:
                 at, share = invalidations.popleft()
@@ -131,29 +131,29 @@
 
     def _start_requests(self, now: float) -> None:
         """Fill the store's free slots with waiting writes, then with the most valuable fetches."""
-        facts = self._facts
-        starts_at = max([now, *(end for start, end in facts.outages if start <= now < end)])
-        while len(self._busy) < facts.slots:
+        inputs = self._inputs
+        starts_at = max([now, *(end for start, end in inputs.outages if start <= now < end)])
+        while len(self._busy) < inputs.slots:
             if self._queue:
                 number = self._queue.popleft()
-                completed_at = starts_at + facts.work
+                completed_at = starts_at + inputs.work
                 self.writes += 1
                 self.in_time[number] = completed_at <= self._at[number] + self._terms[number][2]
                 heapq.heappush(self._busy, (completed_at, ""))
                 continue
-            key = self._best_missed_key(starts_at + facts.work)
+            key = self._best_missed_key(starts_at + inputs.work)
             if not key:
                 return
             del self._missed[key]
             self.fetches += 1
-            heapq.heappush(self._busy, (starts_at + facts.work, key))
+            heapq.heappush(self._busy, (starts_at + inputs.work, key))
 
     def _best_missed_key(self, completed_at: float) -> str:
         """Return the missed key with the most worth left if its fetch completes then, or an empty string."""
         best, most_worth = "", 0.0
         for key in list(self._missed):
             demand = self._demand[key]
-            # Reads past their target time are lost, whichever key is fetched.
+            # Reads past their target time earn nothing, whichever key is fetched.
             late = [
                 (n, worth) for n, worth in demand.waiting if completed_at > self._at[n] + self._terms[n][2]
             ]
@@ -175,7 +175,7 @@
         demand.waiting = []
         self._missed.pop(key, None)
         self._cache[key] = None
-        if len(self._cache) > self._facts.memory:
+        if len(self._cache) > self._inputs.memory:
             del self._cache[max(self._cache, key=self._next_use)]
 
     def _next_use(self, key: str) -> float:
@@ -192,6 +192,8 @@
         cls = classes[operation.request_class]
         return cls.write, cls.worth * (over_share_worth if operation.over else 1.0), cls.aim_ms / 1000
 
-    bound = ClairvoyantCache(bound_facts(plan), plan.operations, terms, Streams(plan.seed).of("bound").random)
+    bound = ClairvoyantCache(
+        bound_inputs(plan), plan.operations, terms, Streams(plan.seed).of("bound").random
+    )
     bound.run()
     return bound
--- a/pebblepass/simulation/clock.py
+++ b/pebblepass/simulation/clock.py
@@ -22,7 +22,7 @@
 from contextlib import suppress
 from typing import Any, cast
 
-START_S = 1000.0  # of the virtual clock; not 0, which means 'long ago' in the list of servers
+START_S = 1000.0  # of the virtual clock; not 0, which the list of servers uses for a time long ago
 UNIX_START_NS = 1_700_000_000 * 10**9  # the virtual Unix time at the start
 WINDOW = 64 << 10  # bytes in transit in one direction; below the kernel's smallest buffers
 ARRIVAL_MS = 10_000  # of real time, for the kernel to deliver bytes on loopback
@@ -97,7 +97,7 @@
             raise BlockingIOError(errno.EAGAIN, "the window is full")
         sent = super().send(part, flags)
         if sent != len(part):
-            raise RuntimeError(f"the kernel took {sent} of {len(part)} bytes")
+            raise RuntimeError(f"the kernel accepted only {sent} of {len(part)} bytes")
         outgoing.bytes += sent
         if outgoing.reader is not None:
             self.network.touch(outgoing.reader)
@@ -373,9 +373,9 @@
         direction = sock.incoming if sock is not None else None
         if direction is None:
             return select.POLLNVAL
-        found = select.POLLIN if direction.bytes or direction.closed or direction.reset else 0
-        found |= select.POLLRDHUP if direction.closed or direction.reset else 0
-        return found & events | (select.POLLERR | select.POLLHUP if direction.reset else 0)
+        pending_events = select.POLLIN if direction.bytes or direction.closed or direction.reset else 0
+        pending_events |= select.POLLRDHUP if direction.closed or direction.reset else 0
+        return pending_events & events | (select.POLLERR | select.POLLHUP if direction.reset else 0)
 
     def accept_pending(self, listener: Any, on_accept: Callable[[socket.socket], None], limit: int) -> int:
         """Accept up to `limit` connections from a listener's backlog; returns how many."""
--- a/pebblepass/simulation/emulated_services.py
+++ b/pebblepass/simulation/emulated_services.py
@@ -171,7 +171,7 @@
         self._started_at = self.loop.time()
 
     async def start(self) -> None:
-        """Start all emulators, with the copies that the fleet would hold without disturbances."""
+        """Start all emulators, with the copies that the fleet would have without disturbances."""
         for node in self.nodes.values():
             await node.start()
         await self.store.start()
@@ -226,11 +226,11 @@
 
     def _fetched(self, request: str, key: str) -> None:
         nodes = self._nodes_with_miss.pop(request, ())
-        held_elsewhere = any(key in node.copies for node in self.nodes.values() if node not in nodes)
+        cached_elsewhere = any(key in node.copies for node in self.nodes.values() if node not in nodes)
         for node in nodes:
             node.store_copy(key)
         at = self.loop.time() - self._started_at
-        self._recorder.record_fetch(at, request, key, [node.setup.id for node in nodes], held_elsewhere)
+        self._recorder.record_fetch(at, request, key, [node.setup.id for node in nodes], cached_elsewhere)
 
     def _written(self, key: str) -> None:
         for node in self.nodes.values():
--- a/pebblepass/simulation/load_generator.py
+++ b/pebblepass/simulation/load_generator.py
@@ -79,7 +79,7 @@
     def missing_answer(self, router_index: int, request: str, started_at: float, reason: str) -> str:
         """Return the outcome of a request without a final answer.
 
-        It breaks a rule, unless the router was killed after the request was sent.
+        This breaks a rule unless the router was killed after the request was sent.
         """
         now = self.loop.time()
         if self.killed_at.get(router_index, -1.0) >= started_at:
@@ -104,7 +104,7 @@
         self.deadline = self.started_at + self.cls.deadline_ms / 1000
         self.requests = 0
         self.last_outcome = ""
-        """How the last request ended; empty before the first one has ended."""
+        """The outcome of the last request; empty before the first one has an outcome."""
         self.finished = False
 
     def send_request(self) -> None:
@@ -139,7 +139,7 @@
         self.generator.loop.call_later(delay, self.send_request)
 
     def served(self) -> None:
-        """Record the answer to the operation."""
+        """Record when the operation was answered, unless it is finished already."""
         if not self.finished:
             self.finished = True
             self.generator.count.served_after[self.operation.number] = (
@@ -158,7 +158,7 @@
         self._id = f"{operation.number:010x}{client_operation.requests:06x}"
         self._started_at = generator.loop.time()
         self._timeout = timeout
-        self._timed_out = self._was_taken = self._disconnecting = False
+        self._timed_out = self._was_written = self._disconnecting = False
         generator.open += 1
         generator.count.record_start(operation, self._router)
         generator.recorder.record_request(self._id, operation, client_operation.last_outcome)
@@ -183,13 +183,13 @@
         if cls.write:
             arguments.append(b"of %b" % operation.key.encode())
         expected_prefix = f"{operation.key} {self._id} ".encode()
-        self._request = Request(tuple(arguments), expected_prefix, self._taken, self._answered)
+        self._request = Request(tuple(arguments), expected_prefix, self._on_written, self._answered)
         self._generator.pools[self._router_index].send(self._request)
 
-    def _taken(self) -> None:
-        self._was_taken = True
+    def _on_written(self) -> None:
+        self._was_written = True
         client_deadline = self._generator.loop.time() + self._stated_timeout
-        self._generator.rule_checker.record_taken(
+        self._generator.rule_checker.record_written(
             self._id, self._router, self._started_at + self._timeout, client_deadline
         )
 
@@ -200,14 +200,14 @@
         self._generator.count.record_end(self._client_operation.operation, self._router, outcome, unseen)
 
     def _time_out(self) -> None:
-        """Schedule a retry; this request is kept open only to check that the router answers it."""
+        """Schedule a retry; this request is left open only to check that the router answers it."""
         self._timed_out = True
         self._client_operation.last_outcome = "timed out"
         self._client_operation.retry(not_executed=False)
 
     def _stop_listening(self) -> None:
         self._request.abandon()
-        if self._was_taken:
+        if self._was_written:
             self._record_missing("no answer before its deadline")
         else:
             self._end("unreached")
@@ -216,7 +216,7 @@
         """Disconnect; an answer that was already on its way still counts."""
         self._client_operation.finished = self._disconnecting = True
         if not self._request.end_sending():
-            self._end("gone" if self._was_taken else "unreached")
+            self._end("gone" if self._was_written else "unreached")
 
     def _record_missing(self, reason: str) -> None:
         self._end(self._generator.missing_answer(self._router_index, self._id, self._started_at, reason))
@@ -258,7 +258,7 @@
         """Whether a closed connection counts as an answer: no attempt was sent, or a server cut the value."""
         if answer is Answer.CLOSED:
             return not self._generator.rule_checker.was_sent(self._id)
-        return answer is Answer.CUT and self._generator.rule_checker.was_spoilt(self._id)
+        return answer is Answer.CUT and self._generator.rule_checker.has_corrupt_answer(self._id)
 
 
 class MultiGetRequest:
@@ -272,7 +272,7 @@
         self._command_id = f"{operations[0].number:016x}"
         self._request_ids = [f"{self._command_id}.{number}" for number in range(len(operations))]
         self._started_at = generator.loop.time()
-        self._was_taken = False
+        self._was_written = False
         generator.open += 1
         for operation, request in zip(operations, self._request_ids, strict=True):
             generator.count.record_start(operation, self._router)
@@ -288,16 +288,16 @@
         keys = [operation.key.encode() for operation in operations]
         info = f"c={cls.name},t={operations[0].namespace},d={remaining_ms}".encode()
         arguments = (b"KV.MGET", b"%d" % len(keys), *keys, self._command_id.encode(), info)
-        self._request = Request(arguments, b"", self._taken, self._answered)
+        self._request = Request(arguments, b"", self._on_written, self._answered)
         self._request.expected_prefixes = tuple(b"%b %b." % (key, self._command_id.encode()) for key in keys)
         self._generator.pools[self._router_index].send(self._request)
 
-    def _taken(self) -> None:
-        self._was_taken = True
+    def _on_written(self) -> None:
+        self._was_written = True
         deadline = self._started_at + self._cls.deadline_ms / 1000
         client_deadline = self._generator.loop.time() + self._stated_timeout
         for request in self._request_ids:
-            self._generator.rule_checker.record_taken(request, self._router, deadline, client_deadline)
+            self._generator.rule_checker.record_written(request, self._router, deadline, client_deadline)
 
     def _end(self, outcomes: list[str], unseen: bool = False) -> None:
         self._timer.cancel()
@@ -315,14 +315,14 @@
 
     def _stop_listening(self) -> None:
         self._request.abandon()
-        if self._was_taken:
+        if self._was_written:
             self._record_missing("no answer before its deadline")
         else:
             self._end(["unreached"] * len(self._operations))
 
     def _answered(self, answer: Answer, _: int) -> None:
         rule_checker, now = self._generator.rule_checker, self._generator.loop.time()
-        sent = self._was_taken and any(map(rule_checker.was_sent, self._request_ids))
+        sent = self._was_written and any(map(rule_checker.was_sent, self._request_ids))
         if answer is Answer.UNREACHED:
             self._end(["unreached"] * len(self._operations))
         elif answer is Answer.CLOSED and not sent and not self._request.first_on_connection:
--- a/pebblepass/simulation/plan.py
+++ b/pebblepass/simulation/plan.py
@@ -47,7 +47,7 @@
     warm_up_time: float
     report_period: float
     memory: int
-    """Copies that the node can keep."""
+    """The number of copies that the node can store."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """What one client wants: a first request and its retries."""
+    """One operation of a client: a first request and its retries."""
 
     # The plan's digest is a hash of reprs; this keeps it equal to that of earlier versions.
     __qualname__ = "Ask"
@@ -86,7 +86,7 @@
     router: int
     """The index of the router that the load balancer picks while it is up."""
     over: bool
-    """Whether it exceeds the quota of its namespace."""
+    """Whether it is beyond the quota of its namespace."""
     try_shares: tuple[float, ...]
     backoffs: tuple[float, ...]
     leaves: float
@@ -127,7 +127,7 @@
     disturbances: tuple[tuple[float, str], ...]
     """Start and description of each disturbance of the traffic."""
     popular: tuple[str, ...]
-    """The keys that one cache of the size of the whole fleet would hold, the most popular first."""
+    """The keys that one cache of the size of the whole fleet would store, the most popular first."""
 
     def digest(self) -> str:
         """Return a digest of the plan, the same in virtual and in real time."""
--- a/pebblepass/simulation/reconcile.py
+++ b/pebblepass/simulation/reconcile.py
@@ -16,7 +16,7 @@
 
     `figures`: by router, the accounts of each of its starts; None where they are not available.
     """
-    found = []
+    lines = []
     for router, rows in figures.items():
         if rows is None:
             continue
@@ -32,8 +32,8 @@
                 if counted.get(key, 0) != accounted[key]
             ]
             if unequal:
-                found.append(f"{router} {account[0]} {account[1]} (counted / router): {', '.join(unequal)}")
-    return found
+                lines.append(f"{router} {account[0]} {account[1]} (counted / router): {', '.join(unequal)}")
+    return lines
 
 
 def _expected(tally: Counter[str]) -> dict[str, int]:
--- a/pebblepass/simulation/recovery.py
+++ b/pebblepass/simulation/recovery.py
@@ -1,7 +1,8 @@
 """Recovery from disturbances and faults: refusals by reason, cached copies and fetches by use. No I/O.
 
-A recorder samples the rehearsal each second. `compare_to_references` compares the report with that of the
-calm twin, which is the same scenario without disturbances and faults, and with the clairvoyant bound.
+A recorder samples the rehearsal each second. `compare_to_references` compares the report with the
+clairvoyant bound, and with the baseline run: the same scenario without disturbances and faults. The report
+calls the baseline run `calm twin`.
 """
 
 from __future__ import annotations
@@ -20,10 +21,10 @@
 from pebblepass.simulation.scenario import Scenario
 
 SMOOTHING_S = 5  # window of the moving average; the service of a single second varies too much
-RECOVERED_SHARE = 0.95  # of the calm twin's service, from which on service counts as recovered
+RECOVERED_SHARE = 0.95  # of the baseline's service; service from this share on counts as recovered
 FETCH_USES = ("read", "unread", "late", "again")
-"""The use of a fetch: its copy was read later; it only answered its own request in time; neither of these;
-another node already had a copy."""
+"""How a fetch was used: its copy was read later (`read`); it only answered its own request in time
+(`unread`); neither (`late`); another node already had a copy (`again`)."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +57,7 @@
         for name in totals:
             self.rows.setdefault(name, [0] * seconds)
         for name, row in self.rows.items():
-            # A killed router loses its totals, so a sum may fall.
+            # A killed router loses its totals, so a sum may decrease.
             row.append(max(totals[name] - self._previous[name], 0))
         self._previous = totals
 
@@ -75,7 +76,7 @@
             _RatePerSecond(),
             Counter[str]({"first": 0, "after a refusal": 0, "other": 0}),
         )
-        self.held_shares: list[float] = []
+        self.cached_shares: list[float] = []
         """The share of the working set that nodes have copies of, each second."""
         self.limits: list[float] = []
         """Fetches per second that the limits of all routers allow, each second."""
@@ -94,12 +95,12 @@
             fetch.reads += 1
 
     def record_fetch(
-        self, at: float, request: str, key: str, nodes: Iterable[str], held_elsewhere: bool
+        self, at: float, request: str, key: str, nodes: Iterable[str], cached_elsewhere: bool
     ) -> None:
-        """Record a fetch that these nodes keep a copy of; `held_elsewhere`: another node already had one."""
+        """Record a fetch that these nodes store; `cached_elsewhere`: another node already had a copy."""
         copies = [(node, key) for node in nodes]
         operation = self._operation_of.get(request)
-        fetch = _Fetch(int(at), [operation] if operation is not None else [], held_elsewhere, copies)
+        fetch = _Fetch(int(at), [operation] if operation is not None else [], cached_elsewhere, copies)
         self._fetches.append(fetch)
         self._copies.update(dict.fromkeys(copies, fetch))
 
@@ -111,9 +112,9 @@
         routers: Sequence[RouterState],
     ) -> None:
         """Add the sample of a second: the copies of each node, the store's totals and the routers' states."""
-        seconds = len(self.held_shares)
-        held_keys = set[str]().union(*(self._working_set.intersection(node_copies) for node_copies in copies))
-        self.held_shares.append(len(held_keys) / max(len(self._working_set), 1))
+        seconds = len(self.cached_shares)
+        cached = set[str]().union(*(self._working_set.intersection(node_copies) for node_copies in copies))
+        self.cached_shares.append(len(cached) / max(len(self._working_set), 1))
         self.limits.append(fsum(limit for router in routers for limit in router.limits.values()))
         refused = Counter[str]()
         for router in routers:
@@ -123,7 +124,7 @@
         self._request_rates.add_second(self._requests_sent.copy(), seconds)
 
     def _uses(self, count: RequestCounts) -> dict[str, list[int]]:
-        uses = {use: [0] * len(self.held_shares) for use in FETCH_USES}
+        uses = {use: [0] * len(self.cached_shares) for use in FETCH_USES}
         target_s = {cls.name: cls.aim_ms / 1000 for cls in self._plan.scenario.classes}
         for fetch in self._fetches:
             in_time = any(
@@ -134,12 +135,12 @@
             use = (
                 "again" if fetch.is_duplicate else "read" if fetch.reads else "unread" if in_time else "late"
             )
-            if self.held_shares:
-                uses[use][min(fetch.second + 1, len(self.held_shares) - 1)] += 1
+            if self.cached_shares:
+                uses[use][min(fetch.second + 1, len(self.cached_shares) - 1)] += 1
         return uses
 
     def report(self, count: RequestCounts) -> dict[str, Any]:
-        """Return the part of the report on recovery that needs neither the calm twin nor the bound."""
+        """Return the part of the report on recovery that needs neither the baseline run nor the bound."""
         store, uses = self._plan.store, self._uses(count)
         capacity = store.slots / store.work
         served = [sum(row) for row in zip(*self._store_rates.rows.values(), strict=True)]
@@ -150,7 +151,7 @@
         fetches = sum(map(sum, uses.values()))
         return {
             "refused": dict(sorted(self._refusal_rates.rows.items())),
-            "held": self.held_shares,
+            "held": self.cached_shares,
             "limit": self.limits,
             "fetches": uses,
             "writes": self._store_rates.rows.get("writes", []),
@@ -165,7 +166,7 @@
 
 
 def without_faults(scenario: Scenario) -> Scenario:
-    """Return the scenario of the calm twin: this one without disturbances and faults."""
+    """Return the scenario of the baseline run: this one without disturbances and faults."""
     return msgspec.structs.replace(scenario, disturbances=(), faults=())
 
 
@@ -175,20 +176,20 @@
 
 
 def time_to_recover(
-    rows: Sequence[tuple[float, float]], calm_rows: Sequence[tuple[float, float]], fault_at: float
+    rows: Sequence[tuple[float, float]], baseline_rows: Sequence[tuple[float, float]], fault_at: float
 ) -> float | None:
-    """Return the seconds until service stays above RECOVERED_SHARE of the calm twin's, both smoothed.
+    """Return the seconds until service stays above RECOVERED_SHARE of the baseline's, both smoothed.
 
-    Each row holds the worth of the operations of a second and what they have earned. None where service is
-    below that share at the end.
+    Each row has the worth of the operations of a second, and the part of it that they have earned. None
+    where service is below that share at the end.
     """
-    last_second = min(len(rows), len(calm_rows)) - SMOOTHING_S
+    last_second = min(len(rows), len(baseline_rows)) - SMOOTHING_S
     recovered_after: float | None = None
     for second in range(last_second, int(fault_at) - 1, -1):
-        service, calm_service = (
-            _service(table[second : second + SMOOTHING_S]) for table in (rows, calm_rows)
+        service, baseline_service = (
+            _service(table[second : second + SMOOTHING_S]) for table in (rows, baseline_rows)
         )
-        if service < RECOVERED_SHARE * calm_service:
+        if service < RECOVERED_SHARE * baseline_service:
             break
         recovered_after = max(second - fault_at, 0.0)
     return recovered_after
@@ -200,7 +201,7 @@
 
 
 def bound_rows(plan: Plan, count: RequestCounts, bound: ClairvoyantCache) -> list[tuple[float, float]]:
-    """Return, for each second, the worth of its operations and what they earn within the bound."""
+    """Return, for each second, the worth of its operations and the part that the bound earns."""
     seconds = [[0.0, 0.0] for _ in range(count.seconds)]
     for operation in plan.operations:
         worth, _ = count.worth(operation)
@@ -211,22 +212,22 @@
 
 
 def compare_to_references(
-    report: dict[str, Any], calm_report: dict[str, Any], plan: Plan, bound: ClairvoyantCache
+    report: dict[str, Any], baseline_report: dict[str, Any], plan: Plan, bound: ClairvoyantCache
 ) -> dict[str, Any]:
-    """Return the rest of the report on recovery: the comparison with the calm twin and the bound."""
+    """Return the rest of the report on recovery: the comparison with the baseline run and the bound."""
     rows = [(total, earned) for total, earned in report["service"]["seconds"]]
-    calm_rows = [(total, earned) for total, earned in calm_report["service"]["seconds"]]
+    baseline_rows = [(total, earned) for total, earned in baseline_report["service"]["seconds"]]
     bound_seconds = bound_rows(plan, RequestCounts(plan), bound)
     fault_at = first_fault_at(plan)
     return {
         "trouble_at": fault_at,
-        "time_to_recover": time_to_recover(rows, calm_rows, fault_at) if fault_at is not None else 0.0,
-        "calm_service": calm_report["service"]["whole"],
+        "time_to_recover": time_to_recover(rows, baseline_rows, fault_at) if fault_at is not None else 0.0,
+        "calm_service": baseline_report["service"]["whole"],
         "bound_service": _service(bound_seconds),
         "share_of_bound": report["service"]["whole"] / max(_service(bound_seconds), 1e-9),
         "service_by_second": {
             "this": _smoothed(rows),
-            "calm twin": _smoothed(calm_rows),
+            "calm twin": _smoothed(baseline_rows),
             "clairvoyant": _smoothed(bound_seconds),
         },
     }
--- a/pebblepass/simulation/request_counts.py
+++ b/pebblepass/simulation/request_counts.py
@@ -1,8 +1,8 @@
 """Outcomes of requests and the service that clients received, from the load generator's records; no I/O.
 
-Service, as the users define it (BRIEF, How we count), is the worth that answers have earned as a share of the
-worth of all operations: an answer within its class's target time earns the full worth, a later one before
-the deadline a part of it.
+Service (BRIEF, How we count) is the worth that answers have earned as a share of the worth of all
+operations: an answer within its class's target time earns the full worth, a later one before the deadline a
+part of it.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from pebblepass.simulation.plan import Operation, Plan
 
 WORST_WINDOW_S = 10
-WHOLE_WEIGHT, WORST_WINDOW_WEIGHT, WORST_CLASS_WEIGHT, WORST_NAMESPACE_WEIGHT = 0.55, 0.15, 0.05, 0.25
+OVERALL_WEIGHT, WORST_WINDOW_WEIGHT, WORST_CLASS_WEIGHT, WORST_NAMESPACE_WEIGHT = 0.55, 0.15, 0.05, 0.25
 OUTCOMES = ("served", "refused", "failed", "gone", "unreached", "killed", "lost")
 """How a request ends; each request ends in exactly one of these."""
 
@@ -96,12 +96,12 @@
         namespace_seconds = {n.name: [_Worth([], []) for _ in range(seconds)] for n in scenario.namespaces}
         classes = {cls.name: _Worth([], []) for cls in scenario.classes}
         namespaces = {namespace.name: _Worth([], []) for namespace in scenario.namespaces}
-        whole = _Worth([], [])
+        overall = _Worth([], [])
         for operation in self._plan.operations:
             worth, earned = self.worth(operation)
             second = min(int(operation.at), seconds - 1)
             # Traffic beyond a namespace's share does not lower the service of the namespace.
-            parts = [whole, by_second[second], classes[operation.request_class]]
+            parts = [overall, by_second[second], classes[operation.request_class]]
             if not operation.over:
                 parts += [namespaces[operation.namespace], namespace_seconds[operation.namespace][second]]
             for part in parts:
@@ -117,7 +117,7 @@
         worst_namespace = min(part.service for part in namespaces.values())
         weighted = fsum(
             (
-                WHOLE_WEIGHT * whole.service,
+                OVERALL_WEIGHT * overall.service,
                 WORST_WINDOW_WEIGHT * worst,
                 WORST_CLASS_WEIGHT * worst_class,
                 WORST_NAMESPACE_WEIGHT * worst_namespace,
@@ -125,7 +125,7 @@
         )
         return {
             "weighted": weighted,
-            "whole": whole.service,
+            "whole": overall.service,
             "worst_10_s": worst,
             "worst_10_s_from": worst_from,
             "classes": {name: part.service for name, part in classes.items()},
--- a/pebblepass/simulation/routers.py
+++ b/pebblepass/simulation/routers.py
@@ -44,10 +44,10 @@
         """Start the router with this configuration."""
 
     async def terminate(self) -> None:
-        """Shut the router down as SIGTERM does; returns when it has ended."""
+        """Shut the router down as SIGTERM does; returns when it has exited."""
 
     async def kill(self) -> None:
-        """End the router at once."""
+        """Kill the router without draining."""
 
     def reload(self, discovery: Address) -> None:
         """Change the address of the registry in the router's configuration."""
@@ -59,7 +59,7 @@
         """Return the router's refusals so far and its current limits; None where they are not accessible."""
 
     def crash(self) -> str:
-        """Return why the router has failed; empty while it has not."""
+        """Return why the router has failed; empty if it has not."""
 
 
 class InProcessRouter:
@@ -162,7 +162,7 @@
             return None
         try:
             async with asyncio.timeout(SHUTDOWN_S):
-                await self._end(signal.SIGTERM)
+                await self._signal_and_wait(signal.SIGTERM)
             closing_snapshot = snapshot.decode(
                 (self._folder / f"{self._config_values['name']}.figures.json").read_bytes(),
                 self._config_values["name"],
@@ -182,7 +182,7 @@
         self._write_config()
         sockets, memory_kb = config_values["limits"]["sockets"], config_values["limits"]["memory_mb"] << 10
         environ = {k: v for k, v in os.environ.items() if not k.startswith(("LB_", "PEBBLEPASS_"))}
-        # Under a tight memory limit the few megabytes of the ledger would decide the result.
+        # Under a tight memory limit the ledger's few megabytes would determine whether the run passes.
         self._has_ledger = config_values["limits"]["memory_mb"] >= LEDGER_MIN_MB
         sections = f"[figures]\ndirectory = {json.dumps(str(self._folder))}\n" if self._has_ledger else ""
         sections += "[many_keys]\n" if self._multi_get else ""
@@ -230,7 +230,7 @@
         lines = (self._folder / "log").read_text(errors="replace").splitlines()
         return lines[-1] if lines else "no log line"
 
-    async def _end(self, stop_signal: signal.Signals) -> None:
+    async def _signal_and_wait(self, stop_signal: signal.Signals) -> None:
         process, self._process = self._process, None
         if self._memory_task is not None:
             self._memory_task.cancel()
@@ -242,12 +242,12 @@
 
     async def terminate(self) -> None:
         """Send SIGTERM and wait."""
-        await self._end(signal.SIGTERM)
+        await self._signal_and_wait(signal.SIGTERM)
 
     async def kill(self) -> None:
         """Send SIGKILL and wait."""
         self._killed = True
-        await self._end(signal.SIGKILL)
+        await self._signal_and_wait(signal.SIGKILL)
 
     def reload(self, discovery: Address) -> None:
         """Replace the configuration file and send SIGHUP."""
@@ -263,9 +263,9 @@
             asyncio.get_running_loop().call_later(seconds, self._process.send_signal, signal.SIGCONT)
 
     def state(self) -> RouterState | None:
-        """Return None: a process writes its figures only when it ends."""
+        """Return None: a process writes its figures only when it exits."""
         return None
 
     def crash(self) -> str:
-        """Return why the process has failed; empty while it has not."""
+        """Return why the process has failed; empty if it has not."""
         return self._failure
--- a/pebblepass/simulation/rule_checker.py
+++ b/pebblepass/simulation/rule_checker.py
@@ -1,7 +1,8 @@
-"""Checks the five rules against what the emulators have seen; no I/O.
+"""Checks the five rules against the events that the emulators report; no I/O.
 
 The load generator, the emulated servers and the emulated registry report events here, independently of the
-routers. The rules are those of PROTOCOL and BRIEF. Times are seconds of the clock that the rehearsal runs on.
+routers. The rules are those of the documents PROTOCOL and BRIEF. Times are seconds of the clock that the
+rehearsal runs on.
 """
 
 from __future__ import annotations
@@ -46,7 +47,7 @@
     client_deadline: float
     answered_at: float | None = None
     sent: bool = False
-    spoilt: bool = False
+    has_corrupt_answer: bool = False
     advertised: int = 0
     """Attempts that have advertised a timeout."""
 
@@ -79,7 +80,7 @@
 
     # Clients
 
-    def record_taken(
+    def record_written(
         self, request: str, router: str, deadline: float, client_deadline: float | None = None
     ) -> None:
         """Record that a request was written in full to a connection that the router's machine has accepted.
@@ -108,7 +109,7 @@
         self._requests[request].answered_at = now
 
     def record_lost(self, request: str, now: float, reason: str) -> None:
-        """Record that a request taken by a running router has no final answer."""
+        """Record that a request written to a running router has no final answer."""
         self._requests[request].answered_at = now
         self._record_breach(Rule.ANSWERED, now, f"{request}: {reason}")
 
@@ -120,9 +121,9 @@
         """Whether an attempt at this request has reached a server."""
         return self._requests[request].sent
 
-    def was_spoilt(self, request: str) -> bool:
+    def has_corrupt_answer(self, request: str) -> bool:
         """Whether a server has sent a corrupt or incomplete answer to this request."""
-        return self._requests[request].spoilt
+        return self._requests[request].has_corrupt_answer
 
     # Nodes and the store
 
@@ -155,7 +156,7 @@
         """Check the timeout that an attempt advertises against the time its client has left.
 
         The only slack is the time in transit: a router computes the timeout as it writes the attempt, and an
-        emulator takes the time of its first byte, before the modelled network delay begins.
+        emulator records the time of its first byte, before the modelled network delay begins.
         """
         request, server, at = advertised.request, advertised.server, advertised.first_byte_at
         state = self._requests.get(request)
@@ -177,14 +178,14 @@
             self._record_breach(Rule.DEADLINE, at, f"{attempt} {description}")
 
     def attempt_answered(self, request: str, server: str, outcome: str, now: float) -> None:
-        """Note the requests that a server has sent a corrupt or incomplete answer to."""
+        """Record that a server has sent a corrupt or incomplete answer, if that is the outcome."""
         if outcome == "spoilt" and request in self._requests:
-            self._requests[request].spoilt = True
+            self._requests[request].has_corrupt_answer = True
 
-    def effect_repeated(self, doubled: RepeatedEffect) -> None:
+    def effect_repeated(self, repeated: RepeatedEffect) -> None:
         """Record that a write took effect more than once."""
-        description = f"{doubled.request}: a {doubled.request_class} took effect more than once"
-        self._record_breach(Rule.ONCE, doubled.at, description)
+        description = f"{repeated.request}: a {repeated.request_class} took effect more than once"
+        self._record_breach(Rule.ONCE, repeated.at, description)
 
     # The endpoint list
 
@@ -200,7 +201,7 @@
         self._starts_known = {(r, s) for r, s in self._starts_known if s != server}
 
     def router_started(self, router: str) -> None:
-        """Record that a router starts without state: what it was informed of before does not count."""
+        """Record that a router starts without state: earlier updates to it do not count."""
         self._announced = {key: known for key, known in self._announced.items() if key[0] != router}
         self._starts_known = {key for key in self._starts_known if key[0] != router}
 
@@ -212,7 +213,7 @@
     def cold_node_overloaded(self, server: str, informed_share: float, now: float) -> None:
         """Record the failure of an overloaded cold node.
 
-        The rule is broken where most of the work came from routers that were informed of the node's start.
+        The rule is broken if at least INFORMED_SHARE of the work came from routers informed of its start.
         """
         self.overloaded.append(server)
         if informed_share >= INFORMED_SHARE:
--- a/pebblepass/simulation/runner.py
+++ b/pebblepass/simulation/runner.py
@@ -27,7 +27,7 @@
 from pebblepass.wire.address import Address
 
 READY_S = 10.0  # within which a router must be ready after its start
-TERM_GAP_S, KILL_GAP_S = 0.3, 1.5  # from a router's end to its next start
+TERM_GAP_S, KILL_GAP_S = 0.3, 1.5  # from a router's exit to its next start
 VIRTUAL_SLACK_S, REAL_SLACK_S = 0.001, 0.1  # by which an event may be observed late
 # Bytes take no virtual time: the slack covers the rounding of times to nanoseconds at either end.
 VIRTUAL_TRANSIT_S, REAL_TRANSIT_S = 0.000_001, REAL_SLACK_S
@@ -137,9 +137,9 @@
         ]
         self._sample()
         for operation in plan.operations:
-            left = self._started_at + operation.at - loop.time()
-            if left > 0:
-                await asyncio.sleep(left)
+            delay = self._started_at + operation.at - loop.time()
+            if delay > 0:
+                await asyncio.sleep(delay)
             self.load_generator.start(operation)
         longest_deadline = max(cls.deadline_ms for cls in plan.scenario.classes) / 1000
         await asyncio.sleep(max(0.0, self._started_at + plan.scenario.length_s - loop.time()))
@@ -168,7 +168,7 @@
         await asyncio.sleep(0)
 
     def _sample(self) -> None:
-        """Record the figures of the second that ends."""
+        """Record the figures of the second that has just passed."""
         second = self._loop.time() - self._started_at
         services = self.services
         busy = {name: node.core_runner.core.busy_s for name, node in services.nodes.items()}
@@ -205,8 +205,8 @@
 
     async def _wait_ready(self, index: int) -> None:
         """Wait until the router answers PING."""
-        end = self._loop.time() + READY_S
-        while self._loop.time() < end:
+        give_up_at = self._loop.time() + READY_S
+        while self._loop.time() < give_up_at:
             with suppress(OSError, TimeoutError):
                 reader, writer = await asyncio.open_connection(*self._addresses[index])
                 try:
@@ -332,7 +332,7 @@
 def rehearse_in_real_time(
     plan: Plan, folder: Path, deploy: Path, progress: Progress = lambda _, __: None
 ) -> dict[str, Any]:
-    """Run a plan against processes started by the deploy file's `run`; `folder` holds their files."""
+    """Run a plan against processes started by the deploy file's `run`; `folder` is for their files."""
     with asyncio.Runner(loop_factory=DaemonLoop) as runner:
         loop = runner.get_loop()
 
--- a/pebblepass/simulation/terminal.py
+++ b/pebblepass/simulation/terminal.py
@@ -26,7 +26,7 @@
 def run_rehearsal(plan: Plan, deploy: Path | None, recovery: bool = False) -> dict[str, Any]:
     """Run a plan in virtual time or, with a deploy file, in real time; shows the progress on a terminal.
 
-    `recovery`: also run the calm twin, in virtual time, and compute the clairvoyant bound.
+    `recovery`: also run the baseline without faults, in virtual time, and compute the clairvoyant bound.
     """
     console = Console(stderr=True)
     with Live(console=console, auto_refresh=False, transient=True) as live:
@@ -45,9 +45,9 @@
 
         def add_recovery(report: dict[str, Any]) -> dict[str, Any]:
             if recovery and not report["interrupted"]:
-                calm_report = rehearse(make_plan(without_faults(plan.scenario), plan.seed), progress)
+                baseline_report = rehearse(make_plan(without_faults(plan.scenario), plan.seed), progress)
                 report["recovery"] |= compare_to_references(
-                    report, calm_report, plan, clairvoyant_bound(plan)
+                    report, baseline_report, plan, clairvoyant_bound(plan)
                 )
             return report
 
--- a/tests/daemon/test_acceptance_limits.py
+++ b/tests/daemon/test_acceptance_limits.py
@@ -104,11 +104,11 @@
             self.last_answered, self.last_answer_at = "", 0.0
             rule_checkers.append(self)
 
-        def record_taken(
+        def record_written(
             self, request: str, router: str, deadline: float, client_deadline: float | None = None
         ) -> None:
             observed.deadlines[request] = deadline
-            super().record_taken(request, router, deadline, client_deadline)
+            super().record_written(request, router, deadline, client_deadline)
 
         def attempt_received(self, request: str, server: str, now: float) -> None:
             super().attempt_received(request, server, now)
--- a/tests/daemon/test_answer_parsing.py
+++ b/tests/daemon/test_answer_parsing.py
@@ -28,7 +28,7 @@
     def request_bytes(self, address: Address) -> bytes:
         return b""
 
-    def ended(self, outcome: Outcome, answer: Answer) -> None:
+    def handle_outcome(self, outcome: Outcome, answer: Answer) -> None:
         self.outcomes.append((outcome, *answer))
 
 
--- a/tests/daemon/test_connection_pool.py
+++ b/tests/daemon/test_connection_pool.py
@@ -37,7 +37,7 @@
             return http.request("GET", "/" + self.name.decode(), "origin")
         return resp.command(b"KV.GET", self.name, self.name, b"c=get,t=acme,d=1000")
 
-    def ended(self, outcome: Outcome, answer: Answer) -> None:
+    def handle_outcome(self, outcome: Outcome, answer: Answer) -> None:
         self.future.set_result((outcome, answer.value))
 
     async def result(self) -> tuple[Outcome, bytes | None]:
--- a/tests/simulation/test_clairvoyant_bound.py
+++ b/tests/simulation/test_clairvoyant_bound.py
@@ -5,15 +5,15 @@
 import msgspec
 
 from pebblepass.simulation.clairvoyant_bound import (
-    BoundFacts,
+    BoundInputs,
     ClairvoyantCache,
-    bound_facts,
+    bound_inputs,
     clairvoyant_bound,
 )
 from pebblepass.simulation.plan import Operation, make_plan
 from pebblepass.simulation.scenario import Disturbance, Fault, Range, Scenario, Store, Traffic
 
-FACTS = BoundFacts(memory=2, slots=1, work=1.0, initial_keys=(), invalidations=(), outages=())
+FACTS = BoundInputs(memory=2, slots=1, work=1.0, initial_keys=(), invalidations=(), outages=())
 TARGET_S = 2.5
 
 
@@ -37,7 +37,7 @@
     )
 
 
-def run_bound(facts: BoundFacts, *reads: tuple[float, str], draw: float = 0.0) -> ClairvoyantCache:
+def run_bound(facts: BoundInputs, *reads: tuple[float, str], draw: float = 0.0) -> ClairvoyantCache:
     bound = ClairvoyantCache(
         facts,
         operations(*reads),
@@ -76,7 +76,7 @@
 
 
 def test_invalidation_drops_copies_and_outage_delays_fetches() -> None:
-    facts = BoundFacts(
+    facts = BoundInputs(
         memory=2,
         slots=1,
         work=1.0,
@@ -118,7 +118,7 @@
         ),
         3,
     )
-    facts = bound_facts(plan)
+    facts = bound_inputs(plan)
     assert facts.invalidations == ((3.0, 0.4),)
     assert facts.outages == ((5.0, 7.0),)
     assert facts.memory == sum(node.memory for node in plan.nodes)
--- a/tests/simulation/test_recovery.py
+++ b/tests/simulation/test_recovery.py
@@ -44,10 +44,10 @@
     for index, operation in enumerate(reads):
         recorder.record_request(f"q{index}", operation, "")
     sample(recorder)
-    recorder.record_fetch(0.5, "q0", "a", ["s0"], held_elsewhere=False)
-    recorder.record_fetch(0.5, "q1", "b", ["s0"], held_elsewhere=False)
-    recorder.record_fetch(0.5, "q2", "c", ["s0"], held_elsewhere=False)
-    recorder.record_fetch(0.5, "q3", "a", ["s1"], held_elsewhere=True)
+    recorder.record_fetch(0.5, "q0", "a", ["s0"], cached_elsewhere=False)
+    recorder.record_fetch(0.5, "q1", "b", ["s0"], cached_elsewhere=False)
+    recorder.record_fetch(0.5, "q2", "c", ["s0"], cached_elsewhere=False)
+    recorder.record_fetch(0.5, "q3", "a", ["s1"], cached_elsewhere=True)
     recorder.record_read("a", "s0")
     recorder.record_read("b", "s1")  # not a copy of this fetch
     recorder.record_read("a", "s1")  # read, but another node already had a copy
@@ -62,8 +62,8 @@
 def test_read_counts_for_the_last_fetch_of_a_copy(plan: Plan) -> None:
     recorder = Recorder(plan)
     sample(recorder)
-    recorder.record_fetch(0.1, "q", "a", ["s0"], held_elsewhere=False)
-    recorder.record_fetch(0.2, "q", "a", ["s0"], held_elsewhere=False)
+    recorder.record_fetch(0.1, "q", "a", ["s0"], cached_elsewhere=False)
+    recorder.record_fetch(0.2, "q", "a", ["s0"], cached_elsewhere=False)
     recorder.record_read("a", "s0")
     sample(recorder, fetches=2)
     assert recorder.report(RequestCounts(plan))["fetches"] == {
--- a/tests/simulation/test_rule_checker.py
+++ b/tests/simulation/test_rule_checker.py
@@ -12,7 +12,7 @@
 
 def checker_with_request() -> RuleChecker:
     checker = RuleChecker(slack=0.001)
-    checker.record_taken("q", "r0", deadline=10.0)
+    checker.record_written("q", "r0", deadline=10.0)
     return checker
 
 
@@ -154,7 +154,7 @@
 
 def test_transit_slack_is_exact_to_the_microsecond() -> None:
     checker = RuleChecker(slack=0.001, transit_slack=0.000_001)
-    checker.record_taken("q", "r0", deadline=10.0)
+    checker.record_written("q", "r0", deadline=10.0)
     advertise(checker, 500, at=9.5)
     advertise(checker, 500, at=9.500_001)
     assert broken_rules(checker) == []
@@ -186,7 +186,7 @@
 
 def test_client_deadline_of_the_request_limits_the_timeout() -> None:
     checker = RuleChecker(slack=0.001)
-    checker.record_taken("q", "r0", deadline=10.0, client_deadline=9.9)
+    checker.record_written("q", "r0", deadline=10.0, client_deadline=9.9)
     advertise(checker, 402)
     assert broken_rules(checker) == [Rule.DEADLINE]
     checker.record_answer("q", 10.07)  # the answer is due by `deadline`
@@ -208,7 +208,7 @@
 
 def test_further_attempts_are_counted_per_request() -> None:
     checker = checker_with_request()
-    checker.record_taken("p", "r0", deadline=10.0)
+    checker.record_written("p", "r0", deadline=10.0)
     advertise(checker, 500, name="p")
     advertise(checker, 500)
     advertise(checker, 500)
