--- a/pebblepass/scale/decisions.py
+++ b/pebblepass/scale/decisions.py
@@ -3,8 +3,8 @@
     python -m pebblepass.scale.decisions limits | health | purges | growth | discovery   [--json FILE]
 
 `limits`: the fetches that all routers together admit under their shares of the store's quota. `health`: the
-requests that a router loses before it avoids a faulty server. `purges`: stale reads after purges, depending
-on whether the store and the cache servers keep the result of a fetch that a purge has overtaken. `growth`:
+requests that miss their latency target because of a faulty server. `purges`: stale reads after purges,
+depending on whether the cache servers store the result of a fetch during which the key was purged. `growth`:
 whether memory or CPU grow with keys, servers or tenants. `discovery`: the size of the endpoint list, and
 discovery calls per second, idle and after an outage.
 """
@@ -87,7 +87,7 @@
     """How the quota is split over the routers."""
 
     MODULE = "module"
-    """As in the settings: each router counts on its own against an even part of the quota."""
+    """As in the settings: each router limits itself to an even part of the quota."""
     CLAIRVOYANT = "clairvoyant"
     """Each router's part is proportional to its true traffic."""
     ONE_COUNTER = "one counter"
@@ -158,7 +158,7 @@
     sums = list(itertools.accumulate(weights))
     rng = random.Random(demand.seed + 1)
     asked, admitted = [0] * demand.seconds, [0] * demand.seconds
-    # All fetches take the same time, so the queue is ordered by their end.
+    # All fetches have the same duration, so the queue is ordered by completion time.
     fetches: deque[tuple[int, Router, AttemptEnded]] = deque()
     now, rate = 0.0, demand.quota * demand.asked / S
     for number in itertools.count():
@@ -196,7 +196,7 @@
     return sum(min(part, rate) for rate in rates) / sum(rates)
 
 
-# Health of servers, as one router learns it
+# Health of servers, as one router observes it
 
 
 class Fault(Enum):
@@ -225,14 +225,14 @@
     attempts: int
     """Attempts at the server during the fault."""
     extra: int
-    """Further attempts of requests, from the beginning of the fault on."""
+    """Further attempts of requests, from the start of the fault."""
 
 
 class FaultRun:
     """One router and its servers, of which one becomes faulty.
 
-    A key's own server has it, except for `MISS_FRACTION` of the reads; any other server misses, and the quota
-    allows the fetch.
+    A key's own server has a copy, except for `MISS_FRACTION` of the reads; any other server misses, and the
+    quota allows the fetch.
     """
 
     def __init__(self, servers: int, pair_a_second: float, fault: Fault, seed: int) -> None:
@@ -252,7 +252,7 @@
         self.noticed: int | None = None
 
     def play(self) -> FaultEffect:
-        """Play 10 s without a fault and 30 s with it."""
+        """Play 10 s without the fault and 30 s with it."""
         now = 0.0
         for number in itertools.count():
             now += self.rng.expovariate(self.rate)
@@ -334,7 +334,7 @@
 
     routers: int
     kept: bool
-    """Whether servers keep a value that was read before a purge and arrives after it."""
+    """Whether servers store a value that was read before a purge and arrives after it."""
     reads: int
     purges: int
     overtaken: int
@@ -401,9 +401,9 @@
     def _run_until(self, now: int) -> None:
         while self.due and self.due[0][0] <= now:
             event_time, _, number, end, version = heapq.heappop(self.due)
-            self._handle_end(number, end, version, event_time)
+            self._handle_attempt_end(number, end, version, event_time)
 
-    def _handle_end(self, number: int, end: AttemptEnded, version: int, now: int) -> None:
+    def _handle_attempt_end(self, number: int, end: AttemptEnded, version: int, now: int) -> None:
         key, arrived_at = self.open[end.request]
         if end.server == ORIGIN.id:
             self.fetching[key] -= 1
@@ -553,7 +553,7 @@
     read_us: float
     """Median CPU to decode and check the list."""
     taken_us: float
-    """Median CPU of the module to accept a first, whole list."""
+    """Median CPU of the module to accept a first, full list."""
     change_us: float
     """Median CPU of the module to add one server while the ranking of every slot is cached."""
     most_us: float
@@ -566,7 +566,7 @@
     addresses = {entry.id: ("10.0.0.1", 6379) for entry in entries}
     body = json.dumps(encode_endpoint_list(7, entries, addresses, clock)).encode()
     settings = Settings((READ,), origin_kind="origin")
-    read, taken, change, most = (list[int]() for _ in range(4))
+    read, accept, change, most = (list[int]() for _ in range(4))
     for number in range(rounds):
         start = time.process_time_ns()
         listing = parse_endpoint_list(msgspec.json.decode(body), clock)
@@ -574,7 +574,7 @@
         router = Router(settings, number)
         start = time.process_time_ns()
         router.handle(listing.change, 0)
-        taken.append(time.process_time_ns() - start)
+        accept.append(time.process_time_ns() - start)
     for slot in range(slots):
         router.caches.rank(slot, 0)
     for number in range(2 * rounds):
@@ -587,7 +587,7 @@
         router.handle(ServersChanged(ListKind.DELTA, gone), 0)
         for slot in range(slots):
             router.caches.rank(slot, 0)
-    medians = (statistics.median(times) / 1000 for times in (read, taken, change, most))
+    medians = (statistics.median(times) / 1000 for times in (read, accept, change, most))
     return ListCost(servers, len(body), *medians)
 
 
--- a/pebblepass/scale/figures.py
+++ b/pebblepass/scale/figures.py
@@ -29,7 +29,7 @@
 def counter_increase(
     before: Snapshot, after: Snapshot, voter: str, counter: str, names: Iterable[str]
 ) -> int:
-    """How much a control machine's counter rose for these names; a new process starts at zero."""
+    """How much a control machine's counter has increased for these names; a new process starts at zero."""
     new_counters = after.counters.get(voter, {})
     old_counters = before.counters.get(voter, {})
     if old_counters.get("pid") != new_counters.get("pid"):
@@ -146,7 +146,7 @@
         base = idle[role][counter] if idle is not None else 0.0
         return float((figures[role][counter] - base) * seconds * count / changes)
 
-    durations = sorted(seconds_taken for change in durations_by_change for seconds_taken in change)
+    durations = sorted(duration for change in durations_by_change for duration in change)
     result = {
         "changes": changes,
         "p50_s": statistics.median(durations),
--- a/pebblepass/scale/hollow.py
+++ b/pebblepass/scale/hollow.py
@@ -41,14 +41,14 @@
 
 
 class Placement(Struct, frozen=True):
-    """Where one router of a process listens and stores its data."""
+    """The addresses and the directory of one router of a process."""
 
     name: str
     listen: str
     directory: str = ""
     """Directory of a control machine's consensus log; empty: the router does not vote."""
     reached: dict[str, str] = {}
-    """Members reached at another address than in the fleet's member list, such as a relay's."""
+    """Addresses of members, such as a relay's, that replace those in the fleet's member list."""
 
 
 class Specification(Struct, frozen=True):
@@ -70,8 +70,8 @@
 class Order(Struct, frozen=True, forbid_unknown_fields=True):
     """A line that the process receives."""
 
-    do: str
-    """`start`, `restart`, `propose`, `follow`, `figures`."""
+    kind: str = msgspec.field(name="do")
+    """`start`, `restart`, `propose`, `follow` or `figures`."""
     names: tuple[str, ...] = ()
     """The routers that restart."""
     change: str = ""
@@ -83,7 +83,8 @@
 class Report(Struct, omit_defaults=True):
     """A line that the process writes; times are nanoseconds of the monotonic clock."""
 
-    what: str
+    kind: str = msgspec.field(name="what")
+    """`ready`, `held`, `listed`, `proposed`, `verdict` or `figures`."""
     at: int
     name: str = ""
     version: int = 0
@@ -95,7 +96,7 @@
 
 
 class HollowHost:
-    """Stands in for the request path of a hollow router."""
+    """Replaces the request path of a hollow router."""
 
     def __init__(
         self, settings: Settings, now: Callable[[], int], name: str, report_sink: ReportSink
@@ -199,7 +200,7 @@
 
     async def carry_out(self, order: Order) -> None:
         """Carry out one order."""
-        match order.do:
+        match order.kind:
             case "start":
                 for name in self._placements:
                     await self.start(name)
@@ -219,7 +220,7 @@
             case "figures":
                 self._report(Report("figures", self._loop.time_ns(), figures=self._figures()))
             case _:
-                raise ValueError(f"unknown order {order.do!r}")
+                raise ValueError(f"unknown order {order.kind!r}")
 
     async def _propose(self, order: Order) -> None:
         member = next(iter(self._members.values()))
@@ -265,7 +266,7 @@
 
 
 async def serve(specification: Specification) -> None:
-    """Carry out orders until the input ends."""
+    """Carry out orders until the end of the input."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, DaemonLoop)
     encode = msgspec.json.Encoder().encode
--- a/pebblepass/scale/plan.py
+++ b/pebblepass/scale/plan.py
@@ -1,11 +1,11 @@
 """The plan of a run of hollow routers: names, regions, processes, phases and resource limits. No I/O.
 
-| phase | action | ends when |
+| phase | action | condition of its end |
 | --- | --- | --- |
 | join | control machines start, then all routers | all hold a lease |
 | idle | none | the window has passed |
-| change | policy changes, one after another | the last is in force everywhere |
-| discovery | all follow the server list; it changes, and again during an outage | all have the last |
+| change | policy changes, one after another | the last is in force at all routers |
+| discovery | all watch the endpoint list; it changes, and again during an outage | all have the latest list |
 | voter | a control machine is killed, and restarted after two lease times | it holds its lease |
 | cut | a region is disconnected for two lease times | all hold a lease again |
 | zone | a zone (half a region) is disconnected for two lease times | all hold a lease again |
@@ -29,7 +29,7 @@
 MAX_ROUTERS = 5000
 MEMORY_MB = 12 * 1024
 PROCESS_MB, ROUTER_MB = 45.0, 0.12  # of a process without routers, and of each router
-MEMBER_MB, VERSIONS = 0.00018, 8  # memory per member and policy version in a router; versions it keeps
+MEMBER_MB, VERSIONS = 0.00018, 8  # memory per member and policy version in a router; versions it stores
 OWN_DESCRIPTORS = 64
 SERVERS = 120  # in the endpoint list
 OUTAGE_S = 12.0  # duration of the discovery outage
--- a/pebblepass/scale/run.py
+++ b/pebblepass/scale/run.py
@@ -29,7 +29,7 @@
 FLEET = "scale"
 MEMORY_CHECK_INTERVAL_S = 0.5
 EXIT_TIMEOUT_S = 10.0  # for processes to exit by themselves before they are killed
-SETTLE_S = 1.0  # pause after a change, in which all routers report that they hold it
+SETTLE_S = 1.0  # pause after a change, in which all routers report that they have accepted it
 MAX_LINE_BYTES = 1 << 24  # the longest line that a process may write
 PAGE_MB = os.sysconf("SC_PAGE_SIZE") / 1e6
 
@@ -58,7 +58,7 @@
 
 
 class CountingAgent(RegistryAgent):
-    """A discovery agent that records the time of each call and whether it asks for the whole list."""
+    """A discovery agent that records the time of each call and whether it asks for the full list."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -69,13 +69,13 @@
         self.calls.append((time.monotonic(), "index=" not in target))
         super().handle_request(target, connection)
 
-    def since(self, start: float) -> dict[str, float]:
-        """The calls since a time: all, those for the whole list, and the most in one second."""
-        later = [(time_s, whole) for time_s, whole in self.calls if time_s >= start]
+    def count_since(self, start: float) -> dict[str, float]:
+        """Count the calls since a time: all, those for the full list, and the most in one second."""
+        later = [(time_s, is_full) for time_s, is_full in self.calls if time_s >= start]
         seconds = Counter(int(time_s - start) for time_s, _ in later)
         return {
             "calls": len(later),
-            "whole": sum(whole for _, whole in later),
+            "whole": sum(is_full for _, is_full in later),
             "most_a_second": max(seconds.values(), default=0),
         }
 
@@ -88,10 +88,10 @@
         self.earlier_cpu_s = 0.0
         """CPU seconds of earlier processes of this name."""
         self.figures: asyncio.Future[dict[str, Any]] | None = None
-        self.last = ""
+        self.last_line = ""
         """The last line of its log."""
-        self.expected = True
-        """Whether it is expected to run, so that its exit is an error."""
+        self.should_run = True
+        """Whether its exit is an error."""
 
     async def order(self, order: Order) -> None:
         """Send it an order."""
@@ -108,8 +108,8 @@
         self._children: dict[str, Child] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         # By router: its last policy version or endpoint list, and when it accepted it.
-        self._held_versions: dict[str, tuple[int, int]] = {}
-        self._held_lists: dict[str, tuple[int, int]] = {}
+        self._accepted_versions: dict[str, tuple[int, int]] = {}
+        self._accepted_lists: dict[str, tuple[int, int]] = {}
         self._state_changed = asyncio.Event()
         self._ready: set[str] = set()
         self._verdicts: list[Report] = []
@@ -232,11 +232,11 @@
         assert child.process.stdout is not None
         while line := await child.process.stdout.readline():
             report = msgspec.json.decode(line, type=Report)
-            match report.what:
+            match report.kind:
                 case "held":
-                    self._held_versions[report.name] = (report.version, report.at)
+                    self._accepted_versions[report.name] = (report.version, report.at)
                 case "listed":
-                    self._held_lists[report.name] = (report.version, report.at)
+                    self._accepted_lists[report.name] = (report.version, report.at)
                 case "ready":
                     self._ready.add(child.name)
                 case "proposed":
@@ -246,10 +246,12 @@
                 case "figures" if child.figures is not None and not child.figures.done():
                     child.figures.set_result(report.figures)
             self._state_changed.set()
-        if child.expected:
+        if child.should_run:
             await child.process.wait()
             self._fail(
-                RunError(f"{child.name} exited in phase {self._phase_name}: {child.last or 'no log output'}")
+                RunError(
+                    f"{child.name} exited in phase {self._phase_name}: {child.last_line or 'no log output'}"
+                )
             )
 
     async def _read_log(self, child: Child) -> None:
@@ -257,11 +259,11 @@
         assert child.process.stderr is not None
         while line := await child.process.stderr.readline():
             text = line.decode("utf-8", "replace").strip()
-            child.last = text or child.last
+            child.last_line = text or child.last_line
             _, found, event = text.partition("fleet: {")
             if found and '"event":"in force"' in event:
                 fields = msgspec.json.decode("{" + event)
-                self._held_versions[child.name] = (fields["version"], time.monotonic_ns())
+                self._accepted_versions[child.name] = (fields["version"], time.monotonic_ns())
                 self._state_changed.set()
 
     def _fail(self, error: Exception) -> None:
@@ -271,7 +273,7 @@
                 self._main.cancel()
 
     async def _limit_memory(self) -> None:
-        """End the run once its processes use more memory than the limit."""
+        """Fail the run if its processes use more memory than the limit."""
         while True:
             alive = [child.process.pid for child in self._children.values()]
             sum_mb = sum(memory_mb(pid) for pid in [*alive, os.getpid()])
@@ -299,23 +301,23 @@
                 f"{self._phase_name}: timed out after {self._plan.patience_s:g} s, waiting for {awaited}"
             ) from None
 
-    async def _all_hold(self, names: Iterable[str], version: int, since: int) -> int:
+    async def _wait_for_version(self, names: Iterable[str], version: int, since: int) -> int:
         """Wait until these routers have accepted a version since a time; returns when the last one did."""
         missing = set(names)
 
-        def none_left() -> bool:
+        def all_accepted() -> bool:
             for name in list(missing):
-                held, at = self._held_versions.get(name, (0, 0))
-                if held >= version and at >= since:
+                accepted, at = self._accepted_versions.get(name, (0, 0))
+                if accepted >= version and at >= since:
                     missing.discard(name)
             return not missing
 
         try:
-            await self._wait_until(none_left, f"a lease on version {version}")
+            await self._wait_until(all_accepted, f"a lease on version {version}")
         except RunError as error:
             examples = ", ".join(sorted(missing)[:5])
             raise RunError(f"{error}; missing at {len(missing)} routers, among them {examples}") from None
-        return max((self._held_versions[name][1] for name in names), default=since)
+        return max((self._accepted_versions[name][1] for name in names), default=since)
 
     def _routers(self) -> list[str]:
         return [*self._plan.hollow_names(), *self._plan.full_names()]
@@ -334,7 +336,7 @@
         counters = {}
         for name in self._plan.voter_names():
             child = self._children[name]
-            if child.expected:
+            if child.should_run:
                 counters[name] = {**await self._request_figures(name), "pid": child.process.pid}
         cpu, memory = {}, {}
         for name, child in self._children.items():
@@ -344,7 +346,7 @@
         return Snapshot(time.monotonic(), cpu, memory, counters)
 
     async def _holding(self) -> set[str]:
-        """The hollow routers that hold a lease at this moment."""
+        """The hollow routers that hold a lease now."""
         holding: set[str] = set()
         for number in range(self._plan.hollow_processes):
             holding.update((await self._request_figures(f"hollow{number}"))["holding"])
@@ -353,7 +355,7 @@
     # Phases
 
     async def play(self) -> None:
-        """Play all phases; raises RunError or PlanError, and keeps the figures of completed phases."""
+        """Play all phases; raises RunError or PlanError; `figures` then has the completed phases."""
         self._main = asyncio.current_task()
         memory_task = asyncio.create_task(self._limit_memory())
         start = time.monotonic()
@@ -378,7 +380,7 @@
         """The number of links that control machines have closed so far, by cause."""
         sums: Counter[str] = Counter()
         for name in self._plan.voter_names():
-            if self._children[name].expected:
+            if self._children[name].should_run:
                 sums.update((await self._request_figures(name))["closed"])
         return dict(sums)
 
@@ -417,7 +419,7 @@
         )
         for name in plan.voter_names():
             await self._children[name].order(Order("start"))
-        await self._all_hold(plan.voter_names(), 1, 0)
+        await self._wait_for_version(plan.voter_names(), 1, 0)
         self._version = 1
         if plan.full:
             self._agent = RegistryAgent(loop, "scale", [], NullObserver())
@@ -427,14 +429,14 @@
             start = time.monotonic_ns()
             for name in processes:
                 await self._children[name].order(Order("start"))
-            last = await self._all_hold(plan.hollow_names(), 1, start)
+            last = await self._wait_for_version(plan.hollow_names(), 1, start)
             return {"all_joined_s": (last - start) / 1e9}
 
         await self._phase("join", join)
         for number, name in enumerate(plan.full_names()):
             await self._spawn_full(f"lone{number}", name, in_fleet=False)
             await self._spawn_full(name, name, in_fleet=True)
-        await self._all_hold(plan.full_names(), 1, 0)
+        await self._wait_for_version(plan.full_names(), 1, 0)
         # Connections that failed while all routers joined are retried within two seconds.
         await asyncio.sleep(min(plan.lease_ms / 1000, 6.0))
 
@@ -455,12 +457,14 @@
             start = self._proposed[-1].at
             await self._wait_until(lambda verdicts=verdicts: len(self._verdicts) > verdicts, "a verdict")  # type: ignore[misc]
             verdict = self._verdicts[-1]
-            open_verdicts += verdict.state == "open"  # an open change is still decided, and waited for below
+            open_verdicts += (
+                verdict.state == "open"
+            )  # an open change may still be decided; the wait below covers it
             if verdict.state == "refused":
                 raise RunError(f"change {number}: {verdict.state}, version {verdict.version}")
             self._version = verdict.version
-            await self._all_hold(self._routers(), self._version, start)
-            durations.append([(self._held_versions[name][1] - start) / 1e9 for name in self._routers()])
+            await self._wait_for_version(self._routers(), self._version, start)
+            durations.append([(self._accepted_versions[name][1] - start) / 1e9 for name in self._routers()])
             await asyncio.sleep(SETTLE_S)
         after = await self._snapshot()
         idle = self.figures["phases"].get("idle")
@@ -468,18 +472,18 @@
         extra = {"value_bytes": value, "told_open": open_verdicts}
         return {**change_figures(plan, before, after, durations, idle), **extra}
 
-    async def _all_listed(self, generation: int, since: int) -> float:
+    async def _wait_for_list(self, generation: int, since: int) -> float:
         """Wait until all hollow routers have an endpoint list; returns the seconds since `since`."""
         names = self._plan.hollow_names()
 
         def has_list(name: str) -> bool:
-            listed, at = self._held_lists.get(name, (0, 0))
+            listed, at = self._accepted_lists.get(name, (0, 0))
             return listed >= generation and at >= since
 
         await self._wait_until(
             lambda: all(has_list(name) for name in names), f"endpoint list {generation} at all routers"
         )
-        return (max(self._held_lists[name][1] for name in names) - since) / 1e9
+        return (max(self._accepted_lists[name][1] for name in names) - since) / 1e9
 
     async def _discovery(self) -> dict[str, Any]:
         plan, entries = self._plan, self._plan.endpoint_entries()
@@ -492,34 +496,34 @@
             order = Order("follow", discovery="{}:{}".format(*agent.address))
             await self._children[f"hollow{number}"].order(order)
         figures: dict[str, Any] = {"servers": len(entries), "list_bytes": len(encode(agent.listing()))}
-        figures["all_listed_s"] = await self._all_listed(1, start)
-        figures["start"] = agent.since(start / 1e9)
+        figures["all_listed_s"] = await self._wait_for_list(1, start)
+        figures["start"] = agent.count_since(start / 1e9)
         idle_start, idle_start_cpu = time.monotonic(), time.process_time()
         await asyncio.sleep(plan.window_s)
-        calls = agent.since(idle_start)["calls"]
+        calls = agent.count_since(idle_start)["calls"]
         figures["calls_per_router_s"] = calls / plan.hollow_count / (time.monotonic() - idle_start)
         figures["cpu_per_call_s"] = (time.process_time() - idle_start_cpu) / max(calls, 1)
         start = time.monotonic_ns()
         agent.apply_change({**entries[0], "lifecycle": "draining"})
-        figures["change_s"] = await self._all_listed(agent.generation, start)
+        figures["change_s"] = await self._wait_for_list(agent.generation, start)
         agent.set_down(True)
         await asyncio.sleep(OUTAGE_S)
         agent.apply_change({**entries[1], "lifecycle": "draining"})
         start = time.monotonic_ns()
         agent.set_down(False)
-        figures["after_outage_s"] = await self._all_listed(agent.generation, start)
-        figures["after_outage"] = agent.since(start / 1e9)
+        figures["after_outage_s"] = await self._wait_for_list(agent.generation, start)
+        figures["after_outage"] = agent.count_since(start / 1e9)
         return figures
 
     async def _kill(self, name: str) -> None:
         child = self._children[name]
-        child.expected = False
+        child.should_run = False
         child.earlier_cpu_s += cpu_s(child.process.pid)
         child.process.kill()
         await child.process.wait()
 
     async def _restart_voters(self, names: list[str]) -> int:
-        """Restart these control machines; returns the time at which they are told to start."""
+        """Restart these control machines; returns the time at which they are ordered to start."""
         for name in names:
             await self._spawn_hollow(name, [name], counted=True)
         await self._wait_until(lambda: self._ready >= set(names), "control machines")
@@ -534,7 +538,7 @@
         await asyncio.sleep(2 * lease)
         holding = await self._holding()
         start = await self._restart_voters([victim])
-        last = await self._all_hold([victim], self._version, start)
+        last = await self._wait_for_version([victim], self._version, start)
         return {
             "victim": victim,
             "holding_without_it": len(holding),
@@ -554,7 +558,7 @@
         holding = await self._holding()
         relays.restore()
         start = time.monotonic_ns()
-        last = await self._all_hold(inside, self._version, start)
+        last = await self._wait_for_version(inside, self._version, start)
         return {
             "zones": zones,
             "inside": len(inside),
@@ -580,7 +584,7 @@
     async def _some(self) -> dict[str, Any]:
         names, start = self._plan.restarted(), time.monotonic_ns()
         await self._restart(names)
-        last = await self._all_hold(names, self._version, start)
+        last = await self._wait_for_version(names, self._version, start)
         return {"restarted": len(names), "all_joined_s": (last - start) / 1e9}
 
     async def _all(self) -> dict[str, Any]:
@@ -589,7 +593,7 @@
             await self._kill(name)
         await self._restart(names)
         voters_restarted = await self._restart_voters(self._plan.voter_names())
-        last = await self._all_hold(names, self._version, start)
+        last = await self._wait_for_version(names, self._version, start)
         return {
             "restarted": len(names),
             "voters_back_s": (voters_restarted - start) / 1e9,
@@ -600,7 +604,7 @@
     async def _stop_all(self) -> None:
         """Stop all processes and servers, also after a failure."""
         for child in self._children.values():
-            child.expected = False
+            child.should_run = False
             if child.process.stdin is not None:
                 child.process.stdin.close()
         waiting = [child.process.wait() for child in self._children.values()]
