--- a/pebblepass/consensus/lease_client.py
+++ b/pebblepass/consensus/lease_client.py
@@ -70,7 +70,7 @@
         return self._learner.version if self.may_admit(now) else 0
 
     def current_quota(self, now: int) -> Quota:
-        """Return what the router may fetch in addition to its floors."""
+        """Return the fetches a second that the router may make in addition to its floors."""
         return self.quota_holder.total(now) if self.may_admit(now) else NO_QUOTA
 
     def begin(self) -> None:
--- a/pebblepass/consensus/proposer.py
+++ b/pebblepass/consensus/proposer.py
@@ -1,4 +1,4 @@
-"""The proposer: takes one change from the policy checks to its verdict. No I/O, no clock.
+"""The proposer: runs one change from the policy checks to its verdict. No I/O, no clock.
 
 `change` has the table of a change's states.
 """
@@ -17,7 +17,7 @@
 from pebblepass.consensus.setup import RandomSource, ReplicaSetup
 from pebblepass.consensus.verdicts import Verdicts
 
-CONCLUSION_MARGIN_NS = 1_000_000_000  # nanoseconds after a lease's end within which a change is concluded
+CONCLUSION_MARGIN_NS = 1_000_000_000  # nanoseconds after the expiry of a lease; a change is concluded by then
 ANSWER_FRACTION = 0.5  # fraction of a lease within which live routers have to answer
 RETRY_DIVISOR = 8  # a rejected round is repeated within a lease divided by this
 
@@ -180,7 +180,7 @@
             self.conclude()
 
     def conclude(self) -> None:
-        """End the decided change, and report which routers lease its version."""
+        """Conclude the decided change, and report which routers lease its version."""
         change = self.change
         assert change is not None
         value, now = change.value, self._outbox.now
--- a/pebblepass/consensus/quota_leases.py
+++ b/pebblepass/consensus/quota_leases.py
@@ -32,7 +32,7 @@
 
 
 class Quota(Struct, frozen=True):
-    """What a router may fetch in addition to its floors, and until when."""
+    """The fetches a second that a router may make in addition to its floors, and until when."""
 
     rates: Rates = ()
     until: int = 0
--- a/pebblepass/consensus/recovery.py
+++ b/pebblepass/consensus/recovery.py
@@ -1,4 +1,4 @@
-"""Recovers a replica's state from the records of its log, and takes the snapshots that replace them. No I/O.
+"""Recovers a replica's state from the records of its log, and makes the snapshots that replace them. No I/O.
 
 | record | restored state |
 | --- | --- |
@@ -30,7 +30,7 @@
 
 
 class Recovery:
-    """Restores the durable state of a replica, and takes snapshots of it."""
+    """Restores the durable state of a replica, and makes snapshots of it."""
 
     def __init__(
         self, learner: Learner, acceptor: Acceptor, disk: DiskIdentity, lease_server: LeaseServer
--- a/pebblepass/daemon/attempts.py
+++ b/pebblepass/daemon/attempts.py
@@ -80,7 +80,7 @@
 
 
 class AttemptHost(Protocol):
-    """The host of the decision module as an attempt uses it."""
+    """The interface of the decision module's host that attempts use."""
 
     loop: asyncio.AbstractEventLoop
     lag: LoopLag
--- a/pebblepass/daemon/client_connection.py
+++ b/pebblepass/daemon/client_connection.py
@@ -35,7 +35,7 @@
 
 
 class ConnectionServer(Protocol):
-    """The server as its connections see it."""
+    """The interface of the client server that its connections use."""
 
     loop: asyncio.AbstractEventLoop
     host: Host
@@ -48,7 +48,7 @@
 
     @property
     def on_handover(self) -> object | None:
-        """Not None as long as there is another process to hand connections over to."""
+        """Not None while there is another process to hand connections over to."""
 
     def begin_handover(self, connection: ClientConnection) -> None:
         """Hand the connection over if it can be."""
@@ -64,7 +64,7 @@
         """Remove a connection."""
 
     def schedule_paused_poll(self) -> None:
-        """Poll for disconnects as long as there are connections that are not read."""
+        """Poll for disconnects while there are connections that are not read."""
 
 
 class ClientConnection(asyncio.Protocol):
@@ -89,7 +89,7 @@
         self.reader = CommandReader(server.multi_gets is not None)
         self.session: ClientSession | None = None
         self._reserved = 0  # bytes of the memory budget, for the command being received
-        # The timeout of the first command starts with the connection.
+        # The timeout of the first command starts when the connection is accepted.
         self.command_started_at = self.last_used_at
         self.has_sent_command = False
         self._awaits_budget = False
@@ -114,7 +114,7 @@
         self.liveness.descriptor = self.transport.get_extra_info("socket").fileno()
         self.server.register(self)
         if self._handed_over is not None and not self.transport.is_closing():
-            self._restore(self._handed_over)  # before anything else is read
+            self._restore(self._handed_over)  # before any other bytes are read
             self._handed_over = None
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -122,11 +122,11 @@
         self._handle_disconnect()
 
     def eof_received(self) -> bool:
-        """Treat the end of the client's sending as its disconnect."""
+        """Treat the client's end of file as its disconnect."""
         self._handle_disconnect()
         if self.transport is not None and self.transport.get_write_buffer_size():
-            # Warning: a transport that is closed rather than aborted keeps its descriptor until its client
-            # has read the rest, which may be never, while no limit counts that descriptor any longer.
+            # Warning: if the transport were closed rather than aborted, its descriptor would stay open until
+            # the client has read the rest, which may never happen, and no limit would count it any longer.
             self.transport.abort()
         return False
 
@@ -158,8 +158,8 @@
         starts_command = not reader.needed_bytes
         commands = reader.feed(data)
         if len(commands) > 1 and self.client_has_disconnected():
-            # Warning: the commands of a client that sent several and disconnected would be sent to servers
-            # for nobody.
+            # Warning: servers would execute the commands of a client that has disconnected after sending
+            # several.
             self.abort()
             return
         self.has_sent_command = self.has_sent_command or bool(commands)
@@ -295,8 +295,8 @@
         if should_read == self.liveness.is_reading or self.transport is None or self.transport.is_closing():
             return
         if should_read and self.client_has_disconnected():
-            # Warning: commands sent before the disconnect would be sent to servers, however long ago that
-            # was.
+            # Warning: the commands that the client sent before it disconnected would be sent to servers,
+            # even if it disconnected long ago.
             self.server.loop.call_soon(self.abort)
             return
         if should_read:
@@ -368,9 +368,9 @@
         """Whether another process could serve it: it accepts commands, and no reply is outstanding."""
         if self.transport is None or self.transport.is_closing() or self.replies:
             return False
-        is_ending = self._closes_when_idle or self.closed or self.is_over_limit
+        is_about_to_close = self._closes_when_idle or self.closed or self.is_over_limit
         is_waiting = self.blocked or self._awaits_budget or self._reserved
-        return not (is_ending or is_waiting or self.in_handover)
+        return not (is_about_to_close or is_waiting or self.in_handover)
 
     @property
     def descriptor(self) -> int:
@@ -401,7 +401,7 @@
 
     def reject_unfinished(self) -> None:
         """Reply to a command that was not received in time, and close."""
-        # Released first, as connections that wait for this memory may have waited as long.
+        # Released first: connections that wait for this memory may reach their own timeout in the same sweep.
         reserved, self._reserved = self._reserved, 0
         self.server.budget.release(reserved)
         self._closes_when_idle = True
--- a/pebblepass/daemon/connection_pool.py
+++ b/pebblepass/daemon/connection_pool.py
@@ -60,13 +60,13 @@
             self._servers[server_id] = Server(self, server_id, address, connect)
             return
         if server.address != address or server.connect is not connect:
-            # Set first, as the handler of an attempt's end may submit another one.
+            # Set before `_retire` ends exchanges, as the handler of an outcome may submit another exchange.
             server.address, server.connect = address, connect
             self._retire(server)
         server.is_listed = True
 
     def unlist_server(self, server_id: str) -> None:
-        """Remove a server that drains or is gone: exchanges in flight finish, and waiting ones end now."""
+        """Remove a server that drains or is removed: exchanges in flight finish, and waiting ones end now."""
         server = self._servers.get(server_id)
         if server is not None:
             server.is_listed = False
@@ -139,8 +139,8 @@
                 continue
             if exchange.may_begin():
                 return exchange
-            # Warning: its request has its final reply, or its client has disconnected, so it must not be
-            # sent.
+            # Warning: the request has its final reply, or its client has disconnected, so the exchange must
+            # not be sent.
             exchange.end(Outcome.SUPERSEDED)
         return None
 
@@ -223,8 +223,8 @@
         self._schedule_wake(server)
         is_limited = self.loop.time() < server.connection_limit_until
         limit = server.connection_limit if is_limited else MAX_CONNECTIONS_PER_SERVER
-        # Waits for idle connections that may not be reused yet: a dial takes as long, and costs the server
-        # work.
+        # An exchange waits for an idle connection that may not be reused yet, rather than for a dial, which
+        # takes as long and costs the server work.
         while len(server.waiting) > len(server.dials) + len(server.idle) and server.connection_count < limit:
             if self._connection_count >= self._limit and not self._evict():
                 return
--- a/pebblepass/daemon/daemon.py
+++ b/pebblepass/daemon/daemon.py
@@ -171,7 +171,7 @@
             self._loop.call_later(READY_S, self._become_ready)
 
     def is_ready(self) -> bool:
-        """Whether it knows its servers, accepts requests, and takes part in its fleet if it has one."""
+        """Whether it has an endpoint list, accepts requests, and is ready in its fleet if it has one."""
         fleet_is_ready = self._fleet is None or self._fleet.ready()
         return self.host.ready and self.clients.listening and fleet_is_ready
 
@@ -257,7 +257,7 @@
                 self.host.end_open()
 
     def stop(self) -> None:
-        """Abort every connection, as the end of the process would; nothing is sent from now on."""
+        """Abort every connection, as an exit of the process does; nothing is sent from now on."""
         if self._reload_task is not None:
             self._reload_task.cancel()
         if self._fleet is not None:
--- a/pebblepass/daemon/fleet.py
+++ b/pebblepass/daemon/fleet.py
@@ -33,7 +33,7 @@
 
 
 class PolicyHost(Protocol):
-    """The host of the decision module as the fleet member uses it."""
+    """The interface of the decision module's host that the fleet member uses."""
 
     @property
     def settings(self) -> Settings:
--- a/pebblepass/daemon/lag.py
+++ b/pebblepass/daemon/lag.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 HEARTBEAT_NS = 20_000_000
-TOLERANCE_NS = 2_000_000  # a heartbeat that is not later counts as on time: timers have millisecond precision
+TOLERANCE_NS = 2_000_000  # a heartbeat late by no more counts as on time: timers have millisecond precision
 PEAK_WINDOW_NS = 2_000_000_000  # the peak lag is reported for one to two of these
 
 
--- a/pebblepass/daemon/multi_get/interfaces.py
+++ b/pebblepass/daemon/multi_get/interfaces.py
@@ -17,7 +17,7 @@
 
 
 class StreamedReply(Protocol):
-    """The reply of a key whose value is streamed, as its command uses it."""
+    """The interface of a streamed key's reply that its command uses."""
 
     source: ValueSource | None
 
@@ -26,7 +26,7 @@
 
 
 class KeyOwner(Protocol):
-    """The command of a key, as the key's reply and attempt use it."""
+    """The interface of a command that the replies and attempts of its keys use."""
 
     assembly: ReplyAssembly
     is_paused: bool
@@ -49,11 +49,11 @@
         """Record that a streamed value is complete."""
 
     def fail_stream(self, number: int) -> None:
-        """Handle a streamed value that ended before it was complete."""
+        """Handle a streamed value that was cut off before it was complete."""
 
 
 class CommandRegistry(Protocol[CommandT_contra]):
-    """All commands of a router, as one of them uses it."""
+    """The interface of all commands of a router that each of them uses."""
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
@@ -91,10 +91,10 @@
 
 
 class BatchRegistry(CommandRegistry[CommandT_contra], Protocol[CommandT_contra, KeyT]):
-    """All commands of a router, as a batch on a connection uses it."""
+    """The interface of all commands of a router that a batch on a connection uses."""
 
     unopened: int
-    """The number of keys that the decision module knows and that have no open request yet."""
+    """The number of keys that the decision module has received and that have no open request yet."""
 
     @property
     def batches(self) -> Batches[KeyT]:
--- a/pebblepass/daemon/multi_get/key_reply.py
+++ b/pebblepass/daemon/multi_get/key_reply.py
@@ -60,7 +60,7 @@
             self.source.resume()
 
     def abort(self) -> None:
-        """Discard what is buffered: the streamed value has ended before it was complete."""
+        """Discard what is buffered: the streamed value was cut off before it was complete."""
         self.source = None
         for data in self._buffered:
             self._multi_get.assembly.stream_bytes_released(len(data))
--- a/pebblepass/daemon/multi_get/multi_get.py
+++ b/pebblepass/daemon/multi_get/multi_get.py
@@ -38,7 +38,7 @@
         self.unopened: dict[str, KeyAttempt] = {}
         """Keys that the decision module has received and that have no open request yet, by request id."""
         self.abandoned: set[int] = set()
-        """Numbers of keys that were ended one by one, as the client was found to have disconnected."""
+        """Numbers of keys that were closed one by one when an attempt found the client disconnected."""
         self.quarantined: set[int] = set()
         """Numbers of keys that are sent alone, as they have blocked or failed a batch."""
         due = max(self.deadline - registry.deadline_margin, now)
@@ -59,7 +59,7 @@
         return f"{self.name}.{number}"
 
     def open_ids(self) -> list[str]:
-        """Return the request ids of the keys that have not ended."""
+        """Return the request ids of the keys without a final answer."""
         return [self.request_id(number) for number in self.assembly.incomplete_numbers()]
 
     def pause(self) -> None:
--- a/pebblepass/daemon/multi_get/registry.py
+++ b/pebblepass/daemon/multi_get/registry.py
@@ -132,7 +132,7 @@
         return name in self._multi_gets and number.isdigit()
 
     def open_ids(self) -> list[str]:
-        """Return the request ids of all keys that have not ended."""
+        """Return the request ids of all keys without a final answer."""
         return [name for multi_get in self._multi_gets.values() for name in multi_get.open_ids()]
 
     def client_disconnected(self, multi_get: MultiGet) -> None:
@@ -203,7 +203,7 @@
             # One chunk per turn, so that single requests are served in between.
             self.schedule()
         elif self.allocator.is_starved() and self._retry is None:
-            # Single requests occupy all the capacity, so no key is in flight whose end would schedule a turn.
+            # Single requests occupy all the capacity: no key is in flight whose answer would schedule a turn.
             self._retry = self.loop.call_later(STARVED_RETRY_S, self._retry_starved)
         # Batches wait until they are full: a short one costs its server and this router as much as a full
         # one.
--- a/pebblepass/daemon/multi_get_host.py
+++ b/pebblepass/daemon/multi_get_host.py
@@ -1,4 +1,4 @@
-"""Multi-gets as the host of the decision module sees them."""
+"""The interface of multi-gets that the decision module's host uses."""
 
 from __future__ import annotations
 
--- a/pebblepass/daemon/reply.py
+++ b/pebblepass/daemon/reply.py
@@ -13,7 +13,7 @@
 
 
 class ReplyConnection(Protocol):
-    """The client's connection as its replies use it."""
+    """The interface of a client's connection that its replies use."""
 
     replies: deque[Reply]
     blocked: bool
--- a/pebblepass/daemon/server_connection.py
+++ b/pebblepass/daemon/server_connection.py
@@ -21,7 +21,7 @@
 
 
 class PoolOfConnection(Protocol):
-    """The pool as its connections use it."""
+    """The interface of the pool that its connections use."""
 
     poller: SocketPoller
     buffer_budget: BufferBudget
@@ -54,7 +54,7 @@
         self._reading_paused = False  # whether the client of a streamed value does not read
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport; with a limit of 0 it reports whether the kernel has accepted every byte."""
+        """Store the transport; a write buffer limit of 0 makes it report when the kernel has every byte."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=0)
         descriptor = self.transport.get_extra_info("socket").fileno()
@@ -191,7 +191,7 @@
         exchange, self.exchange = self.exchange, None
         self.server.pool.lost(self)
         if exchange is not None:
-            # The break of a connection that was idle does not count against the health of its server.
+            # A connection that breaks after it was idle does not count against the health of its server.
             exchange.connection_failed = self._has_served and not (self._has_answer_bytes or self.unsent)
             exchange.end(Outcome.CONNECT_FAILED if self.unsent else Outcome.RESET)
 
--- a/pebblepass/daemon/unread_age.py
+++ b/pebblepass/daemon/unread_age.py
@@ -1,7 +1,7 @@
 """How long a client's bytes may have been unread in the kernel. No I/O, no clock.
 
 A client's deadline counts from the arrival of its request, not from the time at which this process reads it.
-The time of arrival is not known, but it is after the last time at which nothing was unread.
+The time at which bytes arrive is not known, but it is after the last time at which nothing was unread.
 """
 
 from __future__ import annotations
--- a/tests/control/test_operations.py
+++ b/tests/control/test_operations.py
@@ -20,7 +20,7 @@
 def with_control_server(
     scenario: Callable[[VirtualLoop, Address, list[bool]], Awaitable[None]],
 ) -> None:
-    """Run `scenario` with a control server; it gets the address, and a list that holds the readiness."""
+    """Run `scenario` with a control server; it gets the address, and a list of one element, the readiness."""
 
     async def run(loop: VirtualLoop) -> None:
         ready, counters = [False], Counters(["get"])
--- a/tests/multi_get/deployment.py
+++ b/tests/multi_get/deployment.py
@@ -30,7 +30,7 @@
 SERVICE_TIME_S = 0.004
 LONG_VALUE_BYTES = 4 << 20
 Behavior = Callable[[str, str, int], str]
-"""Returns an attempt's outcome, a name that `process_get` knows.
+"""Returns an attempt's outcome: `silent`, `reset`, `slow` and a delay in seconds, or the name of a reply.
 
 Arguments: the server's name, the key, and the number of attempts for the key at cache servers so far.
 """
@@ -41,7 +41,7 @@
 
 
 class EmulatedServer(ListenerGroup):
-    """A cache server or the origin, which replies to each key as the deployment's behavior says."""
+    """A cache server or the origin; the deployment's behavior decides its reply to each key."""
 
     def __init__(self, deployment: Deployment, name: str, is_store: bool = False) -> None:
         super().__init__(deployment.loop, ("here",))
@@ -81,7 +81,7 @@
             else:
                 self.process_get(arguments[1].decode(), arguments[2].decode(), self.reserve_reply())
 
-    def process_get(self, key: str, request: str, place: PendingReply) -> None:
+    def process_get(self, key: str, request: str, pending: PendingReply) -> None:
         node, delay_s = self.node, SERVICE_TIME_S
         outcome = node.next_outcome(key, request)
         if outcome.startswith("slow"):
@@ -98,8 +98,8 @@
         if outcome == "reset":
             self.node.loop.call_later(delay_s, self.reset)
         elif outcome != "silent":
-            place.answer(replies[outcome]) if delay_s == SERVICE_TIME_S else self.node.loop.call_later(
-                delay_s, place.answer, replies[outcome]
+            pending.answer(replies[outcome]) if delay_s == SERVICE_TIME_S else self.node.loop.call_later(
+                delay_s, pending.answer, replies[outcome]
             )
 
     def process_multi_get(self, arguments: list[bytes]) -> None:
@@ -143,7 +143,7 @@
     def on_message_complete(self) -> None:
         deployment, key = self.store.deployment, unquote(self.target[1:].decode())
         self.target = b""
-        outcome, request, place = (
+        outcome, request, pending = (
             self.store.next_outcome(key, self.request),
             self.request,
             self.reserve_reply(),
@@ -159,11 +159,11 @@
             "error": http_answer(500),
             "busy": http_answer(503, b"", "Not-Started: 1"),
         }
-        self.store.loop.call_later(SERVICE_TIME_S, self.finish_fetch, place, replies[outcome])
+        self.store.loop.call_later(SERVICE_TIME_S, self.finish_fetch, pending, replies[outcome])
 
-    def finish_fetch(self, place: PendingReply, reply: bytes) -> None:
+    def finish_fetch(self, pending: PendingReply, reply: bytes) -> None:
         self.store.deployment.fetches_in_flight -= 1
-        place.answer(reply)
+        pending.answer(reply)
 
 
 class Deployment:
@@ -259,7 +259,7 @@
         return row
 
     async def settle(self) -> None:
-        """Wait until no request is open, and check what holds in every run."""
+        """Wait until no request is open, and check the invariants of every run."""
         await self.wait_until(lambda: not self.host.open_request_count)
         await asyncio.sleep(3.0)  # an attempt may outlast its request's answer by up to this time
         self.ledger.audit(self.host.now(), 0, self.host.open_requests())
@@ -316,7 +316,7 @@
 
 
 def entry_labels(reply: list[Any]) -> list[str]:
-    """Describe each entry of a reply: the value's text, or miss, refused, failed or late."""
+    """Return a label for each entry of a reply: the value's text, or miss, refused, failed or late."""
     labels = []
     for entry in reply:
         if entry is None:
@@ -333,7 +333,7 @@
 
 
 def run_on_deployment(test: Callable[[Deployment], Awaitable[None]], **options: Any) -> None:
-    """Run a test on a new deployment, and check at its end what holds in every run."""
+    """Run a test on a new deployment, and check the invariants of every run at its end."""
 
     async def run(loop: VirtualLoop) -> None:
         loop_errors: list[dict[str, Any]] = []
--- a/tests/multi_get/test_imports.py
+++ b/tests/multi_get/test_imports.py
@@ -14,17 +14,17 @@
 
 
 def imports_of_module(source: str) -> set[str]:
-    """Return the full names of all modules and names that a source imports, under TYPE_CHECKING too."""
-    found: set[str] = set()
+    """Return the full names of all modules and names that a source file imports, under TYPE_CHECKING too."""
+    imported: set[str] = set()
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Import):
-            found.update(alias.name for alias in node.names)
+            imported.update(alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom):
             assert not node.level, "a relative import"
             assert node.module
-            found.add(node.module)
-            found.update(f"{node.module}.{alias.name}" for alias in node.names)
-    return found
+            imported.add(node.module)
+            imported.update(f"{node.module}.{alias.name}" for alias in node.names)
+    return imported
 
 
 def import_graph(sources: dict[str, str]) -> dict[str, set[str]]:
--- a/tests/multi_get/test_registry.py
+++ b/tests/multi_get/test_registry.py
@@ -1,4 +1,4 @@
-"""Multi-get commands through a complete router in virtual time, one difficult case in each test."""
+"""Multi-get commands through a complete router in virtual time, with faults of servers and clients."""
 
 from __future__ import annotations
 
@@ -248,15 +248,15 @@
         client = await deployment.client()
         client.send_multi_get(keys, d=5000)
         answer = deployment.loop.create_task(client.read_reply())
-        many = deployment.host.multi_gets
-        assert isinstance(many, MultiGetRegistry)
+        registry = deployment.host.multi_gets
+        assert isinstance(registry, MultiGetRegistry)
         while not answer.done():
-            memory_samples.append(many.allocator.memory)
+            memory_samples.append(registry.allocator.memory)
             await asyncio.sleep(0.0005)
         reply = await answer
         assert entry_labels(reply) == expected_values(keys)
         assert len(reply[70]) == LONG_VALUE_BYTES
-        # Buffered are the small values, and of the long one what arrived before its position was reached.
+        # Buffered are the small values, and the part of the long one that arrived before its turn.
         assert max(memory_samples) < 200 * (64 << 10) + (1 << 20)
         assert deployment.ledger_row()["bytes_served"] > LONG_VALUE_BYTES
 
@@ -427,9 +427,9 @@
         assert entry_labels(await client.multi_get(KEYS, "q", d=3000)) == expected_values(KEYS)
         assert deployment.loop.time() - started_at < 0.4
         assert Counter(key for _, _, key, _ in deployment.attempts)["pkg/59"] == 2
-        many = deployment.host.multi_gets
-        assert isinstance(many, MultiGetRegistry)
-        assert many.hedges.spent == 1
+        registry = deployment.host.multi_gets
+        assert isinstance(registry, MultiGetRegistry)
+        assert registry.hedges.spent == 1
 
     run_on_deployment(test, behavior=behavior)
 
@@ -439,8 +439,8 @@
         client = await deployment.client()
         for number in range(4):
             await client.multi_get([f"warm/{number}/{key}" for key in range(60)], f"w{number}")
-        many = deployment.host.multi_gets
-        assert isinstance(many, MultiGetRegistry)
-        assert many.hedges.spent == 0
+        registry = deployment.host.multi_gets
+        assert isinstance(registry, MultiGetRegistry)
+        assert registry.hedges.spent == 0
 
     run_on_deployment(test, behavior=always_ok, ceilings={"secondCopies": False})
