--- a/pebblepass/daemon/attempts.py
+++ b/pebblepass/daemon/attempts.py
@@ -20,13 +20,13 @@
 if TYPE_CHECKING:
     from pebblepass.accounting.ledger import Ledger
 
-PATH_SAFE_CHARACTERS = "/:@!$&'()*+,;=-._~"  # of a key; all other ones but letters and digits are quoted
+PATH_SAFE_CHARACTERS = "/:@!$&'()*+,;=-._~"  # of a key; besides these, only letters and digits are not quoted
 
 
 def _quote_path(key: bytes) -> str:
     if key.isalnum():
         return key.decode("ascii")
-    # Imported with the first key that needs quoting, as the platform's keys do not, and it slows the start.
+    # Imported only for a key that needs quoting: the platform's keys do not, and the import slows the start.
     from urllib.parse import quote
 
     return quote(key, safe=PATH_SAFE_CHARACTERS)
@@ -48,7 +48,7 @@
         """The null value in the client's protocol version."""
 
     def send(self, data: bytes) -> None:
-        """Write the whole reply, or its last part."""
+        """Write the complete reply, or its last part."""
 
     def start(self, data: bytes, source: ValueSource) -> None:
         """Begin a streamed reply."""
@@ -127,8 +127,8 @@
     def withdraw(self) -> None:
         """Withdraw the attempts that are not sent: it has its final answer, or its client has disconnected.
 
-        Warning: otherwise a connection established a second later would still send an attempt that waits for
-        it.
+        Warning: an attempt that waits for a connection would otherwise still be sent once that connection is
+        established, perhaps a second later.
         """
         unsent, self.unsent = self.unsent, None
         for attempt in unsent or ():
--- a/pebblepass/daemon/daemon.py
+++ b/pebblepass/daemon/daemon.py
@@ -30,16 +30,16 @@
     from pebblepass.operator_config import FleetSection, MultiGetSection
 
 READY_S = 1.0  # time to wait for discovery's first endpoint list before the cached one is used
-START_SHARE = 0.4  # maximum fraction of its CPU quota that the start has used when clients are accepted
+START_SHARE = 0.4  # fraction of the CPU quota; clients are accepted once the start has used no more than this
 MAX_SETTLING_S = 0.4  # maximum delay before clients are accepted after a start that used much CPU time
 # The shutdown, see Daemon.drain; seconds from SIGTERM.
 ACCEPT_S = 0.5  # connections are accepted as before
 PARTIAL_COMMANDS_S = 0.65  # from then on connections with a partially received command are closed too
-SERVED_SHARE = 0.5  # fraction of the longest deadline for which a shutdown still accepts requests
+SERVED_SHARE = 0.5  # fraction of the longest deadline, after which a shutdown rejects new requests
 ANSWER_SLACK_S = 0.55  # after the longest deadline; then every open request fails
 KILL_SLACK_S = 0.65  # after the longest deadline; the platform sends SIGKILL no sooner than 0.7 s after it
 DRAIN_STEP_S = 0.01
-RELOAD_TRIES, RELOAD_STEP_S = 20, 0.1  # the file may still be being written
+RELOAD_TRIES, RELOAD_STEP_S = 20, 0.1  # the file may be incomplete while it is written
 COMMAND_MEMORY_SHARE = 0.2  # fraction of the memory for clients' long commands
 VALUE_MEMORY_SHARE = 0.15  # fraction of the memory for long values of unknown length
 
@@ -235,7 +235,7 @@
         if upgrade is None or not upgrade.terminate():
             await asyncio.sleep(ACCEPT_S)
             await sockets_polled()
-            if upgrade is None:  # else they wait at the platform's socket, which stays open
+            if upgrade is None:  # else pending connections stay in the backlog of the platform's socket
                 while self.clients.accept_pending() and self._loop.time() < started_at + PARTIAL_COMMANDS_S:
                     await asyncio.sleep(0)
                 await sockets_polled()
--- a/pebblepass/daemon/memory_budget.py
+++ b/pebblepass/daemon/memory_budget.py
@@ -18,7 +18,7 @@
 
 
 class MemoryBudget:
-    """Memory for long commands, reserved for a whole command before it is read, so that it can finish."""
+    """Memory for long commands; what a command needs is reserved before it is read, so that it can finish."""
 
     def __init__(self, total: int) -> None:
         self._total = self._free = total
--- a/pebblepass/daemon/multi_get_host.py
+++ b/pebblepass/daemon/multi_get_host.py
@@ -36,7 +36,7 @@
         """Cancel the keys that are queued for a server that drains or is gone."""
 
     def end_all(self) -> None:
-        """Reply to every command now, with what has been received."""
+        """Reply to every command now, with the answers received so far."""
 
     def abandon(self) -> None:
         """Drop every command without a reply: the router stops."""
--- a/pebblepass/daemon/origin.py
+++ b/pebblepass/daemon/origin.py
@@ -86,7 +86,7 @@
         if len(self._body) > MAX_ANSWER_VALUE_BYTES:
             raise HttpError("value too long")
         if len(self._body) > LONG_VALUE_BYTES:
-            # The client needs the length first, so the whole value is buffered, which the budget limits.
+            # The client needs the length first, so the complete value is buffered; the budget limits this.
             self.server.pool.buffer_budget.take(
                 self, len(self._body) - (before if before > LONG_VALUE_BYTES else 0)
             )
@@ -109,13 +109,13 @@
             self._finish_exchange(None)
 
     def pause(self) -> None:
-        """Pause reading from the origin, or passing on what is buffered."""
+        """Pause reading from the origin, or passing on the buffered value."""
         self._paused = True
         if self._unsent is None:
             super().pause()
 
     def resume(self) -> None:
-        """Resume reading from the origin, or passing on what is buffered."""
+        """Resume reading from the origin, or passing on the buffered value."""
         self._paused = False
         if self._unsent is None:
             super().resume()
@@ -135,7 +135,7 @@
         self.server.pool.buffer_budget.release(self)
 
     def close(self) -> None:
-        """Abort the connection, and discard what is buffered."""
+        """Abort the connection, and discard the buffered value."""
         self._discard_buffered()
         super().close()
 
--- a/pebblepass/daemon/reply.py
+++ b/pebblepass/daemon/reply.py
@@ -50,7 +50,7 @@
         self.reserved = 0
 
     def send(self, data: bytes) -> None:
-        """Write the whole reply, or its last part."""
+        """Write the complete reply, or its last part."""
         self.write(data)
         self.done, self.source = True, None
         self._connection.flush()
--- a/pebblepass/daemon/session_commands.py
+++ b/pebblepass/daemon/session_commands.py
@@ -33,7 +33,7 @@
 def answer_session_command(words: list[bytes], client: ClientSession, ready: bool, connected: int) -> bytes:
     """Return the reply to a session command; one that is replied to with an error changes nothing.
 
-    `ready`: whether the router knows its servers; `connected`: number of client connections.
+    `ready`: whether the router has an endpoint list; `connected`: number of client connections.
     Raises UnknownCommandError.
     """
     name, args = words[0].upper(), words[1:]
--- a/pebblepass/daemon/upgrade.py
+++ b/pebblepass/daemon/upgrade.py
@@ -55,11 +55,11 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def begin(self) -> None:
-        """Find out whether there is another process, and import its state."""
+        """Look for another process, and import its state if there is one."""
         await self._handover.start()
 
     def ready(self) -> None:
-        """Report to the handover that the servers are known."""
+        """Report to the handover that this process has an endpoint list."""
         self._handover.servers_known()
 
     def terminate(self) -> bool:
@@ -124,7 +124,9 @@
         """
         pool = self._parts.pool
         if self._parts.clients.on_handover is not None:
-            self._parts.clients.hand_over(self._queue_handover)  # some had unsent bytes before
+            self._parts.clients.hand_over(
+                self._queue_handover
+            )  # those with unsent bytes were not handed over before
         pool.limit = max(pool.busy, MIN_SERVER_CONNECTIONS)
         return ConnectionCounts(self._parts.clients.connected, pool.limit)
 
--- a/pebblepass/simulation/emulated_services.py
+++ b/pebblepass/simulation/emulated_services.py
@@ -103,8 +103,8 @@
             {cls.name: cls.window_s for cls in scenario.classes}, rule_checker.effect_repeated
         )
         self._nodes_with_miss: dict[str, list[EmulatedNode]] = {}
-        self.nodes = {facts.id: self._node(facts, streams) for facts in plan.nodes}
-        self._spares = [self._node(facts, streams) for facts in plan.spares]
+        self.nodes = {properties.id: self._node(properties, streams) for properties in plan.nodes}
+        self._spares = [self._node(properties, streams) for properties in plan.spares]
         store_zone = scenario.fleet.zones[0]
         self.store = EmulatedStore(
             loop,
@@ -125,28 +125,28 @@
         )
         self.agents: dict[str, RegistryAgent] = {}
         self._announcement_rng = streams.of("registry")
-        self._zones = {facts.id: facts.zone for facts in (*plan.nodes, *plan.spares)}
+        self._zones = {properties.id: properties.zone for properties in (*plan.nodes, *plan.spares)}
         self._started_ms: dict[str, int] = {}
 
-    def _node(self, facts: NodeFacts, streams: Streams) -> EmulatedNode:
+    def _node(self, properties: NodeFacts, streams: Streams) -> EmulatedNode:
         scenario = self.plan.scenario
         return EmulatedNode(
             self.loop,
             NodeSetup(
-                id=facts.id,
+                id=properties.id,
                 core=CoreParameters(
-                    speed=facts.speed,
-                    slots=facts.slots,
-                    queue=facts.queue,
-                    thrash_at=facts.thrash_at,
-                    thrash=facts.thrash,
-                    pause_every=facts.pause_every,
-                    pause=facts.pause,
-                    cold_capacity=facts.cold_capacity,
-                    warm_up_time=facts.warm_up_time,
+                    speed=properties.speed,
+                    slots=properties.slots,
+                    queue=properties.queue,
+                    thrash_at=properties.thrash_at,
+                    thrash=properties.thrash,
+                    pause_every=properties.pause_every,
+                    pause=properties.pause,
+                    cold_capacity=properties.cold_capacity,
+                    warm_up_time=properties.warm_up_time,
                 ),
-                memory=facts.memory,
-                report_period=facts.report_period,
+                memory=properties.memory,
+                report_period=properties.report_period,
                 work_by_class={
                     cls.name: WorkRange(cls.work_ms.least / 1000, cls.work_ms.most / 1000)
                     for cls in scenario.classes
@@ -154,11 +154,11 @@
                 miss_work=scenario.node.miss_work,
                 error_rate=scenario.node.error_rate,
                 value_bytes=scenario.traffic.value_bytes,
-                delays={zone: self.plan.delays[zone, facts.zone] for zone in scenario.fleet.zones},
+                delays={zone: self.plan.delays[zone, properties.zone] for zone in scenario.fleet.zones},
                 overload_multiple=FALL_MULTIPLE,
                 fall_window=FALL_S,
             ),
-            streams.of(f"node {facts.id} answers"),
+            streams.of(f"node {properties.id} answers"),
             self.effects,
             self.rule_checker,
             self._missed,
--- a/pebblepass/simulation/runner.py
+++ b/pebblepass/simulation/runner.py
@@ -90,14 +90,14 @@
             except asyncio.CancelledError:
                 interrupted = True
             else:
-                names = [facts.id for facts in self.plan.routers]
+                names = [planned.id for planned in self.plan.routers]
                 for name, router in zip(names, self.routers, strict=True):
                     figures[name] = await router.figures()
             finally:
                 await self._stop()
         crashes = [
-            f"{facts.id}: {reason}"
-            for facts, router in zip(self.plan.routers, self.routers, strict=True)
+            f"{planned.id}: {reason}"
+            for planned, router in zip(self.plan.routers, self.routers, strict=True)
             if (reason := router.crash())
         ]
         return build_report(
@@ -112,8 +112,8 @@
             figures=figures,
             # Only a router in a process of its own has a memory figure.
             peaks_kb={
-                facts.id: router.peak_kb
-                for facts, router in zip(self.plan.routers, self.routers, strict=True)
+                planned.id: router.peak_kb
+                for planned, router in zip(self.plan.routers, self.routers, strict=True)
                 if router.peak_kb
             },
             crashes=[*crashes, *errors.errors],
@@ -184,24 +184,24 @@
     # Routers
 
     async def _start_router(self, index: int) -> None:
-        facts = self.plan.routers[index]
-        agent = self.services.agents[facts.id]
+        planned = self.plan.routers[index]
+        agent = self.services.agents[planned.id]
         fleet = self.plan.scenario.fleet
         host, port = self._addresses[index]
-        self.rule_checker.router_started(facts.id)
+        self.rule_checker.router_started(planned.id)
         config = {
-            "name": facts.id,
+            "name": planned.id,
             "listen": f"{host}:{port}",
             "discovery": f"{agent.address[0]}:{agent.address[1]}",
-            "seed": f"{facts.seed:016x}",
+            "seed": f"{planned.seed:016x}",
             "limits": {"cores": 1.0, "memory_mb": fleet.memory_mb, "sockets": fleet.sockets},
             "known": self._listings[index],
-            "settings": platform_settings(self.plan, facts),
+            "settings": platform_settings(self.plan, planned),
         }
         try:
             await self.routers[index].start(config)
         except OSError as error:
-            raise RehearsalError(f"{facts.id} can't listen at {host}:{port}: {error.strerror}") from None
+            raise RehearsalError(f"{planned.id} can't listen at {host}:{port}: {error.strerror}") from None
 
     async def _wait_ready(self, index: int) -> None:
         """Wait until the router answers PING."""
