--- a/pebblepass/consensus/lease_client.py
+++ b/pebblepass/consensus/lease_client.py
@@ -70,7 +70,7 @@
         return self._learner.version if self.may_admit(now) else 0
 
     def current_quota(self, now: int) -> Quota:
-        """Return what the router may fetch in addition to its floors."""
+        """Return the fetches a second that the router may make in addition to its floors."""
         return self.quota_holder.total(now) if self.may_admit(now) else NO_QUOTA
 
     def begin(self) -> None:
@@ -152,7 +152,7 @@
     def send_releases(self) -> bool:
         """Report to the voters that smaller quota leases are applied; return whether there were any.
 
-        Danger: call this only after the policy is activated. If reported before, a voter could grant to
+        Warning: call this only after the policy is activated. If reported before, a voter could grant to
         another router what this one still uses.
         """
         releases, self._releases = self._releases, []
--- a/pebblepass/consensus/proposer.py
+++ b/pebblepass/consensus/proposer.py
@@ -1,4 +1,4 @@
-"""The proposer: takes one change from the policy checks to its verdict. No I/O, no clock.
+"""The proposer: runs one change from the policy checks to its verdict. No I/O, no clock.
 
 `change` has the table of a change's states.
 """
@@ -17,7 +17,7 @@
 from pebblepass.consensus.setup import RandomSource, ReplicaSetup
 from pebblepass.consensus.verdicts import Verdicts
 
-CONCLUSION_MARGIN_NS = 1_000_000_000  # nanoseconds after a lease's end within which a change is concluded
+CONCLUSION_MARGIN_NS = 1_000_000_000  # nanoseconds after the expiry of a lease; a change is concluded by then
 ANSWER_FRACTION = 0.5  # fraction of a lease within which live routers have to answer
 RETRY_DIVISOR = 8  # a rejected round is repeated within a lease divided by this
 
@@ -100,7 +100,7 @@
     def new_ballot(self, number: int) -> m.Ballot:
         """Return a ballot that no other proposer, and no other run of this process, uses.
 
-        Danger: without the run's id, a process that lost its state could reuse the ballot of an older round.
+        Warning: without the run's id, a process that lost its state could reuse the ballot of an older round.
         """
         return m.Ballot(number, f"{self._name}.{self._boot_id}")
 
@@ -159,7 +159,7 @@
             timeout = self._terms.granter_duration + self._terms.renewal_interval
             change.due = change.deadline = self._outbox.now + timeout
         elif other is None and change.may_be_accepted:
-            # Danger: while this router received nothing, this change and later ones may have been decided.
+            # Warning: while this router received nothing, this change and later ones may have been decided.
             self.change = None
             if not change.takeover:
                 lines = (texts.version_missed(version),)
@@ -180,7 +180,7 @@
             self.conclude()
 
     def conclude(self) -> None:
-        """End the decided change, and report which routers lease its version."""
+        """Conclude the decided change, and report which routers lease its version."""
         change = self.change
         assert change is not None
         value, now = change.value, self._outbox.now
--- a/pebblepass/daemon/reply.py
+++ b/pebblepass/daemon/reply.py
@@ -13,7 +13,7 @@
 
 
 class ReplyConnection(Protocol):
-    """The client's connection as its replies use it."""
+    """The interface of a client's connection that its replies use."""
 
     replies: deque[Reply]
     blocked: bool
@@ -50,7 +50,7 @@
         self.reserved = 0
 
     def send(self, data: bytes) -> None:
-        """Write the whole reply, or its last part."""
+        """Write the complete reply, or its last part."""
         self.write(data)
         self.done, self.source = True, None
         self._connection.flush()
