--- a/pebblepass/scale/fit.py
+++ b/pebblepass/scale/fit.py
@@ -40,7 +40,7 @@
         ("phases", "idle", "router", "messages_per_s"),
         "1/s",
         1,
-        "a request to each voter and its answer, each third of a lease",
+        "a question to each voter and its answer, each third of a lease",
     ),
     Quantity(
         "router: bytes",
@@ -55,7 +55,7 @@
         ("phases", "idle", "router", "cores"),
         "cores",
         1,
-        "each message iterates over the members",
+        "each message walks the members",
         0.044,
     ),
     Quantity(
@@ -63,7 +63,7 @@
         ("phases", "change", "router", "memory_mb"),
         "MB",
         1,
-        "each stored version names all members",
+        "each version kept names all members",
         32.0,
     ),
     Quantity(
@@ -71,7 +71,7 @@
         ("phases", "idle", "voter", "messages_per_s"),
         "1/s",
         1,
-        "each router sends requests to each voter",
+        "each router asks each voter",
     ),
     Quantity("voter: bytes", ("phases", "idle", "voter", "bytes_per_s"), "B/s", 1, "likewise"),
     Quantity(
@@ -79,14 +79,14 @@
         ("phases", "idle", "voter", "cores"),
         "cores",
         2,
-        "messages grow with the members, and each iterates over the members",
+        "messages grow with the members, and each walks the members",
     ),
     Quantity(
         "voter: memory",
         ("phases", "change", "voter", "memory_mb"),
         "MB",
         1,
-        "a link, a lease and a name for each router",
+        "a link, a lease and a name each",
     ),
     Quantity(
         "voter: descriptors", ("phases", "idle", "voter", "connections"), "", 1, "a link from each router"
@@ -104,17 +104,17 @@
         ("phases", "change", "bytes"),
         "B",
         2,
-        "the value names all members, and is sent to all",
+        "the value names all members, and goes to all",
     ),
     Quantity(
-        "change: messages in all", ("phases", "change", "messages"), "", 1, "the same number to and from each"
+        "change: messages in all", ("phases", "change", "messages"), "", 1, "the same few to and from each"
     ),
     Quantity(
         "change: CPU of a voter",
         ("phases", "change", "voter_cpu_s"),
         "s",
         2,
-        "the proposer iterates over all members at each message until it is in force",
+        "the proposer walks all members at each message until it is in force",
     ),
     Quantity(
         "change: half of the routers",
@@ -153,7 +153,7 @@
         ("phases", "discovery", "after_outage", "most_a_second"),
         "1/s",
         1,
-        "each retries ten times a second",
+        "each tries again ten times a second",
     ),
     Quantity(
         "restart of some: all of them",
